--- a/apps/quarantine_page.cc
+++ b/apps/quarantine_page.cc
@@ -21,7 +21,7 @@
   return std::chrono::duration_cast<base::milliseconds>(duration).count();
 }
 
-json describe(const quarantine::known_request& request) {
+json describe(const quarantine::quarantined_request& request) {
   return {{"request", quarantine::toText(request.request)},
           {"service", request.service},
           {"standing", request.treatedAs == standing::held ? "held" : "suspect"},
--- a/src/controller/rollouts.cc
+++ b/src/controller/rollouts.cc
@@ -55,7 +55,7 @@
   const auto found = running_.find(service);
   const auto row = rowOf(service);
   if (found == running_.end() || !row) return {};
-  return found->second.evidence.judge(policyOf(row->rolloutRow));
+  return found->second.evidence.evaluate(policyOf(row->rolloutRow));
 }
 
 base::Duration Rollouts::elapsed(const std::string& service) const {
@@ -222,10 +222,10 @@
   rollout::rollout_situation situation;
   situation.elapsed = elapsedOf(current, running);
   situation.stepAge = now - running.writtenAt;
-  situation.ledFor = now - leadsSince_;
-  situation.longRun = running.evidence.longRun();
+  situation.leadershipAge = now - leadsSince_;
+  situation.p99RunTime = running.evidence.p99RunTime();
   situation.answersPerSecond = running.evidence.answersPerSecond();
-  situation.verdict = running.evidence.judge(policyOf(current));
+  situation.verdict = running.evidence.evaluate(policyOf(current));
   for (const auto& [name, report] : running.evidence.reportsOf(current.target, kEndpointGoneAfter)) {
     ++situation.target.count;
     situation.target.slots += report.slots;
@@ -238,7 +238,7 @@
     situation.standing.active += report.active;
     if (report.revision < row.revision || report.active > 0) situation.standingIdle = false;
   }
-  situation.everywhere = controller_.convergence().inForceEverywhere(row.revision);
+  situation.inForceEverywhere = controller_.convergence().inForceEverywhere(row.revision);
   situation.nodes = controller_.convergence().attachedNodes();
   return situation;
 }
@@ -283,8 +283,8 @@
       "strength={:.2f} why={}",
       service, row.target, nameOf(row.state), row.targetPermille, row.groupOffset, row.groupSize, row.retiring,
       row.elapsedMs, row.finishByMs, situation.target.count, situation.target.slots, situation.standing.count,
-      situation.standing.slots, situation.standing.active, situation.answersPerSecond, verdict.tried, verdict.strength,
-      row.reason.empty() ? verdict.reason : row.reason);
+      situation.standing.slots, situation.standing.active, situation.answersPerSecond, verdict.testedEndpoints,
+      verdict.strength, row.reason.empty() ? verdict.reason : row.reason);
 }
 
 }  // namespace driftlug::controller
--- a/src/node/control_client.cc
+++ b/src/node/control_client.cc
@@ -401,7 +401,7 @@
 
 void ControlClient::useQuarantine(quarantine::request_quarantine* quarantine) {
   quarantine_ = quarantine;
-  quarantine_->onNews([this](const auto& reports) { sendCrashReports(reports); });
+  quarantine_->onOutgoingReports([this](const auto& reports) { sendCrashReports(reports); });
 }
 
 void ControlClient::sendCrashReports(const quarantine::request_quarantine::reports& reports) {
--- a/src/node/endpoint_calls.cc
+++ b/src/node/endpoint_calls.cc
@@ -79,7 +79,7 @@
   return evacuated_ ? ErrorCode::kZoneEvacuated : ErrorCode::kVersionNotReleased;
 }
 
-bool EndpointCalls::versionTakesCalls() const { return !versions_ || versions_->takes(version_); }
+bool EndpointCalls::versionTakesCalls() const { return !versions_ || versions_->acceptsRequests(version_); }
 
 /// What waits for a version or in a zone that takes no calls any more runs elsewhere; this holds also for calls of
 /// nodes with an older table.
--- a/src/node/endpoint_calls_quarantine.cc
+++ b/src/node/endpoint_calls_quarantine.cc
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-void EndpointCalls::useQuarantine(quarantine::request_quarantine* quarantine, quarantine::crash_watch* watch) {
+void EndpointCalls::useQuarantine(quarantine::request_quarantine* quarantine, quarantine::crash_detector* watch) {
   quarantine_ = quarantine;
   watch_ = watch;
 }
@@ -140,7 +140,7 @@
 }
 
 void EndpointCalls::noteRanWell(const CallKey& key) {
-  if (quarantine_ != nullptr && !quarantine_->empty()) quarantine_->onRanWell(fingerprintOfCall(key));
+  if (quarantine_ != nullptr && !quarantine_->empty()) quarantine_->onRunSucceeded(fingerprintOfCall(key));
 }
 
 }  // namespace driftlug::node
--- a/src/node/endpoint_links.cc
+++ b/src/node/endpoint_links.cc
@@ -177,7 +177,7 @@
                                     const rollout::version_policy& policy) {
   Endpoints known;
   for (const auto& endpoint : endpoints) {
-    if (policy.covers(endpoint.version)) known[endpoint.version].push_back(endpoint);
+    if (policy.mayGetRequests(endpoint.version)) known[endpoint.version].push_back(endpoint);
   }
   auto& chosen = chosen_[service];
   for (const auto& [version, ofVersion] : known) {
--- a/src/node/entry_calls_quarantine.cc
+++ b/src/node/entry_calls_quarantine.cc
@@ -45,7 +45,7 @@
                                     base::millisecondsOf(spread(options_.overloadRetryAfter))));
   }
   const bool needed = picker_.onlyOneTakesWork(candidatesFor(*call));
-  if (needed && quarantine_->history().sinceLastCrash(fingerprintOfCall(call)) < kWaitForOthers) {
+  if (needed && quarantine_->history().timeSinceLastCrash(fingerprintOfCall(call)) < kWaitForOthers) {
     return finish(id, failureAnswer(CallOutcome::NOT_RUN, ErrorCode::kOnProbation, kUnavailableStatus,
                                     base::millisecondsOf(spread(options_.overloadRetryAfter))));
   }
@@ -59,7 +59,7 @@
   const auto call = calls_.find(attempt.call);
   if (quarantine_ == nullptr || call == calls_.end()) return;
   const quarantine::crashed_run run{fingerprintOfCall(&call->second), response.onProbation};
-  quarantine_->onCrashElsewhere(static_cast<uint64_t>(response.crashId), call->second.service, attempt.endpoint, run);
+  quarantine_->onRemoteCrash(static_cast<uint64_t>(response.crashId), call->second.service, attempt.endpoint, run);
 }
 
 }  // namespace driftlug::node
--- a/src/node/version_reporter.cc
+++ b/src/node/version_reporter.cc
@@ -44,7 +44,7 @@
 }
 
 void VersionReporter::onRun(const EndedRun& run) {
-  if (policy_ && policy_->running) figures_.note(run.route, run.failed, run.took, cold());
+  if (policy_ && policy_->running) figures_.record(run.route, run.failed, run.took, cold());
 }
 
 void VersionReporter::report() {
--- a/src/node/version_reporter.h
+++ b/src/node/version_reporter.h
@@ -8,7 +8,7 @@
 #include "base/random.h"
 #include "base/time.h"
 #include "node/endpoint_calls.h"
-#include "rollout/run_figures.h"
+#include "rollout/run_statistics.h"
 #include "rollout/version_policy.h"
 
 namespace driftlug::node {
@@ -52,7 +52,7 @@
   base::TimePoint coldUntil_{};
   int64_t life_;
   int64_t sequence_ = 0;
-  rollout::run_figures figures_;
+  rollout::run_statistics figures_;
   base::Timer timer_;  // runs while a rollout is under way
 };
 
--- a/src/quarantine/crash_history.cc
+++ b/src/quarantine/crash_history.cc
@@ -9,7 +9,7 @@
 namespace
 {
 /// Probes are at most this far apart, so that the time fits where it is told to callers.
-constexpr base::Duration kLongestProbe = std::chrono::hours(24 * 365);
+constexpr base::Duration kMaxProbeDelay = std::chrono::hours(24 * 365);
 
 base::milliseconds ageOf(base::TimePoint _at, base::TimePoint _now)
 {
@@ -24,7 +24,7 @@
 {
 }
 
-crash_history::crash& crash_history::crashOf(const wire::CrashReport& _report)
+crash_history::crash& crash_history::findOrAddCrash(const wire::CrashReport& _report)
 {
 	const auto [place, added] = m_crashes.try_emplace(static_cast<uint64_t>(_report.id));
 	auto& known = place->second;
@@ -33,12 +33,12 @@
 		known.service = _report.serviceName;
 		known.endpoint = _report.endpoint;
 		known.at = m_time.now() - base::milliseconds(std::max<int64_t>(0, _report.ageMs));
-		known.touchedAt = m_time.now();
+		known.modifiedAt = m_time.now();
 	}
 	return known;
 }
 
-bool crash_history::add(uint64_t _id, crash* _crash, const request_fingerprint& _request, const mark& _mark)
+bool crash_history::addMark(uint64_t _id, crash* _crash, const request_fingerprint& _request, const mark& _mark)
 {
 	const auto [place, added] = _crash->requests.try_emplace(_request);
 	auto& known = place->second;
@@ -46,60 +46,60 @@
 	const bool cleared = _mark.cleared && !known.cleared;
 	known.onProbation = known.onProbation || _mark.onProbation;
 	known.cleared = known.cleared || _mark.cleared;
-	m_remembered += added ? 1 : 0;
+	m_markCount += added ? 1 : 0;
 	if (added && !known.cleared)
 	{
-		m_marks[_request].push_back(_id);
+		m_unclearedCrashes[_request].push_back(_id);
 	}
 	if (!added && cleared)
 	{
-		unmark(_id, _request);
+		removeMark(_id, _request);
 	}
 
-	const bool news = added || probation || cleared;
-	if (news)
+	const bool changed = added || probation || cleared;
+	if (changed)
 	{
-		_crash->touchedAt = m_time.now();
+		_crash->modifiedAt = m_time.now();
 	}
-	return news;
+	return changed;
 }
 
-void crash_history::unmark(uint64_t _id, const request_fingerprint& _request)
+void crash_history::removeMark(uint64_t _id, const request_fingerprint& _request)
 {
-	const auto marks = m_marks.find(_request);
-	std::erase(marks->second, _id);
-	if (marks->second.empty())
+	const auto crashIds = m_unclearedCrashes.find(_request);
+	std::erase(crashIds->second, _id);
+	if (crashIds->second.empty())
 	{
-		m_marks.erase(marks);
+		m_unclearedCrashes.erase(crashIds);
 	}
 }
 
 crash_history::reports crash_history::merge(std::span<const wire::CrashReport> _reports)
 {
-	reports news;
+	reports changes;
 	for (const auto& report : _reports)
 	{
-		auto& known = crashOf(report);
+		auto& known = findOrAddCrash(report);
 		wire::CrashReport changed = report;
 		changed.requests.clear();
 		for (const auto& request : report.requests)
 		{
 			const auto fingerprint = fingerprintFromBytes(request.fingerprint);
 			const auto id = static_cast<uint64_t>(report.id);
-			if (fingerprint && add(id, &known, *fingerprint, {request.onProbation, request.cleared}))
+			if (fingerprint && addMark(id, &known, *fingerprint, {request.onProbation, request.cleared}))
 			{
 				changed.requests.push_back(request);
 			}
 		}
 		if (!changed.requests.empty())
 		{
-			news.push_back(std::move(changed));
+			changes.push_back(std::move(changed));
 		}
 	}
-	settle();
-	forgetOld();
-	forgetBeyondBound();
-	return news;
+	clearExplained();
+	dropExpired();
+	evictExcess();
+	return changes;
 }
 
 crash_history::reports crash_history::addCrash(uint64_t _id, std::string_view _service, std::string_view _endpoint,
@@ -121,14 +121,14 @@
 
 crash_history::reports crash_history::clear(const request_fingerprint& _request)
 {
-	const auto* marks = marksOf(_request);
-	if (nullptr == marks)
+	const auto* crashIds = unclearedCrashesOf(_request);
+	if (nullptr == crashIds)
 	{
 		return {};
 	}
 
 	reports cleared;
-	for (const auto id : *marks)
+	for (const auto id : *crashIds)
 	{
 		const auto& known = m_crashes.at(id);
 		wire::CrashReport report;
@@ -146,15 +146,15 @@
 	return merge(cleared);
 }
 
-const crash_history::marks_of* crash_history::marksOf(const request_fingerprint& _request) const
+const crash_history::crash_ids* crash_history::unclearedCrashesOf(const request_fingerprint& _request) const
 {
-	const auto found = m_marks.find(_request);
-	return m_marks.end() == found ? nullptr : &found->second;
+	const auto found = m_unclearedCrashes.find(_request);
+	return m_unclearedCrashes.end() == found ? nullptr : &found->second;
 }
 
-size_t crash_history::probationCrashes(const marks_of& _marks, const request_fingerprint& _request) const
+size_t crash_history::countProbationCrashes(const crash_ids& _crashes, const request_fingerprint& _request) const
 {
-	return static_cast<size_t>(std::count_if(_marks.begin(), _marks.end(),
+	return static_cast<size_t>(std::count_if(_crashes.begin(), _crashes.end(),
 											 [&](uint64_t _id)
 											 {
 												 return m_crashes.at(_id).requests.at(_request).onProbation;
@@ -163,82 +163,83 @@
 
 bool crash_history::crashedOnProbation(const request_fingerprint& _request) const
 {
-	const auto* marks = marksOf(_request);
-	return nullptr != marks && 0 < probationCrashes(*marks, _request);
+	const auto* crashIds = unclearedCrashesOf(_request);
+	return nullptr != crashIds && 0 < countProbationCrashes(*crashIds, _request);
 }
 
 /// Whether another request that was at work in a crash is to blame: one that is held and has more crashes. With as many
 /// it may be innocent itself, on probation beside a guilty one that nobody knew yet.
-bool crash_history::accountedFor(uint64_t _crash, const request_fingerprint& _request) const
+bool crash_history::isExplainedByHeldRequest(uint64_t _crash, const request_fingerprint& _request) const
 {
-	const size_t own = marksOf(_request)->size();
+	const size_t own = unclearedCrashesOf(_request)->size();
 	const auto& requests = m_crashes.at(_crash).requests;
 	return std::any_of(requests.begin(), requests.end(),
 					   [&](const auto& _item)
 					   {
-						   const auto* others = _item.second.cleared ? nullptr : marksOf(_item.first);
+						   const auto* others = _item.second.cleared ? nullptr : unclearedCrashesOf(_item.first);
 						   return nullptr != others && others->size() > own && crashedOnProbation(_item.first);
 					   });
 }
 
-base::TimePoint crash_history::lastCrashOf(const marks_of& _marks) const
+base::TimePoint crash_history::lastCrashOf(const crash_ids& _crashes) const
 {
 	base::TimePoint last{};
-	for (const auto id : _marks)
+	for (const auto id : _crashes)
 	{
 		last = std::max(last, m_crashes.at(id).at);
 	}
 	return last;
 }
 
-base::TimePoint crash_history::probeAt(const marks_of& _marks, const request_fingerprint& _request) const
+base::TimePoint crash_history::nextProbeAt(const crash_ids& _crashes, const request_fingerprint& _request) const
 {
-	base::Duration wait = m_options.firstProbe;
-	for (size_t i = 1; i < probationCrashes(_marks, _request) && wait < kLongestProbe; ++i)
+	base::Duration wait = m_options.firstProbeDelay;
+	for (size_t i = 1; i < countProbationCrashes(_crashes, _request) && wait < kMaxProbeDelay; ++i)
 	{
-		wait = std::min(kLongestProbe, wait * m_options.probeFactor);
+		wait = std::min(kMaxProbeDelay, wait * m_options.probeBackoffFactor);
 	}
-	return lastCrashOf(_marks) + wait;
+	return lastCrashOf(_crashes) + wait;
 }
 
 standing crash_history::standingOf(const request_fingerprint& _request, std::string_view _service) const
 {
-	const auto* marks = marksOf(_request);
-	if (nullptr == marks)
+	const auto* crashIds = unclearedCrashesOf(_request);
+	if (nullptr == crashIds)
 	{
 		return standing::clear;
 	}
 
-	bool counts = false;
-	bool here = false;
-	for (const auto id : *marks)
+	bool unexplained = false;
+	bool inService = false;
+	for (const auto id : *crashIds)
 	{
-		counts = counts || !accountedFor(id, _request);
-		here = here || m_crashes.at(id).service == _service;
+		unexplained = unexplained || !isExplainedByHeldRequest(id, _request);
+		inService = inService || m_crashes.at(id).service == _service;
 	}
-	if (!counts)
+	if (!unexplained)
 	{
 		return standing::clear;
 	}
 
-	const bool held = here && 0 < probationCrashes(*marks, _request) && m_time.now() < probeAt(*marks, _request);
+	const bool held =
+		inService && 0 < countProbationCrashes(*crashIds, _request) && m_time.now() < nextProbeAt(*crashIds, _request);
 	return held ? standing::held : standing::suspect;
 }
 
 base::Duration crash_history::untilProbe(const request_fingerprint& _request) const
 {
-	const auto* marks = marksOf(_request);
-	if (nullptr == marks || 0 == probationCrashes(*marks, _request))
+	const auto* crashIds = unclearedCrashesOf(_request);
+	if (nullptr == crashIds || 0 == countProbationCrashes(*crashIds, _request))
 	{
 		return base::Duration(0);
 	}
-	return std::max(base::Duration(0), probeAt(*marks, _request) - m_time.now());
+	return std::max(base::Duration(0), nextProbeAt(*crashIds, _request) - m_time.now());
 }
 
-base::Duration crash_history::sinceLastCrash(const request_fingerprint& _request) const
+base::Duration crash_history::timeSinceLastCrash(const request_fingerprint& _request) const
 {
-	const auto* marks = marksOf(_request);
-	return nullptr == marks ? base::Duration::max() : m_time.now() - lastCrashOf(*marks);
+	const auto* crashIds = unclearedCrashesOf(_request);
+	return nullptr == crashIds ? base::Duration::max() : m_time.now() - lastCrashOf(*crashIds);
 }
 
 wire::CrashReport crash_history::reportOf(uint64_t _id, const crash& _crash) const
@@ -248,17 +249,17 @@
 	report.serviceName = _crash.service;
 	report.endpoint = _crash.endpoint;
 	report.ageMs = ageOf(_crash.at, m_time.now()).count();
-	const bool settled = m_time.now() - _crash.touchedAt > m_options.clearedFor;
-	for (const auto& [fingerprint, itsMark] : _crash.requests)
+	const bool reportsDelivered = m_time.now() - _crash.modifiedAt > m_options.clearedRetention;
+	for (const auto& [fingerprint, requestMark] : _crash.requests)
 	{
-		if (settled && isDone(itsMark))
+		if (reportsDelivered && isObsolete(requestMark))
 		{
 			continue;
 		}
 		wire::CrashedRequest request;
 		request.fingerprint = toBytes(fingerprint);
-		request.onProbation = itsMark.onProbation;
-		request.cleared = itsMark.cleared;
+		request.onProbation = requestMark.onProbation;
+		request.cleared = requestMark.cleared;
 		report.requests.push_back(std::move(request));
 	}
 	return report;
@@ -282,26 +283,26 @@
 	return wanted;
 }
 
-std::vector<known_request> crash_history::known() const
+std::vector<quarantined_request> crash_history::known() const
 {
-	std::vector<known_request> result;
-	for (const auto& [request, marks] : m_marks)
+	std::vector<quarantined_request> result;
+	for (const auto& [request, crashIds] : m_unclearedCrashes)
 	{
-		const auto& service = m_crashes.at(marks.back()).service;
+		const auto& service = m_crashes.at(crashIds.back()).service;
 		const auto treatedAs = standingOf(request, service);
 		if (standing::clear == treatedAs)
 		{
 			continue;
 		}
 		result.push_back(
-			{request, service, treatedAs, marks.size(), m_time.now() - lastCrashOf(marks), untilProbe(request)});
+			{request, service, treatedAs, crashIds.size(), m_time.now() - lastCrashOf(crashIds), untilProbe(request)});
 	}
 	return result;
 }
 
 /// Whether nothing in a crash holds a request. Cleared marks of one that was held are kept as long as others, so that a
 /// node that was cut off meanwhile can't hold it again.
-bool crash_history::isWorthLittle(const crash& _crash) const
+bool crash_history::holdsNoRequest(const crash& _crash) const
 {
 	return std::none_of(_crash.requests.begin(), _crash.requests.end(),
 						[this](const auto& _item)
@@ -312,16 +313,16 @@
 
 /// Clears what held requests account for, so that it is neither remembered nor sent any more. All processes do so by
 /// themselves, and none needs to be told.
-void crash_history::settle()
+void crash_history::clearExplained()
 {
 	for (auto& [id, known] : m_crashes)
 	{
-		for (auto& [request, itsMark] : known.requests)
+		for (auto& [request, requestMark] : known.requests)
 		{
-			if (!itsMark.cleared && !crashedOnProbation(request) && accountedFor(id, request))
+			if (!requestMark.cleared && !crashedOnProbation(request) && isExplainedByHeldRequest(id, request))
 			{
-				itsMark.cleared = true;
-				unmark(id, request);
+				requestMark.cleared = true;
+				removeMark(id, request);
 			}
 		}
 	}
@@ -329,62 +330,63 @@
 
 /// Drops the cleared marks of those that only were at work beside others: a node that subscribes after a hundred guilty
 /// requests is sent 11 kB instead of 38 (1,487 marks, a fleet of 300 nodes).
-void crash_history::forgetCleared(crash* _crash)
+void crash_history::dropClearedMarks(crash* _crash)
 {
-	m_remembered -= std::erase_if(_crash->requests,
-								  [](const auto& _item)
-								  {
-									  return isDone(_item.second);
-								  });
+	m_markCount -= std::erase_if(_crash->requests,
+								 [](const auto& _item)
+								 {
+									 return isObsolete(_item.second);
+								 });
 }
 
-void crash_history::forgetOld()
+void crash_history::dropExpired()
 {
 	const auto now = m_time.now();
 	for (auto it = m_crashes.begin(); m_crashes.end() != it;)
 	{
 		const auto& requests = it->second.requests;
-		if (now - it->second.touchedAt > m_options.clearedFor)
+		if (now - it->second.modifiedAt > m_options.clearedRetention)
 		{
-			forgetCleared(&it->second);
+			dropClearedMarks(&it->second);
 		}
 		const bool allCleared = std::all_of(requests.begin(), requests.end(),
 											[](const auto& _item)
 											{
 												return _item.second.cleared;
 											});
-		const bool little = isWorthLittle(it->second);
-		const bool passed = allCleared && little && now - it->second.touchedAt > m_options.clearedFor;
-		const bool old = (little || allCleared) && now - it->second.touchedAt > m_options.suspectFor;
-		it = passed || old ? forget(it) : std::next(it);
+		const bool noneHeld = holdsNoRequest(it->second);
+		const bool clearedExpired = allCleared && noneHeld && now - it->second.modifiedAt > m_options.clearedRetention;
+		const bool suspectExpired =
+			(noneHeld || allCleared) && now - it->second.modifiedAt > m_options.suspectRetention;
+		it = clearedExpired || suspectExpired ? removeCrash(it) : std::next(it);
 	}
 }
 
-void crash_history::forgetBeyondBound()
+void crash_history::evictExcess()
 {
-	while (m_remembered > m_options.mostMarks)
+	while (m_markCount > m_options.maxMarks)
 	{
 		auto first = m_crashes.begin();
 		const auto rank = [this](const auto& _item)
 		{
-			return std::make_pair(!isWorthLittle(_item.second), _item.second.at);
+			return std::make_pair(!holdsNoRequest(_item.second), _item.second.at);
 		};
 		for (auto it = m_crashes.begin(); m_crashes.end() != it; ++it)
 		{
 			first = rank(*it) < rank(*first) ? it : first;
 		}
-		forget(first);
+		removeCrash(first);
 	}
 }
 
-crash_history::crashes::iterator crash_history::forget(crashes::iterator _crash)
+crash_history::crashes::iterator crash_history::removeCrash(crashes::iterator _crash)
 {
-	for (const auto& [request, itsMark] : _crash->second.requests)
+	for (const auto& [request, requestMark] : _crash->second.requests)
 	{
-		--m_remembered;
-		if (!itsMark.cleared)
+		--m_markCount;
+		if (!requestMark.cleared)
 		{
-			unmark(_crash->first, request);
+			removeMark(_crash->first, request);
 		}
 	}
 	return m_crashes.erase(_crash);
--- a/src/quarantine/crash_history.h
+++ b/src/quarantine/crash_history.h
@@ -30,16 +30,16 @@
 {
 	/// Requests under all crashes together. At 40 bytes of a frame each a node that subscribes is sent 160 kB at the
 	/// most, 0.7 s of a link of 2 Mbit/s; a crash that is accounted for costs two or three of them.
-	size_t mostMarks = 4096;
+	size_t maxMarks = 4096;
 	/// A request that comes again sooner than this after a crash under it is known.
-	base::Duration suspectFor = std::chrono::hours(24);
+	base::Duration suspectRetention = std::chrono::hours(24);
 	/// Marks that were cleared are kept for so long, since reports of them may still be on their way: behind a link
 	/// that is cut they arrive once it is back.
-	base::Duration clearedFor = std::chrono::minutes(1);
+	base::Duration clearedRetention = std::chrono::minutes(1);
 	/// A held request is put on probation again so long after its last crash, and this many times longer after each
 	/// further one: within a week it ends six back ends at the most, three beyond the third.
-	base::Duration firstProbe = std::chrono::minutes(5);
-	int probeFactor = 12;
+	base::Duration firstProbeDelay = std::chrono::minutes(5);
+	int probeBackoffFactor = 12;
 };
 
 /// A request at work on a back end that crashed.
@@ -50,7 +50,7 @@
 };
 
 /// A request that is a suspect or held, for pages.
-struct known_request
+struct quarantined_request
 {
 	request_fingerprint request;
 	std::string service;
@@ -97,12 +97,12 @@
 	base::Duration untilProbe(const request_fingerprint& _request) const;
 
 	/// @returns How long ago a back end last crashed under a request; the longest duration when none is known.
-	base::Duration sinceLastCrash(const request_fingerprint& _request) const;
+	base::Duration timeSinceLastCrash(const request_fingerprint& _request) const;
 
 	/// @returns Whether no request has a mark, so that fingerprints are of no use.
 	bool empty() const
 	{
-		return m_marks.empty();
+		return m_unclearedCrashes.empty();
 	}
 
 	/// @returns All marks for those who lack them, the cleared ones too.
@@ -119,12 +119,12 @@
 	}
 
 	/// @returns Every request with a mark that counts.
-	std::vector<known_request> known() const;
+	std::vector<quarantined_request> known() const;
 
 	/// @returns Marks that are remembered, the cleared ones too.
 	size_t marks() const
 	{
-		return m_remembered;
+		return m_markCount;
 	}
 
 private:
@@ -135,7 +135,7 @@
 	};
 
 	/// @returns Whether a mark is of no use once reports of it that are on their way have arrived.
-	static bool isDone(const mark& _mark)
+	static bool isObsolete(const mark& _mark)
 	{
 		return _mark.cleared && !_mark.onProbation;
 	}
@@ -144,37 +144,37 @@
 	{
 		std::string service;
 		std::string endpoint;
-		base::TimePoint at{};         //!< By this process's clock.
-		base::TimePoint touchedAt{};  //!< When a mark was added or cleared.
+		base::TimePoint at{};          //!< By this process's clock.
+		base::TimePoint modifiedAt{};  //!< When a mark was added or cleared.
 		std::map<request_fingerprint, mark> requests;
 	};
 
 	using crashes = std::map<uint64_t, crash>;
 	/// Crashes under one request whose marks are not cleared.
-	using marks_of = std::vector<uint64_t>;
-
-	bool add(uint64_t _id, crash* _crash, const request_fingerprint& _request, const mark& _mark);
-	void unmark(uint64_t _id, const request_fingerprint& _request);
-	void settle();
-	crash& crashOf(const wire::CrashReport& _report);
-	const marks_of* marksOf(const request_fingerprint& _request) const;
-	size_t probationCrashes(const marks_of& _marks, const request_fingerprint& _request) const;
+	using crash_ids = std::vector<uint64_t>;
+
+	bool addMark(uint64_t _id, crash* _crash, const request_fingerprint& _request, const mark& _mark);
+	void removeMark(uint64_t _id, const request_fingerprint& _request);
+	void clearExplained();
+	crash& findOrAddCrash(const wire::CrashReport& _report);
+	const crash_ids* unclearedCrashesOf(const request_fingerprint& _request) const;
+	size_t countProbationCrashes(const crash_ids& _crashes, const request_fingerprint& _request) const;
 	bool crashedOnProbation(const request_fingerprint& _request) const;
-	bool accountedFor(uint64_t _crash, const request_fingerprint& _request) const;
-	base::TimePoint lastCrashOf(const marks_of& _marks) const;
-	base::TimePoint probeAt(const marks_of& _marks, const request_fingerprint& _request) const;
+	bool isExplainedByHeldRequest(uint64_t _crash, const request_fingerprint& _request) const;
+	base::TimePoint lastCrashOf(const crash_ids& _crashes) const;
+	base::TimePoint nextProbeAt(const crash_ids& _crashes, const request_fingerprint& _request) const;
 	wire::CrashReport reportOf(uint64_t _id, const crash& _crash) const;
-	bool isWorthLittle(const crash& _crash) const;
-	void forgetCleared(crash* _crash);
-	void forgetOld();
-	void forgetBeyondBound();
-	crashes::iterator forget(crashes::iterator _crash);
+	bool holdsNoRequest(const crash& _crash) const;
+	void dropClearedMarks(crash* _crash);
+	void dropExpired();
+	void evictExcess();
+	crashes::iterator removeCrash(crashes::iterator _crash);
 
 	const base::TimeSource& m_time;
 	crash_history_options m_options;
-	crashes m_crashes;                                //!< By id.
-	std::map<request_fingerprint, marks_of> m_marks;  //!< By request; oldest first.
-	size_t m_remembered = 0;                          //!< Marks in m_crashes.
+	crashes m_crashes;                                            //!< By id.
+	std::map<request_fingerprint, crash_ids> m_unclearedCrashes;  //!< By request; oldest first.
+	size_t m_markCount = 0;                                       //!< Marks in m_crashes.
 };
 
 }  // namespace driftlug::quarantine
--- a/src/quarantine/request_quarantine.cc
+++ b/src/quarantine/request_quarantine.cc
@@ -14,27 +14,27 @@
 /// Clearances are gathered for so long: after a crash up to eight requests of nine are cleared within some hundred
 /// milliseconds, and each message goes to all nodes of the service. A node that doesn't know yet runs them on
 /// probation.
-constexpr base::Duration kGatherCleared = base::milliseconds(100);
+constexpr base::Duration kClearedBatchDelay = base::milliseconds(100);
 
 /// Held requests whose log lines are remembered; more than these are noted twice.
-constexpr size_t kMostNoted = 1024;
+constexpr size_t kMaxLoggedHeld = 1024;
 
 /// Longest time that is told to a caller whose request is held. Somebody who comes back after a day may be told again.
-constexpr base::Duration kLongestRetryAfter = std::chrono::hours(24);
+constexpr base::Duration kMaxRetryAfter = std::chrono::hours(24);
 
 }  // namespace
 
 request_quarantine::request_quarantine(base::Scheduler& _scheduler, const crash_history_options& _options)
 	: m_history(_scheduler, _options)
-	, m_spreadTimer(_scheduler,
-					[this]
-					{
-						const auto cleared = std::exchange(m_cleared, {});
-						if (m_spread)
-						{
-							m_spread(cleared);
-						}
-					})
+	, m_sendTimer(_scheduler,
+				  [this]
+				  {
+					  const auto cleared = std::exchange(m_cleared, {});
+					  if (m_sendReports)
+					  {
+						  m_sendReports(cleared);
+					  }
+				  })
 	, m_changeTimer(_scheduler,
 					[this]
 					{
@@ -51,47 +51,47 @@
 								 std::span<const crashed_run> _runs)
 {
 	++m_counters.crashes;
-	const auto news = m_history.addCrash(_id, _service, _endpoint, _runs);
-	changed(news, "crash");
-	if (m_spread && !news.empty())
+	const auto changes = m_history.addCrash(_id, _service, _endpoint, _runs);
+	onHistoryChanged(changes, "crash");
+	if (m_sendReports && !changes.empty())
 	{
-		m_spread(news);
+		m_sendReports(changes);
 	}
 }
 
-void request_quarantine::onCrashElsewhere(uint64_t _id, std::string_view _service, std::string_view _endpoint,
-										  const crashed_run& _run)
+void request_quarantine::onRemoteCrash(uint64_t _id, std::string_view _service, std::string_view _endpoint,
+									   const crashed_run& _run)
 {
-	changed(m_history.addCrash(_id, _service, _endpoint, {&_run, 1}), "crash");
+	onHistoryChanged(m_history.addCrash(_id, _service, _endpoint, {&_run, 1}), "crash");
 }
 
-void request_quarantine::onRanWell(const request_fingerprint& _request)
+void request_quarantine::onRunSucceeded(const request_fingerprint& _request)
 {
-	auto news = m_history.clear(_request);
-	if (news.empty())
+	auto changes = m_history.clear(_request);
+	if (changes.empty())
 	{
 		return;
 	}
 	++m_counters.cleared;
-	changed(news, "ran_well");
-	spreadSoon(std::move(news));
+	onHistoryChanged(changes, "ran_well");
+	scheduleSend(std::move(changes));
 }
 
 bool request_quarantine::release(const request_fingerprint& _request)
 {
-	auto news = m_history.clear(_request);
-	if (news.empty())
+	auto changes = m_history.clear(_request);
+	if (changes.empty())
 	{
 		return false;
 	}
-	changed(news, "operator");
-	spreadSoon(std::move(news));
+	onHistoryChanged(changes, "operator");
+	scheduleSend(std::move(changes));
 	return true;
 }
 
 void request_quarantine::onReports(std::span<const wire::CrashReport> _reports)
 {
-	changed(m_history.merge(_reports), "told");
+	onHistoryChanged(m_history.merge(_reports), "told");
 }
 
 request_quarantine::reports request_quarantine::all() const
@@ -101,32 +101,32 @@
 
 base::Duration request_quarantine::retryAfter(const request_fingerprint& _request) const
 {
-	return std::min(m_history.untilProbe(_request), kLongestRetryAfter);
+	return std::min(m_history.untilProbe(_request), kMaxRetryAfter);
 }
 
-void request_quarantine::spreadSoon(reports _cleared)
+void request_quarantine::scheduleSend(reports _cleared)
 {
 	m_cleared.insert(m_cleared.end(), std::make_move_iterator(_cleared.begin()),
 					 std::make_move_iterator(_cleared.end()));
-	if (!m_spreadTimer.running())
+	if (!m_sendTimer.running())
 	{
-		m_spreadTimer.start(kGatherCleared);
+		m_sendTimer.start(kClearedBatchDelay);
 	}
 }
 
-void request_quarantine::changed(const reports& _news, const char* _because)
+void request_quarantine::onHistoryChanged(const reports& _changes, const char* _because)
 {
-	if (_news.empty())
+	if (_changes.empty())
 	{
 		return;
 	}
-	for (const auto& report : _news)
+	for (const auto& report : _changes)
 	{
 		for (const auto& request : report.requests)
 		{
 			if (const auto fingerprint = fingerprintFromBytes(request.fingerprint))
 			{
-				noteStanding(*fingerprint, report.serviceName, _because);
+				logStandingChange(*fingerprint, report.serviceName, _because);
 			}
 		}
 	}
@@ -134,9 +134,9 @@
 }
 
 /// What was noted as held and is forgotten since, or accounted for, is dropped before there is much of it.
-void request_quarantine::forgetReleased()
+void request_quarantine::pruneLoggedHeld()
 {
-	if (m_held.size() < kMostNoted)
+	if (m_loggedHeld.size() < kMaxLoggedHeld)
 	{
 		return;
 	}
@@ -148,25 +148,25 @@
 			held.insert(request.request);
 		}
 	}
-	m_held = std::move(held);
+	m_loggedHeld = std::move(held);
 }
 
-void request_quarantine::noteStanding(const request_fingerprint& _request, std::string_view _service,
-									  const char* _because)
+void request_quarantine::logStandingChange(const request_fingerprint& _request, std::string_view _service,
+										   const char* _because)
 {
 	const bool held = standing::held == m_history.standingOf(_request, _service);
-	if (held == (0 < m_held.count(_request)))
+	if (held == (0 < m_loggedHeld.count(_request)))
 	{
 		return;
 	}
 	if (held)
 	{
-		forgetReleased();
-		m_held.insert(_request);
+		pruneLoggedHeld();
+		m_loggedHeld.insert(_request);
 	}
 	else
 	{
-		m_held.erase(_request);
+		m_loggedHeld.erase(_request);
 	}
 	++(held ? m_counters.held : m_counters.released);
 	m_decisions.write(
--- a/src/quarantine/request_quarantine.h
+++ b/src/quarantine/request_quarantine.h
@@ -29,14 +29,14 @@
 {
 public:
 	using reports = crash_history::reports;
-	using spread_handler = std::function<void(const reports&)>;
+	using report_sender = std::function<void(const reports&)>;
 
 	explicit request_quarantine(base::Scheduler& _scheduler, const crash_history_options& _options = {});
 
 	/// Sets what carries news of this node to others.
-	void onNews(spread_handler _spread)
+	void onOutgoingReports(report_sender _send)
 	{
-		m_spread = std::move(_spread);
+		m_sendReports = std::move(_send);
 	}
 
 	/// Sets what is called after the standing of requests may have changed, never from within a change.
@@ -50,10 +50,10 @@
 				 std::span<const crashed_run> _runs);
 
 	/// A call that began at this node was cut by a crash elsewhere. The node there tells all others.
-	void onCrashElsewhere(uint64_t _id, std::string_view _service, std::string_view _endpoint, const crashed_run& _run);
+	void onRemoteCrash(uint64_t _id, std::string_view _service, std::string_view _endpoint, const crashed_run& _run);
 
 	/// The back end beside this node answered a request.
-	void onRanWell(const request_fingerprint& _request);
+	void onRunSucceeded(const request_fingerprint& _request);
 
 	/// An operator lets a request run again.
 	/// @returns Whether anything was known of it.
@@ -90,17 +90,17 @@
 	}
 
 private:
-	void changed(const reports& _news, const char* _because);
-	void noteStanding(const request_fingerprint& _request, std::string_view _service, const char* _because);
-	void forgetReleased();
-	void spreadSoon(reports _cleared);
+	void onHistoryChanged(const reports& _changes, const char* _because);
+	void logStandingChange(const request_fingerprint& _request, std::string_view _service, const char* _because);
+	void pruneLoggedHeld();
+	void scheduleSend(reports _cleared);
 
 	crash_history m_history;
-	spread_handler m_spread;           //!< May be empty.
+	report_sender m_sendReports;       //!< May be empty.
 	std::function<void()> m_onChange;  //!< May be empty.
-	std::set<request_fingerprint> m_held;
+	std::set<request_fingerprint> m_loggedHeld;
 	reports m_cleared;  //!< To be spread.
-	base::Timer m_spreadTimer;
+	base::Timer m_sendTimer;
 	base::Timer m_changeTimer;
 	quarantine_counters m_counters;
 	base::DecisionLog m_decisions;
--- a/src/rollout/answer_history.cc
+++ b/src/rollout/answer_history.cc
@@ -5,15 +5,15 @@
 namespace
 {
 /// At four reports a second this is 20 samples.
-constexpr base::Duration kKept = base::seconds(5);
+constexpr base::Duration kRetention = base::seconds(5);
 
 }  // namespace
 
 void answer_history::add(const run_sample& _sample, base::TimePoint _now)
 {
-	m_all += _sample;
+	m_total += _sample;
 	m_recent.push_back({_now, _sample});
-	while (m_recent.front().at < _now - kKept)
+	while (m_recent.front().at < _now - kRetention)
 	{
 		m_recent.pop_front();
 	}
@@ -22,9 +22,9 @@
 run_sample answer_history::since(base::TimePoint _time) const
 {
 	run_sample sum;
-	for (auto dated = m_recent.rbegin(); dated != m_recent.rend() && dated->at >= _time; ++dated)
+	for (auto entry = m_recent.rbegin(); entry != m_recent.rend() && entry->at >= _time; ++entry)
 	{
-		sum += dated->sample;
+		sum += entry->sample;
 	}
 	return sum;
 }
--- a/src/rollout/answer_history.h
+++ b/src/rollout/answer_history.h
@@ -23,18 +23,18 @@
 	/// @returns All answers.
 	const run_sample& all() const
 	{
-		return m_all;
+		return m_total;
 	}
 
 private:
-	struct dated_sample
+	struct timed_sample
 	{
 		base::TimePoint at{};
 		run_sample sample;
 	};
 
-	std::deque<dated_sample> m_recent;  //!< Oldest first.
-	run_sample m_all;
+	std::deque<timed_sample> m_recent;  //!< Oldest first.
+	run_sample m_total;
 };
 
 }  // namespace driftlug::rollout
--- a/src/rollout/ramp.h
+++ b/src/rollout/ramp.h
@@ -16,9 +16,9 @@
 /// What the ramp of one order follows from.
 struct ramp_options
 {
-	base::Duration finishBy{0};   //!< From the order.
-	base::Duration longRun{0};    //!< A request in a hundred runs longer on the standing version.
-	double answersPerSecond = 0;  //!< Of the service.
+	base::Duration finishBy{0};    //!< From the order.
+	base::Duration p99RunTime{0};  //!< A request in a hundred runs longer on the standing version.
+	double answersPerSecond = 0;   //!< Of the service.
 	exposure_limit exposure;
 };
 
@@ -44,7 +44,7 @@
 	int highestPermille() const;
 
 	/// @returns When the share rises beyond the trial's, from the order.
-	base::Duration riseAt() const;
+	base::Duration rampUpAt() const;
 
 	/// @returns How long each step of the rise takes: for the nodes to follow, and for what is bad to be told.
 	base::Duration stepTime() const;
--- a/src/rollout/rollout_driver.cc
+++ b/src/rollout/rollout_driver.cc
@@ -8,20 +8,20 @@
 {
 namespace
 {
-constexpr size_t kLeastGroup = 1;
+constexpr size_t kMinGroupSize = 1;
 /// Nodes for each endpoint on trial at the most: each of them opens a connection there.
-constexpr size_t kNodesPerEndpoint = 500;
+constexpr size_t kMaxNodesPerEndpoint = 500;
 /// A controller that has just begun to lead has heard of each endpoint after this time: its relays connect again, and
 /// two reports of each endpoint have come.
-constexpr base::Duration kReportsKnownAfter = base::milliseconds(1200);
+constexpr base::Duration kReportCollectionTime = base::milliseconds(1200);
 /// Until it takes what did not report for gone: the lease of an endpoint whose node was lost.
-constexpr base::Duration kAllKnownAfter = base::milliseconds(2500);
+constexpr base::Duration kEndpointLossTimeout = base::milliseconds(2500);
 /// Nodes that don't say within this time that they have a row are cut off or gone; they hold nothing up.
-constexpr base::Duration kNodesFollowWithin = base::seconds(2);
+constexpr base::Duration kNodeConfirmationTimeout = base::seconds(2);
 /// Share of the standing version's slots that the new one must have to take its requests, or else room for what is at
 /// work now.
-constexpr double kEnoughSlots = 0.6;
-constexpr double kRoomForActive = 0.85;
+constexpr double kMinSlotShare = 0.6;
+constexpr double kMaxActiveShare = 0.85;
 
 wire::RolloutRow step(const wire::RolloutRow& _current, const rollout_situation& _situation, int _permille,
 					  size_t _group)
@@ -34,23 +34,23 @@
 }
 
 /// As many endpoints as the share is of the usual load of all, so that each carries what it will in the end.
-size_t groupFor(int _permille, const rollout_situation& _situation)
+size_t groupSizeFor(int _permille, const rollout_situation& _situation)
 {
 	const size_t byLoad = (static_cast<size_t>(_permille) * _situation.target.count + kWholePermille / 2)
 						  / static_cast<size_t>(kWholePermille);
-	const size_t byNodes = _situation.nodes / kNodesPerEndpoint + 1;
-	return std::max({kLeastGroup, byLoad, byNodes});
+	const size_t byNodes = _situation.nodes / kMaxNodesPerEndpoint + 1;
+	return std::max({kMinGroupSize, byLoad, byNodes});
 }
 
-bool hasRoom(const rollout_situation& _situation)
+bool hasCapacity(const rollout_situation& _situation)
 {
 	const auto slots = static_cast<double>(_situation.target.slots);
-	const bool asMany = slots >= kEnoughSlots * _situation.standing.slots;
+	const bool enoughSlots = slots >= kMinSlotShare * _situation.standing.slots;
 	const auto active = static_cast<double>(_situation.standing.active + _situation.target.active);
-	return asMany || active <= kRoomForActive * slots;
+	return enoughSlots || active <= kMaxActiveShare * slots;
 }
 
-std::string figuresOf(const version_verdict& _verdict)
+std::string reasonOf(const version_verdict& _verdict)
 {
 	return _verdict.reason.empty() ? "nothing speaks against the version" : _verdict.reason;
 }
@@ -64,7 +64,7 @@
 	row.standing = _current.standing;
 	row.target = _target;
 	row.state = wire::RolloutState::RUNNING;
-	row.groupSize = kLeastGroup;
+	row.groupSize = kMinGroupSize;
 	row.finishByMs = _finishBy / base::milliseconds(1);
 	return row;
 }
@@ -88,9 +88,9 @@
 	{
 		return std::nullopt;
 	}
-	if (standing_of_version::bad == _situation.verdict.standing)
+	if (version_health::unhealthy == _situation.verdict.health)
 	{
-		return rollBack(_current, _situation.elapsed, figuresOf(_situation.verdict));
+		return rollBack(_current, _situation.elapsed, reasonOf(_situation.verdict));
 	}
 	if (_current.retiring)
 	{
@@ -100,17 +100,17 @@
 	if (_situation.elapsed >= finishBy)
 	{
 		const char* why = 0 == _situation.target.count ? "no endpoint of the version reports"
-						  : !hasRoom(_situation)       ? "the version has too few slots"
+						  : !hasCapacity(_situation)   ? "the version has too few slots"
 													   : "";
 		return rollBack(_current, _situation.elapsed,
-						absl::StrFormat("out of time: %s%s", why, 0 == *why ? figuresOf(_situation.verdict) : ""));
+						absl::StrFormat("out of time: %s%s", why, 0 == *why ? reasonOf(_situation.verdict) : ""));
 	}
-	if (kReportsKnownAfter > _situation.ledFor || 0 == _situation.target.count)
+	if (kReportCollectionTime > _situation.leadershipAge || 0 == _situation.target.count)
 	{
 		return std::nullopt;
 	}
 	return nextStep(_current, _situation,
-					ramp({finishBy, _situation.longRun, _situation.answersPerSecond, m_exposure}));
+					ramp({finishBy, _situation.p99RunTime, _situation.answersPerSecond, m_exposure}));
 }
 
 std::optional<wire::RolloutRow> rollout_driver::nextStep(const wire::RolloutRow& _current,
@@ -120,35 +120,36 @@
 	const int trial = _ramp.trialPermille();
 	if (0 == permille)
 	{
-		return step(_current, _situation, std::max(1, trial / 2), groupFor(trial, _situation));
+		return step(_current, _situation, std::max(1, trial / 2), groupSizeFor(trial, _situation));
 	}
 	if (_ramp.stepTime() > _situation.stepAge)
 	{
 		return std::nullopt;
 	}
-	const auto looks = _situation.verdict.standing;
-	const bool mayRise = standing_of_version::doubtful != looks && hasRoom(_situation);
-	const bool rises = _situation.elapsed >= _ramp.riseAt() && mayRise;
-	if (rises && permille >= _ramp.highestPermille())
+	const auto health = _situation.verdict.health;
+	const bool mayIncrease = version_health::suspect != health && hasCapacity(_situation);
+	const bool increases = _situation.elapsed >= _ramp.rampUpAt() && mayIncrease;
+	if (increases && permille >= _ramp.highestPermille())
 	{
 		auto row = step(_current, _situation, kWholePermille, 0);
 		row.retiring = true;
 		return row;
 	}
-	if (rises)
+	if (increases)
 	{
 		const bool middle = permille < _ramp.middlePermille();
 		return step(_current, _situation, middle ? _ramp.middlePermille() : _ramp.highestPermille(), 0);
 	}
-	if (permille < trial && mayRise)
+	if (permille < trial && mayIncrease)
 	{
-		return step(_current, _situation, trial, groupFor(trial, _situation));
+		return step(_current, _situation, trial, groupSizeFor(trial, _situation));
 	}
-	const bool few = 0 < _current.groupSize && static_cast<size_t>(_current.groupSize) < _situation.target.count;
-	if (few && _ramp.groupTime(permille, _current.groupSize) <= _situation.stepAge)
+	const bool partialGroup =
+		0 < _current.groupSize && static_cast<size_t>(_current.groupSize) < _situation.target.count;
+	if (partialGroup && _ramp.groupTime(permille, _current.groupSize) <= _situation.stepAge)
 	{
 		// Whether it is the endpoints or the version, others tell, under the same load.
-		auto row = step(_current, _situation, permille, groupFor(permille, _situation));
+		auto row = step(_current, _situation, permille, groupSizeFor(permille, _situation));
 		row.groupOffset = (_current.groupOffset + _current.groupSize) % static_cast<int>(_situation.target.count);
 		return row;
 	}
@@ -158,8 +159,8 @@
 std::optional<wire::RolloutRow> rollout_driver::complete(const wire::RolloutRow& _current,
 														 const rollout_situation& _situation) const
 {
-	const bool followed = _situation.everywhere || kNodesFollowWithin <= _situation.stepAge;
-	if (!_situation.standingIdle || !followed || kAllKnownAfter > _situation.ledFor)
+	const bool nodesUpdated = _situation.inForceEverywhere || kNodeConfirmationTimeout <= _situation.stepAge;
+	if (!_situation.standingIdle || !nodesUpdated || kEndpointLossTimeout > _situation.leadershipAge)
 	{
 		return std::nullopt;
 	}
@@ -167,7 +168,7 @@
 	row.state = wire::RolloutState::COMPLETED;
 	row.standing = _current.target;
 	row.retiring = false;
-	row.reason = figuresOf(_situation.verdict);
+	row.reason = reasonOf(_situation.verdict);
 	return row;
 }
 
--- a/src/rollout/rollout_driver.h
+++ b/src/rollout/rollout_driver.h
@@ -24,17 +24,17 @@
 /// What the leading controller knows when it looks at an order.
 struct rollout_situation
 {
-	base::Duration elapsed{0};  //!< Since the order.
-	base::Duration stepAge{0};  //!< Since the row was last written.
-	base::Duration ledFor{0};   //!< Since this controller leads, and gets reports.
-	base::Duration longRun{0};  //!< A request in a hundred runs longer on the standing version.
+	base::Duration elapsed{0};        //!< Since the order.
+	base::Duration stepAge{0};        //!< Since the row was last written.
+	base::Duration leadershipAge{0};  //!< Since this controller leads, and gets reports.
+	base::Duration p99RunTime{0};     //!< A request in a hundred runs longer on the standing version.
 	double answersPerSecond = 0;
 	version_verdict verdict;
 	version_endpoints target;
 	version_endpoints standing;
-	bool standingIdle = false;  //!< All endpoints of the standing version run the newest row, and nothing else.
-	bool everywhere = false;    //!< The newest row is in force at all nodes that are there.
-	size_t nodes = 0;           //!< That send requests.
+	bool standingIdle = false;       //!< All endpoints of the standing version run the newest row, and nothing else.
+	bool inForceEverywhere = false;  //!< The newest row is in force at all nodes that are there.
+	size_t nodes = 0;                //!< That send requests.
 };
 
 /// The state machine of one order, without I/O: a row and what is known give the next row, or none.
--- a/src/rollout/route_baseline.h
+++ b/src/rollout/route_baseline.h
@@ -24,16 +24,16 @@
 	double failedShare() const;
 
 	/// @returns The bucket from which on an answer counts as slow.
-	size_t slowFrom() const;
+	size_t firstSlowBucket() const;
 
 	/// @returns The share of answers that are slow.
 	double slowShare() const;
 
 	/// @returns Whether enough run times were seen to tell what is slow.
-	bool knowsRunTimes() const;
+	bool hasRunTimes() const;
 
 	/// @returns A run time that one in a hundred takes longer than, at most 0 before any was seen.
-	base::Duration longRun() const;
+	base::Duration p99RunTime() const;
 
 private:
 	size_t quantile(double _above) const;
@@ -42,7 +42,7 @@
 	double m_failed;
 	std::array<double, kRunTimeBuckets> m_runs{};
 	double m_runTimes = 0;
-	size_t m_slowFrom = kRunTimeBuckets;
+	size_t m_firstSlowBucket = kRunTimeBuckets;
 };
 
 }  // namespace driftlug::rollout
--- a/src/rollout/run_figures.cc
+++ b/src/rollout/run_statistics.cc
@@ -1,4 +1,4 @@
-#include "rollout/run_figures.h"
+#include "rollout/run_statistics.h"
 
 #include <algorithm>
 
@@ -10,15 +10,15 @@
 {
 /// Routes told apart at one endpoint; a service with more has its further ones counted together. It bounds a report to
 /// some kilobytes.
-constexpr size_t kMostRoutes = 32;
+constexpr size_t kMaxRoutes = 32;
 constexpr int64_t kOtherRoutes = 0;
 
 }  // namespace
 
-void run_figures::note(int64_t _route, bool _failed, base::Duration _run, bool _cold)
+void run_statistics::record(int64_t _route, bool _failed, base::Duration _run, bool _cold)
 {
 	const bool known = 0 < m_routes.count(_route);
-	auto& route = m_routes[known || kMostRoutes > m_routes.size() ? _route : kOtherRoutes];
+	auto& route = m_routes[known || kMaxRoutes > m_routes.size() ? _route : kOtherRoutes];
 	++m_answered;
 	++route.answered;
 	if (_failed)
@@ -31,7 +31,7 @@
 	}
 }
 
-void run_figures::fill(wire::VersionReport* _report) const
+void run_statistics::fill(wire::VersionReport* _report) const
 {
 	for (const auto& [route, seen] : m_routes)
 	{
@@ -54,7 +54,7 @@
 	}
 }
 
-void run_figures::clear()
+void run_statistics::clear()
 {
 	m_routes.clear();
 	m_answered = 0;
--- a/src/rollout/run_figures.h
+++ b/src/rollout/run_statistics.h
@@ -1,6 +1,6 @@
 /// What a back end did with its requests, counted at the node beside it while a rollout runs.
-#ifndef DRIFTLUG_ROLLOUT_RUN_FIGURES_H_HEADER_GUARD
-#define DRIFTLUG_ROLLOUT_RUN_FIGURES_H_HEADER_GUARD
+#ifndef DRIFTLUG_ROLLOUT_RUN_STATISTICS_H_HEADER_GUARD
+#define DRIFTLUG_ROLLOUT_RUN_STATISTICS_H_HEADER_GUARD
 
 #include <cstdint>
 #include <map>
@@ -17,14 +17,14 @@
 {
 /// Counts by route. They only grow, so a report that is lost, late or taken twice changes nothing: the newest one tells
 /// all. Run times are taken at the back end, without the wait for a slot or a link.
-class run_figures
+class run_statistics
 {
 public:
 	/// A back end has answered, or its run was cut off or timed out.
 	/// @param[in] _route Hash of the route's name.
 	/// @param[in] _failed Whether the back end, not the request, was at fault.
 	/// @param[in] _cold Whether the back end is slow from its start, so that its run time tells nothing.
-	void note(int64_t _route, bool _failed, base::Duration _run, bool _cold);
+	void record(int64_t _route, bool _failed, base::Duration _run, bool _cold);
 
 	/// Fills in the counts of a report.
 	void fill(wire::VersionReport* _report) const;
@@ -52,4 +52,4 @@
 
 }  // namespace driftlug::rollout
 
-#endif  // DRIFTLUG_ROLLOUT_RUN_FIGURES_H_HEADER_GUARD
+#endif  // DRIFTLUG_ROLLOUT_RUN_STATISTICS_H_HEADER_GUARD
--- a/src/rollout/run_time_buckets.h
+++ b/src/rollout/run_time_buckets.h
@@ -29,13 +29,13 @@
 }
 
 /// @returns The natural logarithm of a usual run time of a bucket, in milliseconds.
-inline double logMsOf(size_t _bucket)
+inline double logMidpointMs(size_t _bucket)
 {
 	return (static_cast<double>(_bucket) + 0.5) / kBucketsPerDoubling * std::log(2.0);
 }
 
 /// @returns The longest run time of a bucket.
-inline base::Duration longestOf(size_t _bucket)
+inline base::Duration upperBoundOf(size_t _bucket)
 {
 	const double ms = std::exp2(static_cast<double>(_bucket + 1) / kBucketsPerDoubling);
 	return std::chrono::duration_cast<base::Duration>(std::chrono::duration<double, std::milli>(ms));
--- a/src/rollout/version_test.h
+++ b/src/rollout/version_comparison.h
@@ -1,6 +1,6 @@
 /// Statistical tests between the endpoints of two versions.
-#ifndef DRIFTLUG_ROLLOUT_VERSION_TEST_H_HEADER_GUARD
-#define DRIFTLUG_ROLLOUT_VERSION_TEST_H_HEADER_GUARD
+#ifndef DRIFTLUG_ROLLOUT_VERSION_COMPARISON_H_HEADER_GUARD
+#define DRIFTLUG_ROLLOUT_VERSION_COMPARISON_H_HEADER_GUARD
 
 #include <cstddef>
 #include <optional>
@@ -14,30 +14,30 @@
 struct symptom
 {
 	const char* name = "";
-	bool failing = false;  //!< Answers that fail, or else that are slow.
-	double more = 0;       //!< Share of answers beyond the usual one.
+	bool failing = false;    //!< Answers that fail, or else that are slow.
+	double excessShare = 0;  //!< Share of answers beyond the usual one.
 };
 
 /// How sure a test is that a version is bad.
 struct test_result
 {
-	double strength = 0;  //!< Of what is needed: 1 and more is sure.
-	size_t tried = 0;     //!< Endpoints of the version with answers.
-	size_t leftOut = 0;   //!< Of these: as many as may be ill by themselves, the worst first.
+	double strength = 0;           //!< Of what is needed: 1 and more is sure.
+	size_t testedEndpoints = 0;    //!< Endpoints of the version with answers.
+	size_t excludedEndpoints = 0;  //!< Of these: as many as may be ill by themselves, the worst first.
 };
 
 /// What is usual among the endpoints of the standing version.
-struct usual_answers
+struct symptom_baseline
 {
-	double share = 0;     //!< Of the answers of well endpoints that show a symptom.
-	double illShare = 0;  //!< Of the endpoints that show it far more often than the others.
+	double share = 0;        //!< Of the answers of well endpoints that show a symptom.
+	double faultyShare = 0;  //!< Of the endpoints that show it far more often than the others.
 };
 
 /// @returns What is usual, with some unremarkable answers and endpoints assumed besides those seen.
-usual_answers usualOf(const symptom& _symptom, std::span<const run_sample> _standing);
+symptom_baseline symptomBaselineOf(const symptom& _symptom, std::span<const run_sample> _standing);
 
 /// @returns How many of some endpoints may be ill by themselves, by chance, where a share of endpoints is.
-size_t illByChance(size_t _endpoints, double _illShare);
+size_t faultyByChance(size_t _endpoints, double _faultyShare);
 
 /// Tests for a symptom.
 ///
@@ -46,15 +46,15 @@
 /// without them: one ill endpoint never makes a version bad, and a bad version is told from few answers each of many.
 /// @param[in] _target Answers of the endpoints of the version on trial, on one route in one span of time.
 /// @param[in] _known Endpoints of the version on trial that there are.
-test_result testSymptom(const symptom& _symptom, const usual_answers& _usual, std::span<const run_sample> _target,
-						size_t _known);
+test_result testSymptom(const symptom& _symptom, const symptom_baseline& _baseline, std::span<const run_sample> _target,
+						size_t _knownEndpoints);
 
 /// @returns The mean logarithm of run times from which on an endpoint of the standing version is held to be ill, and
 /// tells nothing of its version; infinite while too little was seen.
-double farSlowerFrom(std::span<const run_sample> _standing);
+double slowOutlierThreshold(std::span<const run_sample> _standing);
 
 /// @returns The mean logarithm of an endpoint's run times; nothing where too few were seen.
-std::optional<double> meanLogOf(const run_sample& _sample);
+std::optional<double> meanLogRunTime(const run_sample& _sample);
 
 /// Tests whether the endpoints of the version on trial take longer, by their mean logarithms of run times, than those
 /// of the standing version, seen how far these are apart among themselves: machines differ in speed. Those that are ill
@@ -64,4 +64,4 @@
 
 }  // namespace driftlug::rollout
 
-#endif  // DRIFTLUG_ROLLOUT_VERSION_TEST_H_HEADER_GUARD
+#endif  // DRIFTLUG_ROLLOUT_VERSION_COMPARISON_H_HEADER_GUARD
--- a/src/rollout/version_evidence.cc
+++ b/src/rollout/version_evidence.cc
@@ -5,21 +5,21 @@
 #include <algorithm>
 #include <cmath>
 
-#include "rollout/version_test.h"
+#include "rollout/version_comparison.h"
 
 namespace driftlug::rollout
 {
 namespace
 {
-constexpr base::Duration kAll = base::Duration::max();
+constexpr base::Duration kAllTime = base::Duration::max();
 /// Spans over which answers are looked at: short ones notice what has just begun, long ones what is rare.
-constexpr base::Duration kSpans[] = {base::seconds(1), base::seconds(2), base::seconds(4), kAll};
+constexpr base::Duration kSpans[] = {base::seconds(1), base::seconds(2), base::seconds(4), kAllTime};
 /// Added to the share of failed answers that counts as usual where the standing version gets no requests any more:
 /// what befalls both, as the failure of a service behind them, shows in one only then.
-constexpr double kAloneMargin = 0.10;
+constexpr double kNoComparisonMargin = 0.10;
 /// Share of what is needed from which on a version gets no more requests than it has.
-constexpr double kDoubtful = 0.6;
-constexpr base::Duration kWorkedOutEach = base::milliseconds(500);
+constexpr double kSuspectStrength = 0.6;
+constexpr base::Duration kThresholdRefreshInterval = base::milliseconds(500);
 /// Over which the rate of answers is taken.
 constexpr base::Duration kRateSpan = base::seconds(4);
 
@@ -53,14 +53,14 @@
 {
 	auto& endpoint = m_endpoints[_report.endpoint];
 	const bool first = 0 == endpoint.report.sequence;
-	const bool sameLife = endpoint.report.life == _report.life;
-	if (!first && sameLife && _report.sequence <= endpoint.report.sequence)
+	const bool sameIncarnation = endpoint.report.incarnation == _report.life;
+	if (!first && sameIncarnation && _report.sequence <= endpoint.report.sequence)
 	{
 		return;
 	}
 	for (auto& [route, state] : endpoint.routes)
 	{
-		if (!sameLife)
+		if (!sameIncarnation)
 		{
 			state.last = {};
 		}
@@ -74,12 +74,12 @@
 	}
 	for (const auto& figures : _report.routes)
 	{
-		takeRoute(figures, _policy, first, &endpoint);
+		recordRoute(figures, _policy, first, &endpoint);
 	}
 }
 
-void version_evidence::takeRoute(const wire::RouteFigures& _figures, const version_policy& _policy, bool _first,
-								 endpoint* _endpoint)
+void version_evidence::recordRoute(const wire::RouteFigures& _figures, const version_policy& _policy, bool _first,
+								   endpoint* _endpoint)
 {
 	auto& state = _endpoint->routes[_figures.route];
 	route_counts now;
@@ -88,54 +88,54 @@
 	addTo(_figures.runs, static_cast<size_t>(std::max(0, _figures.firstBucket)), &now.runs);
 	const auto before = now.answered < state.last.answered ? route_counts{} : state.last;
 	state.last = now;
-	route_counts news;
-	news.answered = now.answered - before.answered;
-	news.failed = std::clamp<int64_t>(now.failed - before.failed, 0, news.answered);
+	route_counts delta;
+	delta.answered = now.answered - before.answered;
+	delta.failed = std::clamp<int64_t>(now.failed - before.failed, 0, delta.answered);
 	for (size_t i = 0; i < kRunTimeBuckets; ++i)
 	{
-		news.runs[i] = std::max<int64_t>(0, now.runs[i] - before.runs[i]);
+		delta.runs[i] = std::max<int64_t>(0, now.runs[i] - before.runs[i]);
 	}
 	// Of what was counted before the endpoint was first looked at nobody knows when it happened.
-	if (_first || 0 == news.answered)
+	if (_first || 0 == delta.answered)
 	{
 		return;
 	}
 
-	state.history.add(sampleOf(_figures.route, news), m_time.now());
+	state.history.add(sampleOf(_figures.route, delta), m_time.now());
 	const bool standing = _endpoint->report.version == _policy.standing;
-	if (standing && !isFarSlower(_figures.route, state.history, _policy))
+	if (standing && !isSlowOutlier(_figures.route, state.history, _policy))
 	{
-		m_baselines[_figures.route].add(news.answered, news.failed, news.runs);
-		m_allRoutes.add(news.answered, news.failed, news.runs);
+		m_baselines[_figures.route].add(delta.answered, delta.failed, delta.runs);
+		m_allRoutes.add(delta.answered, delta.failed, delta.runs);
 	}
 }
 
 /// With the answers of endpoints that are ill, several times slower would be usual.
-bool version_evidence::isFarSlower(int64_t _route, const answer_history& _history, const version_policy& _policy)
+bool version_evidence::isSlowOutlier(int64_t _route, const answer_history& _history, const version_policy& _policy)
 {
 	// It takes a pass over all endpoints, and changes slowly.
-	const auto [known, first] = m_farSlower.try_emplace(_route);
-	if (first || m_time.now() - known->second.at >= kWorkedOutEach)
+	const auto [known, first] = m_slowOutlierThresholds.try_emplace(_route);
+	if (first || m_time.now() - known->second.at >= kThresholdRefreshInterval)
 	{
-		known->second = {farSlowerFrom(samplesOf(_policy.standing, &_route, kRateSpan)), m_time.now()};
+		known->second = {slowOutlierThreshold(samplesOf(_policy.standing, &_route, kRateSpan)), m_time.now()};
 	}
-	const auto own = meanLogOf(_history.since(m_time.now() - kRateSpan));
+	const auto own = meanLogRunTime(_history.since(m_time.now() - kRateSpan));
 	return own && *own >= known->second.from;
 }
 
-run_sample version_evidence::sampleOf(int64_t _route, const route_counts& _news) const
+run_sample version_evidence::sampleOf(int64_t _route, const route_counts& _delta) const
 {
 	run_sample sample;
-	sample.answered = _news.answered;
-	sample.failed = _news.failed;
-	sample.timed = sumFrom(_news.runs, 0);
+	sample.answered = _delta.answered;
+	sample.failed = _delta.failed;
+	sample.timed = sumFrom(_delta.runs, 0);
 	for (size_t i = 0; i < kRunTimeBuckets; ++i)
 	{
-		sample.logSumMs += static_cast<double>(_news.runs[i]) * logMsOf(i);
+		sample.logSumMs += static_cast<double>(_delta.runs[i]) * logMidpointMs(i);
 	}
 	const auto baseline = m_baselines.find(_route);
-	const bool known = baseline != m_baselines.end() && baseline->second.knowsRunTimes();
-	sample.slow = known ? sumFrom(_news.runs, baseline->second.slowFrom()) : 0;
+	const bool known = baseline != m_baselines.end() && baseline->second.hasRunTimes();
+	sample.slow = known ? sumFrom(_delta.runs, baseline->second.firstSlowBucket()) : 0;
 	return sample;
 }
 
@@ -155,7 +155,7 @@
 		{
 			if (nullptr == _route || route == *_route)
 			{
-				sum += kAll == _span ? state.history.all() : state.history.since(m_time.now() - _span);
+				sum += kAllTime == _span ? state.history.all() : state.history.since(m_time.now() - _span);
 			}
 		}
 		samples.push_back(sum);
@@ -163,8 +163,8 @@
 	return samples;
 }
 
-void version_evidence::judgeRoute(const int64_t* _route, base::Duration _span, const version_policy& _policy,
-								  version_verdict* _verdict) const
+void version_evidence::evaluateRoute(const int64_t* _route, base::Duration _span, const version_policy& _policy,
+									 version_verdict* _verdict) const
 {
 	const auto target = samplesOf(_policy.target, _route, _span);
 	if (target.empty())
@@ -172,10 +172,10 @@
 		return;
 	}
 	const auto standing = samplesOf(_policy.standing, _route, _span);
-	const auto known = reportsOf(_policy.target, kAll).size();
-	const auto take = [&](const test_result& _result, const char* _name)
+	const auto known = reportsOf(_policy.target, kAllTime).size();
+	const auto keepStrongest = [&](const test_result& _result, const char* _name)
 	{
-		_verdict->tried = std::max(_verdict->tried, _result.tried);
+		_verdict->testedEndpoints = std::max(_verdict->testedEndpoints, _result.testedEndpoints);
 		if (_verdict->strength >= _result.strength)
 		{
 			return;
@@ -184,13 +184,14 @@
 		const auto route =
 			nullptr == _route ? "on all routes" : absl::StrFormat("on route %016x", static_cast<uint64_t>(*_route));
 		const auto span =
-			kAll == _span ? "all answers" : absl::StrFormat("the last %d ms", _span / base::milliseconds(1));
-		_verdict->reason = absl::StrFormat("%s %s: strength %.2f over %d endpoints without the worst %d, of %s", _name,
-										   route, _result.strength, _result.tried, _result.leftOut, span);
+			kAllTime == _span ? "all answers" : absl::StrFormat("the last %d ms", _span / base::milliseconds(1));
+		_verdict->reason =
+			absl::StrFormat("%s %s: strength %.2f over %d endpoints without the worst %d, of %s", _name, route,
+							_result.strength, _result.testedEndpoints, _result.excludedEndpoints, span);
 	};
 	for (const auto& symptom : kSymptoms)
 	{
-		auto usual = usualOf(symptom, standing);
+		auto symptomBaseline = symptomBaselineOf(symptom, standing);
 		if (_policy.retiring)
 		{
 			// Run times are those of another load now, and nothing is left to compare them with.
@@ -199,35 +200,35 @@
 				continue;
 			}
 			const auto& baseline = nullptr == _route ? m_allRoutes : m_baselines.at(*_route);
-			usual.share = std::max(usual.share, baseline.failedShare()) + kAloneMargin;
+			symptomBaseline.share = std::max(symptomBaseline.share, baseline.failedShare()) + kNoComparisonMargin;
 		}
-		take(testSymptom(symptom, usual, target, known), symptom.name);
+		keepStrongest(testSymptom(symptom, symptomBaseline, target, known), symptom.name);
 	}
 	// How run times of different routes mix says nothing.
 	if (!_policy.retiring && nullptr != _route)
 	{
-		take(testRunTimes(target, standing), "takes longer");
+		keepStrongest(testRunTimes(target, standing), "takes longer");
 	}
 }
 
-version_verdict version_evidence::judge(const version_policy& _policy) const
+version_verdict version_evidence::evaluate(const version_policy& _policy) const
 {
 	version_verdict verdict;
 	for (const auto span : kSpans)
 	{
-		judgeRoute(nullptr, span, _policy, &verdict);
+		evaluateRoute(nullptr, span, _policy, &verdict);
 		for (const auto& [route, baseline] : m_baselines)
 		{
-			judgeRoute(&route, span, _policy, &verdict);
+			evaluateRoute(&route, span, _policy, &verdict);
 		}
 	}
 	if (1 <= verdict.strength)
 	{
-		verdict.standing = standing_of_version::bad;
+		verdict.health = version_health::unhealthy;
 	}
-	else if (kDoubtful <= verdict.strength)
+	else if (kSuspectStrength <= verdict.strength)
 	{
-		verdict.standing = standing_of_version::doubtful;
+		verdict.health = version_health::suspect;
 	}
 	return verdict;
 }
@@ -237,7 +238,7 @@
 	m_endpoints.clear();
 	m_baselines.clear();
 	m_allRoutes = {};
-	m_farSlower.clear();
+	m_slowOutlierThresholds.clear();
 }
 
 std::map<std::string, endpoint_report> version_evidence::reportsOf(std::string_view _version,
@@ -254,12 +255,12 @@
 	return reports;
 }
 
-base::Duration version_evidence::longRun() const
+base::Duration version_evidence::p99RunTime() const
 {
 	base::Duration longest{0};
 	for (const auto& [route, baseline] : m_baselines)
 	{
-		longest = std::max(longest, baseline.longRun());
+		longest = std::max(longest, baseline.p99RunTime());
 	}
 	return longest;
 }
--- a/src/rollout/version_evidence.h
+++ b/src/rollout/version_evidence.h
@@ -16,20 +16,20 @@
 namespace driftlug::rollout
 {
 /// How a version on trial looks.
-enum class standing_of_version
+enum class version_health
 {
-	clear,
-	doubtful,  //!< Something speaks against it, but not enough to be sure.
-	bad,
+	healthy,
+	suspect,  //!< Something speaks against it, but not enough to be sure.
+	unhealthy,
 };
 
 /// What is known of a version on trial.
 struct version_verdict
 {
-	standing_of_version standing = standing_of_version::clear;
-	double strength = 0;  //!< Of what speaks against it, of what is needed.
-	size_t tried = 0;     //!< Endpoints of the version with answers.
-	std::string reason;   //!< What speaks against it most, for logs and operators; may be empty.
+	version_health health = version_health::healthy;
+	double strength = 0;         //!< Of what speaks against it, of what is needed.
+	size_t testedEndpoints = 0;  //!< Endpoints of the version with answers.
+	std::string reason;          //!< What speaks against it most, for logs and operators; may be empty.
 };
 
 /// An endpoint as its newest report tells.
@@ -37,9 +37,9 @@
 {
 	std::string version;
 	base::TimePoint at{};
-	int64_t life = 0;      //!< Of its node.
-	int64_t sequence = 0;  //!< Within the life.
-	int64_t revision = 0;  //!< Of the table in force there.
+	int64_t incarnation = 0;  //!< Of its node.
+	int64_t sequence = 0;     //!< Within the life.
+	int64_t revision = 0;     //!< Of the table in force there.
 	int active = 0;
 	int slots = 0;
 };
@@ -66,7 +66,7 @@
 	void onReport(const wire::VersionReport& _report, const version_policy& _policy);
 
 	/// @returns How the version on trial looks now.
-	version_verdict judge(const version_policy& _policy) const;
+	version_verdict evaluate(const version_policy& _policy) const;
 
 	/// Forgets everything, as a controller does that begins to lead.
 	void clear();
@@ -76,7 +76,7 @@
 
 	/// @returns A run time that one answer in a hundred of the standing version takes longer than, of its slowest
 	/// route.
-	base::Duration longRun() const;
+	base::Duration p99RunTime() const;
 
 	/// @returns Answers a second of both versions, over the last seconds.
 	double answersPerSecond() const;
@@ -102,24 +102,25 @@
 	};
 
 	/// From which mean on an endpoint of the standing version is ill, as it was when it was last worked out.
-	struct far_slower
+	struct slow_outlier_threshold
 	{
 		double from = 0;
 		base::TimePoint at{};
 	};
 
-	void takeRoute(const wire::RouteFigures& _figures, const version_policy& _policy, bool _first, endpoint* _endpoint);
-	run_sample sampleOf(int64_t _route, const route_counts& _news) const;
-	bool isFarSlower(int64_t _route, const answer_history& _history, const version_policy& _policy);
+	void recordRoute(const wire::RouteFigures& _figures, const version_policy& _policy, bool _first,
+					 endpoint* _endpoint);
+	run_sample sampleOf(int64_t _route, const route_counts& _delta) const;
+	bool isSlowOutlier(int64_t _route, const answer_history& _history, const version_policy& _policy);
 	std::vector<run_sample> samplesOf(std::string_view _version, const int64_t* _route, base::Duration _span) const;
-	void judgeRoute(const int64_t* _route, base::Duration _span, const version_policy& _policy,
-					version_verdict* _verdict) const;
+	void evaluateRoute(const int64_t* _route, base::Duration _span, const version_policy& _policy,
+					   version_verdict* _verdict) const;
 
 	const base::TimeSource& m_time;
 	std::map<std::string, endpoint> m_endpoints;
 	std::map<int64_t, route_baseline> m_baselines;
 	route_baseline m_allRoutes;
-	std::map<int64_t, far_slower> m_farSlower;
+	std::map<int64_t, slow_outlier_threshold> m_slowOutlierThresholds;
 };
 
 }  // namespace driftlug::rollout
--- a/src/rollout/version_policy.cc
+++ b/src/rollout/version_policy.cc
@@ -2,7 +2,7 @@
 
 namespace driftlug::rollout
 {
-bool version_policy::takes(std::string_view _version) const
+bool version_policy::acceptsRequests(std::string_view _version) const
 {
 	if (_version.empty())
 	{
@@ -17,9 +17,9 @@
 	return running && _version == target && 0 < targetPermille;
 }
 
-bool version_policy::covers(std::string_view _version) const
+bool version_policy::mayGetRequests(std::string_view _version) const
 {
-	return takes(_version) || _version == standing || (running && _version == target);
+	return acceptsRequests(_version) || _version == standing || (running && _version == target);
 }
 
 version_policy policyOf(const wire::RolloutRow& _row)
--- a/src/rollout/version_policy.h
+++ b/src/rollout/version_policy.h
@@ -29,10 +29,10 @@
 
 	/// @param[in] _version Of a back end; empty while its node has not heard it.
 	/// @returns Whether back ends of a version may get requests.
-	bool takes(std::string_view _version) const;
+	bool acceptsRequests(std::string_view _version) const;
 
 	/// @returns Whether back ends of a version may soon get requests, so that links to them are worth having.
-	bool covers(std::string_view _version) const;
+	bool mayGetRequests(std::string_view _version) const;
 
 	bool operator==(const version_policy&) const = default;
 };
--- a/test/apps/quarantine_page_test.cc
+++ b/test/apps/quarantine_page_test.cc
@@ -15,7 +15,7 @@
   Fixture() : process(queue, "node", {"zone", "region"}, {"10.0.0.1", 1}) {
     process.start();
     known = std::make_unique<quarantine::request_quarantine>(process);
-    known->onNews([this](const auto& reports) { news.insert(news.end(), reports.begin(), reports.end()); });
+    known->onOutgoingReports([this](const auto& reports) { news.insert(news.end(), reports.begin(), reports.end()); });
   }
 
   transport::HttpResponse ask(const std::string& method, const std::string& path) {
--- a/test/fuzz/binary_decoders_test.cc
+++ b/test/fuzz/binary_decoders_test.cc
@@ -425,9 +425,9 @@
 		time.advance(base::milliseconds(50));
 		rollout::rollout_situation situation;
 		situation.elapsed = base::seconds(2);
-		situation.ledFor = base::seconds(5);
-		situation.verdict = evidence.judge(policy);
-		situation.longRun = evidence.longRun();
+		situation.leadershipAge = base::seconds(5);
+		situation.verdict = evidence.evaluate(policy);
+		situation.p99RunTime = evidence.p99RunTime();
 		situation.answersPerSecond = evidence.answersPerSecond();
 		situation.target.count = evidence.reportsOf(row.target, base::seconds(2)).size();
 		if (const auto next = driver.next(row, situation))
@@ -436,7 +436,7 @@
 			CHECK(1000 >= next->targetPermille);
 		}
 		CHECK(std::isfinite(situation.answersPerSecond));
-		CHECK(base::Duration(0) <= situation.longRun);
+		CHECK(base::Duration(0) <= situation.p99RunTime);
 		if (0 == i % 500)
 		{
 			evidence.clear();
--- a/test/quarantine/crash_history_test.cc
+++ b/test/quarantine/crash_history_test.cc
@@ -16,7 +16,7 @@
 	return {_number, 77};
 }
 
-const auto kGuilty = numbered(1);
+const auto kCrashing = numbered(1);
 const auto kOther = numbered(2);
 const auto kThird = numbered(3);
 
@@ -35,8 +35,8 @@
 
 TEST_CASE_METHOD(fixture, "all that was at work on a back end that crashed is suspect, and nothing else")
 {
-	history.addCrash(10, kService, "i-1", std::vector<crashed_run>{{kGuilty}, {kOther}});
-	CHECK(standing::suspect == of(kGuilty));
+	history.addCrash(10, kService, "i-1", std::vector<crashed_run>{{kCrashing}, {kOther}});
+	CHECK(standing::suspect == of(kCrashing));
 	CHECK(standing::suspect == of(kOther));
 	CHECK(standing::clear == of(kThird));
 }
@@ -45,18 +45,18 @@
 {
 	for (uint64_t id = 10; id < 20; ++id)
 	{
-		history.addCrash(id, kService, "i-1", std::vector<crashed_run>{{kGuilty}, {kOther}});
+		history.addCrash(id, kService, "i-1", std::vector<crashed_run>{{kCrashing}, {kOther}});
 	}
-	CHECK(standing::suspect == of(kGuilty));
-	history.addCrash(20, kService, "i-2", std::vector<crashed_run>{{kGuilty, true}, {kThird}});
-	CHECK(standing::held == of(kGuilty));
-	CHECK(history.untilProbe(kGuilty) == std::chrono::minutes(5));
+	CHECK(standing::suspect == of(kCrashing));
+	history.addCrash(20, kService, "i-2", std::vector<crashed_run>{{kCrashing, true}, {kThird}});
+	CHECK(standing::held == of(kCrashing));
+	CHECK(history.untilProbe(kCrashing) == std::chrono::minutes(5));
 }
 
 TEST_CASE_METHOD(fixture, "a held request accounts for its crashes")
 {
-	history.addCrash(10, kService, "i-1", std::vector<crashed_run>{{kGuilty}, {kOther}});
-	history.addCrash(11, kService, "i-2", std::vector<crashed_run>{{kGuilty, true}, {kThird}});
+	history.addCrash(10, kService, "i-1", std::vector<crashed_run>{{kCrashing}, {kOther}});
+	history.addCrash(11, kService, "i-2", std::vector<crashed_run>{{kCrashing, true}, {kThird}});
 	CHECK(standing::clear == of(kOther));
 	CHECK(standing::clear == of(kThird));
 	CHECK(1 == history.known().size());
@@ -64,20 +64,20 @@
 
 TEST_CASE_METHOD(fixture, "one that was held beside a guilty one that nobody knew is released once that one is held")
 {
-	history.addCrash(10, kService, "i-1", std::vector<crashed_run>{{kGuilty}, {kOther}});
-	history.addCrash(11, kService, "i-2", std::vector<crashed_run>{{kGuilty}, {kOther, true}});
+	history.addCrash(10, kService, "i-1", std::vector<crashed_run>{{kCrashing}, {kOther}});
+	history.addCrash(11, kService, "i-2", std::vector<crashed_run>{{kCrashing}, {kOther, true}});
 	CHECK(standing::held == of(kOther));
-	history.addCrash(12, kService, "i-3", std::vector<crashed_run>{{kGuilty, true}});
-	CHECK(standing::held == of(kGuilty));
+	history.addCrash(12, kService, "i-3", std::vector<crashed_run>{{kCrashing, true}});
+	CHECK(standing::held == of(kCrashing));
 	CHECK(standing::clear == of(kOther));
 }
 
 TEST_CASE_METHOD(fixture, "a run that went well clears a suspect, and later crashes count anew")
 {
-	history.addCrash(10, kService, "i-1", std::vector<crashed_run>{{kGuilty}, {kOther}});
+	history.addCrash(10, kService, "i-1", std::vector<crashed_run>{{kCrashing}, {kOther}});
 	CHECK(1 == history.clear(kOther).size());
 	CHECK(standing::clear == of(kOther));
-	CHECK(standing::suspect == of(kGuilty));
+	CHECK(standing::suspect == of(kCrashing));
 	CHECK(history.clear(kOther).empty());
 	history.addCrash(11, kService, "i-2", std::vector<crashed_run>{{kOther}});
 	CHECK(standing::suspect == of(kOther));
@@ -86,28 +86,28 @@
 TEST_CASE_METHOD(fixture, "reports may come in any order and twice")
 {
 	crash_history origin(time);
-	auto crash = origin.addCrash(10, kService, "i-1", std::vector<crashed_run>{{kGuilty}, {kOther}});
+	auto crash = origin.addCrash(10, kService, "i-1", std::vector<crashed_run>{{kCrashing}, {kOther}});
 	const auto cleared = origin.clear(kOther);
 	history.merge(cleared);
 	CHECK(standing::clear == of(kOther));
 	CHECK(1 == history.merge(crash).size());
 	CHECK(standing::clear == of(kOther));
-	CHECK(standing::suspect == of(kGuilty));
+	CHECK(standing::suspect == of(kCrashing));
 	CHECK(history.merge(crash).empty());
 	CHECK(history.merge(cleared).empty());
 }
 
 TEST_CASE_METHOD(fixture, "a report that learns of probation later is news")
 {
-	history.addCrash(10, kService, "i-1", std::vector<crashed_run>{{kGuilty}});
-	CHECK(1 == history.addCrash(10, kService, "i-1", std::vector<crashed_run>{{kGuilty, true}}).size());
-	CHECK(standing::held == of(kGuilty));
+	history.addCrash(10, kService, "i-1", std::vector<crashed_run>{{kCrashing}});
+	CHECK(1 == history.addCrash(10, kService, "i-1", std::vector<crashed_run>{{kCrashing, true}}).size());
+	CHECK(standing::held == of(kCrashing));
 }
 
 TEST_CASE_METHOD(fixture, "what one knows brings another to the same judgement")
 {
-	history.addCrash(10, kService, "i-1", std::vector<crashed_run>{{kGuilty}, {kOther}, {kThird}});
-	history.addCrash(11, kService, "i-2", std::vector<crashed_run>{{kGuilty, true}});
+	history.addCrash(10, kService, "i-1", std::vector<crashed_run>{{kCrashing}, {kOther}, {kThird}});
+	history.addCrash(11, kService, "i-2", std::vector<crashed_run>{{kCrashing, true}});
 	history.addCrash(12, "orders", "i-3", std::vector<crashed_run>{{kThird}});
 	time.advance(base::seconds(30));
 	crash_history restarted(time);
@@ -116,63 +116,63 @@
 		{
 			return kService == _service;
 		}));
-	CHECK(standing::held == restarted.standingOf(kGuilty, kService));
+	CHECK(standing::held == restarted.standingOf(kCrashing, kService));
 	CHECK(standing::clear == restarted.standingOf(kOther, kService));
 	CHECK(standing::clear == restarted.standingOf(kThird, kService));
-	CHECK(history.untilProbe(kGuilty) == restarted.untilProbe(kGuilty));
+	CHECK(history.untilProbe(kCrashing) == restarted.untilProbe(kCrashing));
 }
 
 TEST_CASE_METHOD(fixture, "a request that one service can't run is on probation at another")
 {
-	history.addCrash(10, kService, "i-1", std::vector<crashed_run>{{kGuilty}});
-	history.addCrash(11, kService, "i-2", std::vector<crashed_run>{{kGuilty, true}});
-	CHECK(standing::held == of(kGuilty));
-	CHECK(standing::suspect == history.standingOf(kGuilty, "other"));
+	history.addCrash(10, kService, "i-1", std::vector<crashed_run>{{kCrashing}});
+	history.addCrash(11, kService, "i-2", std::vector<crashed_run>{{kCrashing, true}});
+	CHECK(standing::held == of(kCrashing));
+	CHECK(standing::suspect == history.standingOf(kCrashing, "other"));
 }
 
 TEST_CASE_METHOD(fixture, "a held request is probed ever more rarely, and is back after a run that went well")
 {
-	history.addCrash(10, kService, "i-1", std::vector<crashed_run>{{kGuilty}});
-	history.addCrash(11, kService, "i-2", std::vector<crashed_run>{{kGuilty, true}});
+	history.addCrash(10, kService, "i-1", std::vector<crashed_run>{{kCrashing}});
+	history.addCrash(11, kService, "i-2", std::vector<crashed_run>{{kCrashing, true}});
 	time.advance(std::chrono::minutes(5) - base::seconds(1));
-	CHECK(standing::held == of(kGuilty));
+	CHECK(standing::held == of(kCrashing));
 	time.advance(base::seconds(1));
-	CHECK(standing::suspect == of(kGuilty));
-	history.addCrash(12, kService, "i-3", std::vector<crashed_run>{{kGuilty, true}});
-	CHECK(standing::held == of(kGuilty));
-	CHECK(history.untilProbe(kGuilty) == std::chrono::hours(1));
+	CHECK(standing::suspect == of(kCrashing));
+	history.addCrash(12, kService, "i-3", std::vector<crashed_run>{{kCrashing, true}});
+	CHECK(standing::held == of(kCrashing));
+	CHECK(history.untilProbe(kCrashing) == std::chrono::hours(1));
 	time.advance(std::chrono::hours(1));
-	CHECK(standing::suspect == of(kGuilty));
-	history.clear(kGuilty);
-	CHECK(standing::clear == of(kGuilty));
+	CHECK(standing::suspect == of(kCrashing));
+	history.clear(kCrashing);
+	CHECK(standing::clear == of(kCrashing));
 	CHECK(history.empty());
 }
 
 TEST_CASE_METHOD(fixture, "probes end four back ends within a week, and six in a hundred days")
 {
-	history.addCrash(10, kService, "i-1", std::vector<crashed_run>{{kGuilty}});
-	history.addCrash(11, kService, "i-2", std::vector<crashed_run>{{kGuilty, true}});
+	history.addCrash(10, kService, "i-1", std::vector<crashed_run>{{kCrashing}});
+	history.addCrash(11, kService, "i-2", std::vector<crashed_run>{{kCrashing, true}});
 	size_t probes = 0;
-	size_t probesOfAWeek = 0;
+	size_t probesInAWeek = 0;
 	for (int minutes = 0; minutes < 100 * 24 * 60; ++minutes)
 	{
 		time.advance(std::chrono::minutes(1));
-		if (standing::suspect == of(kGuilty))
+		if (standing::suspect == of(kCrashing))
 		{
-			history.addCrash(12 + probes, kService, "i-3", std::vector<crashed_run>{{kGuilty, true}});
+			history.addCrash(12 + probes, kService, "i-3", std::vector<crashed_run>{{kCrashing, true}});
 			++probes;
 		}
-		probesOfAWeek = 7 * 24 * 60 > minutes ? probes : probesOfAWeek;
+		probesInAWeek = 7 * 24 * 60 > minutes ? probes : probesInAWeek;
 	}
-	CHECK(4 == probesOfAWeek);
+	CHECK(4 == probesInAWeek);
 	CHECK(5 == probes);
 }
 
 TEST_CASE_METHOD(fixture, "single marks are forgotten after a day, held requests are not")
 {
 	history.addCrash(10, kService, "i-1", std::vector<crashed_run>{{kOther}});
-	history.addCrash(11, kService, "i-1", std::vector<crashed_run>{{kGuilty}});
-	history.addCrash(12, kService, "i-2", std::vector<crashed_run>{{kGuilty, true}});
+	history.addCrash(11, kService, "i-1", std::vector<crashed_run>{{kCrashing}});
+	history.addCrash(12, kService, "i-2", std::vector<crashed_run>{{kCrashing, true}});
 	time.advance(std::chrono::hours(25));
 	history.addCrash(13, kService, "i-2", std::vector<crashed_run>{{kThird}});
 	CHECK(standing::clear == of(kOther));
@@ -181,7 +181,7 @@
 
 TEST_CASE_METHOD(fixture, "a held request takes the room of its own marks only, after a minute")
 {
-	std::vector<crashed_run> runs{{kGuilty}};
+	std::vector<crashed_run> runs{{kCrashing}};
 	for (uint64_t i = 0; i < 8; ++i)
 	{
 		runs.push_back({numbered(100 + i)});
@@ -196,16 +196,16 @@
 	time.advance(base::seconds(61));
 	history.addCrash(12, kService, "i-3", std::vector<crashed_run>{{kThird}});
 	CHECK(3 == history.marks());
-	CHECK(standing::held == of(kGuilty));
+	CHECK(standing::held == of(kCrashing));
 }
 
 TEST_CASE_METHOD(fixture, "memory is bounded however many requests crash back ends, and the guilty are kept longest")
 {
 	crash_history_options options;
-	options.mostMarks = 100;
+	options.maxMarks = 100;
 	crash_history bounded(time, options);
-	bounded.addCrash(1, kService, "i-1", std::vector<crashed_run>{{kGuilty}});
-	bounded.addCrash(2, kService, "i-1", std::vector<crashed_run>{{kGuilty, true}});
+	bounded.addCrash(1, kService, "i-1", std::vector<crashed_run>{{kCrashing}});
+	bounded.addCrash(2, kService, "i-1", std::vector<crashed_run>{{kCrashing, true}});
 	for (uint64_t i = 0; i < 1000; ++i)
 	{
 		time.advance(base::milliseconds(1));
@@ -213,25 +213,25 @@
 						 std::vector<crashed_run>{{numbered(100 + 2 * i)}, {numbered(101 + 2 * i)}});
 	}
 	CHECK(100 >= bounded.marks());
-	CHECK(standing::held == bounded.standingOf(kGuilty, kService));
+	CHECK(standing::held == bounded.standingOf(kCrashing, kService));
 	CHECK(standing::suspect == bounded.standingOf(numbered(100 + 2 * 999), kService));
 	CHECK(standing::clear == bounded.standingOf(numbered(100), kService));
 }
 
 TEST_CASE_METHOD(fixture, "a request that was released stays so when one that was cut off tells of its crashes")
 {
-	crash_history cutOff(time);
-	cutOff.merge(history.addCrash(10, kService, "i-1", std::vector<crashed_run>{{kGuilty}}));
-	cutOff.merge(history.addCrash(11, kService, "i-2", std::vector<crashed_run>{{kGuilty, true}}));
-	history.clear(kGuilty);
+	crash_history disconnected(time);
+	disconnected.merge(history.addCrash(10, kService, "i-1", std::vector<crashed_run>{{kCrashing}}));
+	disconnected.merge(history.addCrash(11, kService, "i-2", std::vector<crashed_run>{{kCrashing, true}}));
+	history.clear(kCrashing);
 	time.advance(std::chrono::hours(1));
 	history.addCrash(12, kService, "i-2", std::vector<crashed_run>{{kThird}});
-	history.merge(cutOff.all(
+	history.merge(disconnected.all(
 		[](const std::string&)
 		{
 			return true;
 		}));
-	CHECK(standing::held != of(kGuilty));
+	CHECK(standing::held != of(kCrashing));
 }
 
 TEST_CASE("a fingerprint survives its way over the network and over pages")
--- a/test/rollout/rollout_cost_test.cc
+++ b/test/rollout/rollout_cost_test.cc
@@ -42,7 +42,7 @@
 	rollout_fleet fleet(1);
 	const auto reports = kindOf(wire::VersionReports());
 	const auto slices = kindOf(wire::SliceUpdate());
-	fleet.callAllTheTime(kPerSecond, kOrderAt + kFinishBy);
+	fleet.generateLoad(kPerSecond, kOrderAt + kFinishBy);
 	fleet.runUntil(kOrderAt);
 	CHECK(0 == costOf(fleet.traffic(), reports).frames);
 
@@ -50,7 +50,7 @@
 	fleet.startVersion(kNewVersion);
 	const auto slicesBefore = costOf(fleet.traffic(), slices);
 	const auto begun = fleet.now();
-	REQUIRE(wire::RolloutState::COMPLETED == fleet.untilDecided(kOrderAt + kFinishBy));
+	REQUIRE(wire::RolloutState::COMPLETED == fleet.runUntilDecided(kOrderAt + kFinishBy));
 	const double took = std::chrono::duration<double>(fleet.now() - begun).count();
 	const auto reported = costOf(fleet.traffic(), reports);
 	const auto sliced = costOf(fleet.traffic(), slices);
--- a/test/rollout/rollout_driver_test.cc
+++ b/test/rollout/rollout_driver_test.cc
@@ -16,7 +16,7 @@
 		standing.standing = "v1";
 		standing.state = wire::RolloutState::STANDING;
 		row = rollout_driver::begin(standing, "v2", kFinishBy);
-		situation.ledFor = base::seconds(60);
+		situation.leadershipAge = base::seconds(60);
 		situation.answersPerSecond = 400;
 		situation.target = {20, 120, 0};
 		situation.standing = {20, 120, 80};
@@ -24,7 +24,7 @@
 	}
 
 	/// Goes on by some time; takes the step that is due, if any.
-	bool after(base::Duration _time)
+	bool advance(base::Duration _time)
 	{
 		situation.elapsed += _time;
 		situation.stepAge += _time;
@@ -39,18 +39,18 @@
 
 	/// Goes on until a state holds.
 	template <typename Predicate>
-	void until(Predicate _holds)
+	void runUntilTrue(Predicate _holds)
 	{
 		for (int i = 0; i < 200 && !_holds(); ++i)
 		{
-			after(base::milliseconds(100));
+			advance(base::milliseconds(100));
 		}
 		REQUIRE(_holds());
 	}
 
-	void untilRetiring()
+	void runUntilRetiring()
 	{
-		until(
+		runUntilTrue(
 			[&]
 			{
 				return row.retiring;
@@ -66,28 +66,28 @@
 
 TEST_CASE_METHOD(fixture, "a version that looks well gets a small share for long, then everything, and is completed")
 {
-	until(
+	runUntilTrue(
 		[&]
 		{
 			return row.targetPermille > 0;
 		});
 	CHECK(situation.elapsed < base::seconds(1));
-	until(
+	runUntilTrue(
 		[&]
 		{
 			return row.targetPermille > 100;
 		});
 	CHECK(situation.elapsed > base::seconds(9));
-	untilRetiring();
+	runUntilRetiring();
 	CHECK(row.targetPermille == kWholePermille);
 	CHECK(situation.elapsed < kFinishBy);
 
 	situation.standing.active = 1;
-	CHECK_FALSE(after(base::milliseconds(300)));
+	CHECK_FALSE(advance(base::milliseconds(300)));
 	situation.standing.active = 0;
 	situation.standingIdle = true;
-	situation.everywhere = true;
-	REQUIRE(after(base::milliseconds(100)));
+	situation.inForceEverywhere = true;
+	REQUIRE(advance(base::milliseconds(100)));
 	CHECK(row.state == wire::RolloutState::COMPLETED);
 	CHECK(row.standing == "v2");
 	CHECK_FALSE(row.retiring);
@@ -98,9 +98,9 @@
 	situation.target = {};
 	while (situation.elapsed < kFinishBy - base::milliseconds(200))
 	{
-		CHECK_FALSE(after(base::milliseconds(100)));
+		CHECK_FALSE(advance(base::milliseconds(100)));
 	}
-	until(
+	runUntilTrue(
 		[&]
 		{
 			return row.state == wire::RolloutState::ROLLED_BACK;
@@ -111,37 +111,37 @@
 TEST_CASE_METHOD(fixture, "a bad version is rolled back at each step, also while the standing one retires")
 {
 	const int permille = GENERATE(0, 50, 350, 950, 1000);
-	until(
+	runUntilTrue(
 		[&]
 		{
 			return row.targetPermille >= permille;
 		});
-	situation.verdict.standing = standing_of_version::bad;
+	situation.verdict.health = version_health::unhealthy;
 	situation.verdict.reason = "fails often";
-	REQUIRE(after(base::milliseconds(100)));
+	REQUIRE(advance(base::milliseconds(100)));
 	CHECK(row.state == wire::RolloutState::ROLLED_BACK);
 	CHECK(row.targetPermille == 0);
 	CHECK(row.standing == "v1");
 	CHECK_FALSE(row.retiring);
 	CHECK(row.reason == "fails often");
-	CHECK_FALSE(after(base::seconds(60)));
+	CHECK_FALSE(advance(base::seconds(60)));
 }
 
 TEST_CASE_METHOD(fixture, "a doubtful version gets no more than it has, and is rolled back when the time is over")
 {
-	until(
+	runUntilTrue(
 		[&]
 		{
 			return row.targetPermille >= 50;
 		});
 	const int permille = row.targetPermille;
-	situation.verdict.standing = standing_of_version::doubtful;
+	situation.verdict.health = version_health::suspect;
 	while (situation.elapsed < kFinishBy - base::milliseconds(200))
 	{
-		after(base::milliseconds(100));
+		advance(base::milliseconds(100));
 		CHECK(row.targetPermille == permille);
 	}
-	until(
+	runUntilTrue(
 		[&]
 		{
 			return row.state == wire::RolloutState::ROLLED_BACK;
@@ -150,42 +150,42 @@
 
 TEST_CASE_METHOD(fixture, "a controller that has just begun to lead takes no step up before it has reports of all")
 {
-	situation.ledFor = base::Duration(0);
+	situation.leadershipAge = base::Duration(0);
 	for (int i = 0; i < 10; ++i)
 	{
-		situation.ledFor += base::milliseconds(100);
-		CHECK_FALSE(after(base::milliseconds(100)));
+		situation.leadershipAge += base::milliseconds(100);
+		CHECK_FALSE(advance(base::milliseconds(100)));
 	}
-	situation.ledFor = base::seconds(2);
-	CHECK(after(base::milliseconds(100)));
+	situation.leadershipAge = base::seconds(2);
+	CHECK(advance(base::milliseconds(100)));
 }
 
 TEST_CASE_METHOD(fixture,
 				 "a controller that has just begun to lead doesn't complete before the last endpoint has reported")
 {
-	untilRetiring();
+	runUntilRetiring();
 	situation.standingIdle = true;
-	situation.everywhere = true;
-	situation.ledFor = base::seconds(2);
-	CHECK_FALSE(after(base::milliseconds(100)));
-	situation.ledFor = base::seconds(3);
-	CHECK(after(base::milliseconds(100)));
+	situation.inForceEverywhere = true;
+	situation.leadershipAge = base::seconds(2);
+	CHECK_FALSE(advance(base::milliseconds(100)));
+	situation.leadershipAge = base::seconds(3);
+	CHECK(advance(base::milliseconds(100)));
 	CHECK(row.state == wire::RolloutState::COMPLETED);
 }
 
 TEST_CASE_METHOD(fixture, "nodes that are cut off hold completion up for two seconds at the most")
 {
-	untilRetiring();
+	runUntilRetiring();
 	situation.standingIdle = true;
-	CHECK_FALSE(after(base::milliseconds(1900)));
-	CHECK(after(base::milliseconds(200)));
+	CHECK_FALSE(advance(base::milliseconds(1900)));
+	CHECK(advance(base::milliseconds(200)));
 	CHECK(row.state == wire::RolloutState::COMPLETED);
 }
 
 TEST_CASE_METHOD(fixture, "a version with too few slots for what is at work gets no more than its trial")
 {
 	situation.target = {5, 30, 0};
-	until(
+	runUntilTrue(
 		[&]
 		{
 			return row.state == wire::RolloutState::ROLLED_BACK;
@@ -195,14 +195,14 @@
 
 TEST_CASE_METHOD(fixture, "the endpoints on trial carry what they will in the end, and take turns")
 {
-	until(
+	runUntilTrue(
 		[&]
 		{
 			return row.targetPermille >= 80;
 		});
 	CHECK(row.groupSize == 2);
 	const int offset = row.groupOffset;
-	until(
+	runUntilTrue(
 		[&]
 		{
 			return row.groupOffset != offset;
@@ -215,7 +215,7 @@
 {
 	situation.target = {200, 1200, 0};
 	situation.nodes = 14'000;
-	CHECK(after(base::milliseconds(100)));
+	CHECK(advance(base::milliseconds(100)));
 	CHECK(row.groupSize >= 28);
 }
 
@@ -223,7 +223,7 @@
 {
 	const auto seconds = GENERATE(1, 2);
 	row.finishByMs = seconds * 1000;
-	until(
+	runUntilTrue(
 		[&]
 		{
 			return row.state != wire::RolloutState::RUNNING || row.retiring;
--- a/test/rollout/rollout_fleet.cc
+++ b/test/rollout/rollout_fleet.cc
@@ -8,7 +8,7 @@
 {
 constexpr char kFleetHost[] = "claims.example";
 constexpr int kDeadline = 2000;
-constexpr base::Duration kFormed = base::seconds(3);
+constexpr base::Duration kClusterFormed = base::seconds(3);
 constexpr base::Duration kServing = base::seconds(5);
 
 wire::Mutation mutationOf(wire::Row _row)
@@ -33,7 +33,7 @@
 		m_hosts.back()->start(m_seeds, true);
 		controllers.push_back({m_seeds[i], kPort});
 	}
-	runUntil(kFormed);
+	runUntil(kClusterFormed);
 	addTable();
 	for (size_t i = 0; i < m_relayAddresses.size(); ++i)
 	{
@@ -151,7 +151,7 @@
 	return row ? std::optional(row->rolloutRow) : std::nullopt;
 }
 
-wire::RolloutState::type rollout_fleet::untilDecided(base::Duration _until)
+wire::RolloutState::type rollout_fleet::runUntilDecided(base::Duration _until)
 {
 	while (now() < _until)
 	{
@@ -189,7 +189,7 @@
 	return running;
 }
 
-void rollout_fleet::callAllTheTime(double _perSecond, base::Duration _until)
+void rollout_fleet::generateLoad(double _perSecond, base::Duration _until)
 {
 	const auto gap = std::chrono::duration_cast<base::Duration>(std::chrono::duration<double>(1 / _perSecond));
 	m_queue.after(m_random.duration(gap * 2),
@@ -200,7 +200,7 @@
 						  return;
 					  }
 					  call();
-					  callAllTheTime(_perSecond, _until);
+					  generateLoad(_perSecond, _until);
 				  });
 }
 
--- a/test/rollout/rollout_fleet.h
+++ b/test/rollout/rollout_fleet.h
@@ -19,7 +19,7 @@
 constexpr char kNewVersion[] = "v2";
 
 /// Answers to callers.
-struct rollout_callers
+struct caller_counters
 {
 	int asked = 0;
 	int answered = 0;  //!< With 200.
@@ -46,7 +46,7 @@
 	}
 
 	/// Callers ask at all nodes.
-	void callAllTheTime(double _perSecond, base::Duration _until);
+	void generateLoad(double _perSecond, base::Duration _until);
 
 	/// Starts nodes with back ends of a version.
 	/// @returns The position of the first.
@@ -60,7 +60,7 @@
 	std::optional<wire::RolloutRow> row();
 
 	/// Goes on until the order is decided, at the latest until a time.
-	wire::RolloutState::type untilDecided(base::Duration _until);
+	wire::RolloutState::type runUntilDecided(base::Duration _until);
 
 	/// @returns The controller that leads; null while none does.
 	Host* leader();
@@ -103,7 +103,7 @@
 	size_t runningOn(const std::string& _version) const;
 
 	version_record record;
-	rollout_callers callers;
+	caller_counters callers;
 
 private:
 	void addTable();
--- a/test/rollout/rollout_fleet_test.cc
+++ b/test/rollout/rollout_fleet_test.cc
@@ -11,7 +11,7 @@
 constexpr base::Duration kOrderAt = base::seconds(6);
 constexpr base::Duration kEnd = kOrderAt + kFinishBy;
 /// Of the aim: how long behind its fiftieth bad answer a version may still get requests, and how many in all.
-constexpr base::Duration kBackWithin = base::seconds(5);
+constexpr base::Duration kMaxRollbackDelay = base::seconds(5);
 constexpr double kExposureShare = 0.1;
 constexpr double kExposureSlack = 50;
 
@@ -21,18 +21,18 @@
 	explicit fixture(uint64_t _seed = 1)
 		: fleet(_seed)
 	{
-		fleet.callAllTheTime(kPerSecond, kEnd + base::seconds(10));
+		fleet.generateLoad(kPerSecond, kEnd + base::seconds(10));
 		fleet.runUntil(kOrderAt);
 	}
 
-	void begin()
+	void startRollout()
 	{
 		REQUIRE(base::ErrorCode::kNone == fleet.order(kNewVersion, kFinishBy));
 		fleet.startVersion(kNewVersion);
 	}
 
 	/// Goes on until the new version gets a share.
-	void untilOnTrial()
+	void runUntilOnTrial()
 	{
 		while (fleet.now() < kEnd && fleet.row()->targetPermille < 80)
 		{
@@ -44,7 +44,7 @@
 	/// Checks that nothing reaches the old version any more, nothing runs there, and nobody lost an answer.
 	void checkCompleted()
 	{
-		REQUIRE(fleet.untilDecided(kEnd) == wire::RolloutState::COMPLETED);
+		REQUIRE(fleet.runUntilDecided(kEnd) == wire::RolloutState::COMPLETED);
 		const auto at = base::TimePoint{} + fleet.now();
 		CHECK(fleet.runningOn(kOldVersion) == 0);
 		for (size_t i = 0; i < rollout_fleet::kBackEnds; ++i)
@@ -89,7 +89,7 @@
 {
 	const auto seed = GENERATE(range(1, 6));
 	fixture f(static_cast<uint64_t>(seed));
-	f.begin();
+	f.startRollout();
 	f.checkCompleted();
 	CHECK(f.fleet.callers.failed == 0);
 	CHECK(f.fleet.callers.notRun == 0);
@@ -101,14 +101,14 @@
 	fixture f(static_cast<uint64_t>(seed));
 	f.fleet.record.badVersion = kNewVersion;
 	f.fleet.record.badShare = 0.4;
-	f.begin();
-	REQUIRE(f.fleet.untilDecided(kEnd) == wire::RolloutState::ROLLED_BACK);
+	f.startRollout();
+	REQUIRE(f.fleet.runUntilDecided(kEnd) == wire::RolloutState::ROLLED_BACK);
 	f.fleet.runUntil(f.fleet.now() + base::seconds(5));
 
 	const auto& arrivals = f.fleet.record.arrivals;
 	size_t bad = 0;
 	size_t exposed = 0;
-	base::TimePoint fiftieth = base::TimePoint::max() - kBackWithin;
+	base::TimePoint fiftieth = base::TimePoint::max() - kMaxRollbackDelay;
 	base::TimePoint last{};
 	for (const auto& arrival : arrivals)
 	{
@@ -120,7 +120,7 @@
 			fiftieth = arrival.bad && 50 == bad ? arrival.time : fiftieth;
 		}
 	}
-	CHECK(last <= fiftieth + kBackWithin);
+	CHECK(last <= fiftieth + kMaxRollbackDelay);
 	const double all = kPerSecond * 15;
 	CHECK(static_cast<double>(exposed) <= kExposureShare * all + kExposureSlack);
 }
@@ -128,8 +128,8 @@
 TEST_CASE("an order survives the end of the leader, and is carried on by the next one")
 {
 	fixture f;
-	f.begin();
-	f.untilOnTrial();
+	f.startRollout();
+	f.runUntilOnTrial();
 	auto* old = f.fleet.leader();
 	old->losePower();
 	f.fleet.runUntil(f.fleet.now() + base::seconds(2));
@@ -142,22 +142,22 @@
 TEST_CASE("a bad version is rolled back over the end of the leader")
 {
 	fixture f;
-	f.begin();
-	f.untilOnTrial();
+	f.startRollout();
+	f.runUntilOnTrial();
 	f.fleet.record.badVersion = kNewVersion;
 	f.fleet.record.badShare = 0.4;
 	f.fleet.leader()->losePower();
-	CHECK(f.fleet.untilDecided(kEnd) == wire::RolloutState::ROLLED_BACK);
+	CHECK(f.fleet.runUntilDecided(kEnd) == wire::RolloutState::ROLLED_BACK);
 }
 
 TEST_CASE("orders and their outcome survive the loss of all power")
 {
 	fixture f;
-	f.begin();
+	f.startRollout();
 	const bool decided = GENERATE(false, true);
 	if (decided)
 	{
-		REQUIRE(f.fleet.untilDecided(kEnd) == wire::RolloutState::COMPLETED);
+		REQUIRE(f.fleet.runUntilDecided(kEnd) == wire::RolloutState::COMPLETED);
 	}
 	for (const auto& host : f.fleet.controllers())
 	{
@@ -178,12 +178,12 @@
 TEST_CASE("an order that comes again is the same; another one is refused while it runs")
 {
 	fixture f;
-	f.begin();
+	f.startRollout();
 	const auto row = f.fleet.row();
 	CHECK(f.fleet.order(kNewVersion, kFinishBy) == base::ErrorCode::kNone);
 	CHECK(f.fleet.row()->elapsedMs == row->elapsedMs);
 	CHECK(f.fleet.order("v3", kFinishBy) == base::ErrorCode::kRevisionConflict);
-	REQUIRE(f.fleet.untilDecided(kEnd) == wire::RolloutState::COMPLETED);
+	REQUIRE(f.fleet.runUntilDecided(kEnd) == wire::RolloutState::COMPLETED);
 	CHECK(f.fleet.order(kNewVersion, kFinishBy) == base::ErrorCode::kNone);
 	CHECK(f.fleet.row()->state == wire::RolloutState::COMPLETED);
 }
@@ -201,7 +201,7 @@
 {
 	fixture f;
 	REQUIRE(f.fleet.order(kNewVersion, base::seconds(4)) == base::ErrorCode::kNone);
-	CHECK(f.fleet.untilDecided(kOrderAt + base::seconds(5)) == wire::RolloutState::ROLLED_BACK);
+	CHECK(f.fleet.runUntilDecided(kOrderAt + base::seconds(5)) == wire::RolloutState::ROLLED_BACK);
 	CHECK(f.fleet.callers.notRun == 0);
 	CHECK(f.fleet.record.arrivalsOf(kNewVersion, base::TimePoint{}) == 0);
 }
@@ -211,22 +211,22 @@
 	fixture f;
 	f.fleet.record.badVersion = kNewVersion;
 	f.fleet.record.badShare = 0.5;
-	f.begin();
-	REQUIRE(f.fleet.untilDecided(kEnd) == wire::RolloutState::ROLLED_BACK);
+	f.startRollout();
+	REQUIRE(f.fleet.runUntilDecided(kEnd) == wire::RolloutState::ROLLED_BACK);
 	f.fleet.record.badVersion.clear();
 	f.fleet.runUntil(f.fleet.now() + base::seconds(11));
 	REQUIRE(f.fleet.order(kNewVersion, kFinishBy) == base::ErrorCode::kNone);
 	CHECK(f.fleet.row()->state == wire::RolloutState::RUNNING);
-	CHECK(f.fleet.untilDecided(f.fleet.now() + kFinishBy) == wire::RolloutState::COMPLETED);
+	CHECK(f.fleet.runUntilDecided(f.fleet.now() + kFinishBy) == wire::RolloutState::COMPLETED);
 }
 
 TEST_CASE("a node that is cut off holds nothing up, and sends nothing to the old version when it is back")
 {
 	fixture f;
-	f.begin();
-	f.untilOnTrial();
+	f.startRollout();
+	f.runUntilOnTrial();
 	f.fleet.cutOff(0, true);
-	REQUIRE(f.fleet.untilDecided(kEnd) == wire::RolloutState::COMPLETED);
+	REQUIRE(f.fleet.runUntilDecided(kEnd) == wire::RolloutState::COMPLETED);
 	for (size_t i = 1; i < rollout_fleet::kBackEnds; ++i)
 	{
 		f.fleet.backEnd(i).stop();
@@ -241,8 +241,8 @@
 TEST_CASE("a node that doesn't hear of the controllers sends nothing to a version on trial")
 {
 	fixture f;
-	f.begin();
-	f.untilOnTrial();
+	f.startRollout();
+	f.runUntilOnTrial();
 	for (size_t i = 0; i < rollout_fleet::kBackEnds; ++i)
 	{
 		f.fleet.cutOff(i, true);
@@ -259,10 +259,10 @@
 	fixture f;
 	f.fleet.record.badVersion = kNewVersion;
 	f.fleet.record.badShare = 0.5;
-	f.begin();
-	f.untilOnTrial();
+	f.startRollout();
+	f.runUntilOnTrial();
 	f.fleet.cutOff(0, true);
-	REQUIRE(f.fleet.untilDecided(kEnd) == wire::RolloutState::ROLLED_BACK);
+	REQUIRE(f.fleet.runUntilDecided(kEnd) == wire::RolloutState::ROLLED_BACK);
 	f.fleet.runUntil(f.fleet.now() + base::milliseconds(300));
 	const auto at = base::TimePoint{} + f.fleet.now();
 	f.fleet.runUntil(f.fleet.now() + base::seconds(5));
--- a/test/rollout/rollout_odds_test.cc
+++ b/test/rollout/rollout_odds_test.cc
@@ -4,7 +4,7 @@
 #include <functional>
 #include <vector>
 
-#include "modelled_service.h"
+#include "simulated_service.h"
 
 namespace driftlug::test
 {
@@ -14,20 +14,20 @@
 /// Of the aim: what a version that turns out bad may get, and for how long behind its fiftieth bad answer.
 constexpr double kExposureShare = 0.1;
 constexpr int64_t kExposureSlack = 50;
-constexpr base::Duration kBackWithin = base::seconds(5);
+constexpr base::Duration kMaxRollbackDelay = base::seconds(5);
 
-constexpr uint64_t kSingleTroubles = 6;
+constexpr uint64_t kSingleFaultSets = 6;
 
 /// None, each alone, two together, and all.
-service_troubles troublesOf(uint64_t _kind)
+background_faults faultsOf(uint64_t _kind)
 {
-	service_troubles troubles;
-	troubles.grey = 1 == _kind || 6 == _kind || 7 == _kind;
-	troubles.slow = 2 == _kind || 7 == _kind;
-	troubles.behind = 3 == _kind || 6 == _kind || 7 == _kind;
-	troubles.burst = 4 == _kind || 7 == _kind;
-	troubles.crashes = 5 == _kind || 7 == _kind;
-	return troubles;
+	background_faults faults;
+	faults.grey = 1 == _kind || 6 == _kind || 7 == _kind;
+	faults.slow = 2 == _kind || 7 == _kind;
+	faults.dependencyFails = 3 == _kind || 6 == _kind || 7 == _kind;
+	faults.burst = 4 == _kind || 7 == _kind;
+	faults.crashes = 5 == _kind || 7 == _kind;
+	return faults;
 }
 
 double secondsOf(base::Duration _duration)
@@ -58,8 +58,8 @@
 	int late = 0;
 	for (uint64_t seed = 1; seed <= 200; ++seed)
 	{
-		modelled_service service(seed, badness::none, troublesOf(seed % 8));
-		const auto outcome = service.play(kFinishBy);
+		simulated_service service(seed, version_fault::none, faultsOf(seed % 8));
+		const auto outcome = service.run(kFinishBy);
 		rolledBack += wire::RolloutState::ROLLED_BACK == outcome.state ? 1 : 0;
 		late += wire::RolloutState::COMPLETED != outcome.state || outcome.decidedAfter > kFinishBy ? 1 : 0;
 		INFO("seed " << seed << " decided after " << secondsOf(outcome.decidedAfter) << " s: " << outcome.reason);
@@ -78,44 +78,46 @@
 struct drawn_rollout
 {
 	uint64_t seed = 0;
-	badness bad = badness::none;
-	uint64_t trouble = 0;
+	version_fault fault = version_fault::none;
+	uint64_t faultSet = 0;
 };
 
 drawn_rollout drawnBy(uint64_t _seed)
 {
-	const badness kinds[] = {badness::fails, badness::slow, badness::oneRoute, badness::underLoad, badness::later};
-	return {_seed, kinds[_seed % std::size(kinds)], _seed / std::size(kinds) % kSingleTroubles};
+	const version_fault kinds[] = {version_fault::fails, version_fault::slow, version_fault::oneRoute,
+								   version_fault::underLoad, version_fault::later};
+	return {_seed, kinds[_seed % std::size(kinds)], _seed / std::size(kinds) % kSingleFaultSets};
 }
 
 /// Went beyond its exposure once: 39 answers were bad in all, and the share rose before they told enough.
-const drawn_rollout kSeenOnce{1017, badness::oneRoute, 3};
+const drawn_rollout kExposureRegression{1017, version_fault::oneRoute, 3};
 
 /// Small services that are ill themselves. Of the first, three of seven endpoints of the standing version are five
 /// times slower; the last two fail in a tenth of the answers as long as the share is small.
-const drawn_rollout kOpen[] = {{1041, badness::slow, 2}, {1198, badness::underLoad, 3}, {1088, badness::underLoad, 1}};
+const drawn_rollout kKnownFailures[] = {
+	{1041, version_fault::slow, 2}, {1198, version_fault::underLoad, 3}, {1088, version_fault::underLoad, 1}};
 
-bool isOpen(const drawn_rollout& _drawn)
+bool isKnownFailure(const drawn_rollout& _drawn)
 {
-	return std::any_of(std::begin(kOpen), std::end(kOpen),
-					   [&](const drawn_rollout& _open)
+	return std::any_of(std::begin(kKnownFailures), std::end(kKnownFailures),
+					   [&](const drawn_rollout& _failure)
 					   {
-						   return _open.seed == _drawn.seed && _open.trouble == _drawn.trouble;
+						   return _failure.seed == _drawn.seed && _failure.faultSet == _drawn.faultSet;
 					   });
 }
 
-rollout_outcome playBad(const drawn_rollout& _drawn)
+rollout_outcome runBad(const drawn_rollout& _drawn)
 {
-	modelled_service service(_drawn.seed, _drawn.bad, troublesOf(_drawn.trouble));
-	const auto outcome = service.play(kFinishBy);
-	INFO("seed " << _drawn.seed << " size " << service.size() << " bad in way " << static_cast<int>(_drawn.bad)
+	simulated_service service(_drawn.seed, _drawn.fault, faultsOf(_drawn.faultSet));
+	const auto outcome = service.run(kFinishBy);
+	INFO("seed " << _drawn.seed << " size " << service.size() << " bad in way " << static_cast<int>(_drawn.fault)
 				 << " decided after " << secondsOf(outcome.decidedAfter) << " s with " << outcome.badAnswers
 				 << " bad answers of " << outcome.requests << ": " << outcome.reason);
 	CHECK(wire::RolloutState::ROLLED_BACK == outcome.state);
 	CHECK(outcome.decidedAfter <= kFinishBy);
 	const auto requests = static_cast<double>(outcome.requests);
 	CHECK(requests <= kExposureShare * requests / outcome.exposure + kExposureSlack);
-	CHECK(outcome.afterFifty.value_or(base::Duration(0)) <= kBackWithin);
+	CHECK(outcome.rollbackDelay.value_or(base::Duration(0)) <= kMaxRollbackDelay);
 	return outcome;
 }
 
@@ -123,32 +125,32 @@
 
 TEST_CASE("bad rollouts are rolled back in time, within the exposure that is allowed")
 {
-	std::vector<double> notice;
+	std::vector<double> rollbackDelays;
 	std::vector<double> exposure;
 	for (uint64_t seed = kFirstBadSeed; seed <= kLastBadSeed; ++seed)
 	{
 		const auto drawn = drawnBy(seed);
-		if (isOpen(drawn))
+		if (isKnownFailure(drawn))
 		{
 			continue;
 		}
-		const auto outcome = playBad(drawn);
-		if (outcome.afterFifty)
+		const auto outcome = runBad(drawn);
+		if (outcome.rollbackDelay)
 		{
-			notice.push_back(secondsOf(*outcome.afterFifty));
+			rollbackDelays.push_back(secondsOf(*outcome.rollbackDelay));
 		}
 		exposure.push_back(100 * outcome.exposure);
 	}
-	(void)playBad(kSeenOnce);
-	printHistogram("seconds behind the fiftieth bad answer", notice, 0.5);
+	(void)runBad(kExposureRegression);
+	printHistogram("seconds behind the fiftieth bad answer", rollbackDelays, 0.5);
 	printHistogram("percent of all requests", exposure, 1);
 }
 
 TEST_CASE("bad rollouts of small services that are ill themselves are rolled back in time")
 {
-	for (const auto& drawn : kOpen)
+	for (const auto& drawn : kKnownFailures)
 	{
-		(void)playBad(drawn);
+		(void)runBad(drawn);
 	}
 }
 
--- a/test/rollout/modelled_service.cc
+++ b/test/rollout/simulated_service.cc
@@ -1,4 +1,4 @@
-#include "modelled_service.h"
+#include "simulated_service.h"
 
 #include <algorithm>
 #include <cmath>
@@ -11,11 +11,11 @@
 {
 constexpr char kStanding[] = "v1";
 constexpr char kTarget[] = "v2";
-constexpr base::Duration kTurn = base::milliseconds(10);
-constexpr base::Duration kReportEach = base::milliseconds(250);
-constexpr base::Duration kReportLate = base::milliseconds(150);
-constexpr base::Duration kNodesFollow = base::milliseconds(300);
-constexpr base::Duration kDecideEach = base::milliseconds(100);
+constexpr base::Duration kTickInterval = base::milliseconds(10);
+constexpr base::Duration kReportInterval = base::milliseconds(250);
+constexpr base::Duration kReportDelay = base::milliseconds(150);
+constexpr base::Duration kRowPropagationDelay = base::milliseconds(300);
+constexpr base::Duration kDecisionInterval = base::milliseconds(100);
 constexpr base::Duration kColdFor = base::seconds(3);
 constexpr double kColdFactor = 2;
 constexpr double kTimeoutMs = 2000;  // of the routes
@@ -46,13 +46,13 @@
 
 }  // namespace
 
-modelled_service::modelled_service(uint64_t _seed, badness _bad, const service_troubles& _troubles)
+simulated_service::simulated_service(uint64_t _seed, version_fault _bad, const background_faults& _faults)
 	: m_random(_seed)
 	, m_bad(_bad)
-	, m_troubles(_troubles)
-	, m_badShare(badness::slow == _bad ? 0.6 + 0.4 * m_random.unit() : 0.35 + 0.5 * m_random.unit())
+	, m_faults(_faults)
+	, m_badShare(version_fault::slow == _bad ? 0.6 + 0.4 * m_random.unit() : 0.35 + 0.5 * m_random.unit())
 	, m_badFactor(3 + 3 * m_random.unit())
-	, m_laterBy(base::seconds(3) + m_random.duration(base::seconds(4)))
+	, m_faultDelay(base::seconds(3) + m_random.duration(base::seconds(4)))
 	, m_size(6 + m_random.below(30))
 	, m_perSecond(static_cast<double>(m_size) * 20)
 {
@@ -62,7 +62,7 @@
 	addBackEnds(false);
 }
 
-void modelled_service::addBackEnds(bool _target)
+void simulated_service::addBackEnds(bool _target)
 {
 	for (size_t i = 0; i < m_size; ++i)
 	{
@@ -70,15 +70,15 @@
 		added.name = (_target ? "new-" : "old-") + std::to_string(m_random.bits());
 		added.target = _target;
 		added.speed = kSpeeds[m_random.below(std::size(kSpeeds))];
-		added.failing = m_troubles.grey && m_random.chance(0.14) ? 0.4 : 0;
-		added.slower = m_troubles.slow && m_random.chance(0.16) ? 5 : 1;
-		added.crashes = m_troubles.crashes && m_random.chance(0.15);
+		added.failing = m_faults.grey && m_random.chance(0.14) ? 0.4 : 0;
+		added.slower = m_faults.slow && m_random.chance(0.16) ? 5 : 1;
+		added.crashes = m_faults.crashes && m_random.chance(0.15);
 		added.startedAt = _target ? m_time.now() + base::seconds(1) : m_time.now() - base::seconds(60);
 		m_backEnds.push_back(std::move(added));
 	}
 }
 
-rollout_outcome modelled_service::play(base::Duration _finishBy)
+rollout_outcome simulated_service::run(base::Duration _finishBy)
 {
 	m_begunAt = m_time.now();
 	serve(base::seconds(5));
@@ -87,18 +87,18 @@
 	writeRow(rollout::rollout_driver::begin(m_row, kTarget, _finishBy));
 	serve(_finishBy + base::seconds(4));
 	m_outcome.exposure = static_cast<double>(m_outcome.requests) / (m_perSecond * secondsOf(_finishBy));
-	if (m_fiftiethBadAt)
+	if (m_fiftiethBadAnswerAt)
 	{
-		m_outcome.afterFifty = std::max(base::Duration(0), m_lastToTarget - *m_fiftiethBadAt);
+		m_outcome.rollbackDelay = std::max(base::Duration(0), m_lastToTarget - *m_fiftiethBadAnswerAt);
 	}
 	return m_outcome;
 }
 
-void modelled_service::writeRow(const wire::RolloutRow& _row)
+void simulated_service::writeRow(const wire::RolloutRow& _row)
 {
 	m_row = _row;
 	m_writtenAt = m_time.now();
-	m_nodesFollowAt = m_time.now() + kNodesFollow;
+	m_nodesUpdateAt = m_time.now() + kRowPropagationDelay;
 	if (wire::RolloutState::RUNNING != m_row.state && wire::RolloutState::RUNNING == m_outcome.state)
 	{
 		m_outcome.state = m_row.state;
@@ -107,38 +107,38 @@
 	}
 }
 
-void modelled_service::serve(base::Duration _span)
+void simulated_service::serve(base::Duration _span)
 {
 	const auto end = m_time.now() + _span;
-	int64_t turn = 0;
-	double owed = 0;
+	int64_t ticks = 0;
+	double pendingRequests = 0;
 	while (m_time.now() < end)
 	{
-		m_time.advance(kTurn);
-		++turn;
-		if (m_time.now() >= m_nodesFollowAt)
+		m_time.advance(kTickInterval);
+		++ticks;
+		if (m_time.now() >= m_nodesUpdateAt)
 		{
 			m_atNodes = m_row;
 		}
 		const auto elapsed = m_time.now() - m_begunAt;
-		const bool burst = m_troubles.burst && elapsed > base::seconds(9) && elapsed < base::seconds(14);
-		owed += m_perSecond * secondsOf(kTurn) * (burst ? 1.6 : 1);
-		for (; owed >= 1; owed -= 1)
+		const bool burst = m_faults.burst && elapsed > base::seconds(9) && elapsed < base::seconds(14);
+		pendingRequests += m_perSecond * secondsOf(kTickInterval) * (burst ? 1.6 : 1);
+		for (; pendingRequests >= 1; pendingRequests -= 1)
 		{
 			request(m_random.chance(0.5) ? 0 : 1 + static_cast<int64_t>(m_random.below(2)));
 		}
-		if (0 == turn % (kReportEach / kTurn))
+		if (0 == ticks % (kReportInterval / kTickInterval))
 		{
 			report();
 		}
-		if (0 == turn % (kDecideEach / kTurn))
+		if (0 == ticks % (kDecisionInterval / kTickInterval))
 		{
 			decide();
 		}
 	}
 }
 
-int modelled_service::busyOf(back_end* _backEnd) const
+int simulated_service::busyOf(back_end* _backEnd) const
 {
 	auto& busy = _backEnd->busyUntil;
 	std::erase_if(busy,
@@ -149,14 +149,14 @@
 	return static_cast<int>(busy.size());
 }
 
-bool modelled_service::isUp(const back_end& _backEnd) const
+bool simulated_service::isUp(const back_end& _backEnd) const
 {
 	const auto elapsed = m_time.now() - m_begunAt;
 	const bool down = _backEnd.crashes && elapsed > base::seconds(8) && elapsed < base::seconds(12);
 	return !down && _backEnd.startedAt <= m_time.now();
 }
 
-modelled_service::back_end* modelled_service::choose(bool _target)
+simulated_service::back_end* simulated_service::choose(bool _target)
 {
 	std::vector<std::string> names;
 	for (const auto& candidate : m_backEnds)
@@ -187,30 +187,30 @@
 	return best;
 }
 
-bool modelled_service::isBad(const back_end& _backEnd, int64_t _route, int _busy)
+bool simulated_service::isBad(const back_end& _backEnd, int64_t _route, int _busy)
 {
 	const auto age = m_time.now() - _backEnd.startedAt;
 	switch (m_bad)
 	{
-		case badness::none:
+		case version_fault::none:
 			return false;
-		case badness::fails:
-		case badness::slow:
+		case version_fault::fails:
+		case version_fault::slow:
 			break;
-		case badness::oneRoute:
+		case version_fault::oneRoute:
 			if (1 != _route)
 			{
 				return false;
 			}
 			break;
-		case badness::underLoad:
+		case version_fault::underLoad:
 			if (2 * _busy <= m_slots)
 			{
 				return false;
 			}
 			break;
-		case badness::later:
-			if (age < m_laterBy)
+		case version_fault::later:
+			if (age < m_faultDelay)
 			{
 				return false;
 			}
@@ -219,7 +219,7 @@
 	return _backEnd.target && m_random.chance(m_badShare);
 }
 
-void modelled_service::request(int64_t _route)
+void simulated_service::request(int64_t _route)
 {
 	++m_all;
 	const auto policy = rollout::policyOf(m_atNodes);
@@ -232,17 +232,18 @@
 	}
 	const auto& shape = kRoutes[_route];
 	const auto elapsed = m_time.now() - m_begunAt;
-	const bool behind = m_troubles.behind && elapsed > base::seconds(10) && elapsed < base::seconds(13);
+	const bool dependencyFails = m_faults.dependencyFails && elapsed > base::seconds(10) && elapsed < base::seconds(13);
 	const bool cold = m_time.now() - chosen->startedAt < kColdFor;
 	const bool bad = isBad(*chosen, _route, busyOf(chosen));
-	const bool fails = m_random.chance(chosen->failing) || (behind && m_random.chance(0.3)) || m_random.chance(0.01)
-					   || (bad && badness::slow != m_bad);
+	const bool fails = m_random.chance(chosen->failing) || (dependencyFails && m_random.chance(0.3))
+					   || m_random.chance(0.01) || (bad && version_fault::slow != m_bad);
 	double ms = shape.workMs * std::exp(shape.spread * normal(&m_random) - shape.spread * shape.spread / 2);
-	ms *= chosen->slower * (cold ? kColdFactor : 1) * (bad && badness::slow == m_bad ? m_badFactor : 1) / chosen->speed;
+	ms *= chosen->slower * (cold ? kColdFactor : 1) * (bad && version_fault::slow == m_bad ? m_badFactor : 1)
+		  / chosen->speed;
 	const auto run =
 		std::chrono::duration_cast<base::Duration>(std::chrono::duration<double, std::milli>(std::min(ms, kTimeoutMs)));
 	chosen->busyUntil.push_back(m_time.now() + run);
-	chosen->figures.note(_route, fails || ms > kTimeoutMs, run, cold);
+	chosen->figures.record(_route, fails || ms > kTimeoutMs, run, cold);
 	if (!chosen->target)
 	{
 		return;
@@ -253,11 +254,11 @@
 	m_outcome.badAnswers += bad ? 1 : 0;
 	if (bad && 50 == m_outcome.badAnswers)
 	{
-		m_fiftiethBadAt = m_time.now() + run;
+		m_fiftiethBadAnswerAt = m_time.now() + run;
 	}
 }
 
-void modelled_service::report()
+void simulated_service::report()
 {
 	if (wire::RolloutState::RUNNING != m_atNodes.state)
 	{
@@ -277,11 +278,11 @@
 		report.active = busyOf(&backEnd);
 		report.slots = m_slots;
 		backEnd.figures.fill(&report);
-		m_reports.push_back({m_time.now() + kReportLate, report});
+		m_reports.push_back({m_time.now() + kReportDelay, report});
 	}
 }
 
-void modelled_service::decide()
+void simulated_service::decide()
 {
 	while (!m_reports.empty() && m_reports.front().at <= m_time.now())
 	{
@@ -295,10 +296,10 @@
 	rollout::rollout_situation situation;
 	situation.stepAge = m_time.now() - m_writtenAt;
 	situation.elapsed = base::milliseconds(m_row.elapsedMs) + situation.stepAge;
-	situation.ledFor = base::seconds(60);
-	situation.longRun = m_evidence.longRun();
+	situation.leadershipAge = base::seconds(60);
+	situation.p99RunTime = m_evidence.p99RunTime();
 	situation.answersPerSecond = m_evidence.answersPerSecond();
-	situation.verdict = m_evidence.judge(rollout::policyOf(m_row));
+	situation.verdict = m_evidence.evaluate(rollout::policyOf(m_row));
 	const auto sum = [&](const char* _version, rollout::version_endpoints* _sum)
 	{
 		for (const auto& [name, report] : m_evidence.reportsOf(_version, base::seconds(2)))
@@ -311,7 +312,7 @@
 	sum(kTarget, &situation.target);
 	sum(kStanding, &situation.standing);
 	situation.standingIdle = m_row.retiring && 0 == situation.standing.active;
-	situation.everywhere = m_atNodes == m_row;
+	situation.inForceEverywhere = m_atNodes == m_row;
 	situation.nodes = 2 * m_size;
 	if (const auto next = m_driver.next(m_row, situation))
 	{
--- a/test/rollout/modelled_service.h
+++ b/test/rollout/simulated_service.h
@@ -1,6 +1,6 @@
 /// A service with back ends of two versions on the virtual clock, for rollouts decided by the true classes.
-#ifndef DRIFTLUG_TEST_ROLLOUT_MODELLED_SERVICE_H_HEADER_GUARD
-#define DRIFTLUG_TEST_ROLLOUT_MODELLED_SERVICE_H_HEADER_GUARD
+#ifndef DRIFTLUG_TEST_ROLLOUT_SIMULATED_SERVICE_H_HEADER_GUARD
+#define DRIFTLUG_TEST_ROLLOUT_SIMULATED_SERVICE_H_HEADER_GUARD
 
 #include <deque>
 #include <optional>
@@ -10,12 +10,12 @@
 #include "base/random.h"
 #include "manual_time.h"
 #include "rollout/rollout_driver.h"
-#include "rollout/run_figures.h"
+#include "rollout/run_statistics.h"
 
 namespace driftlug::test
 {
 /// In which way a version is bad.
-enum class badness
+enum class version_fault
 {
 	none,
 	fails,      //!< A share of its answers.
@@ -26,24 +26,25 @@
 };
 
 /// What happens to the service meanwhile, to back ends of both versions alike.
-struct service_troubles
+struct background_faults
 {
-	bool grey = false;     //!< Some back ends fail part of their requests.
-	bool slow = false;     //!< Some work several times as long.
-	bool behind = false;   //!< A service behind it fails: a share of all answers fails for some seconds.
-	bool burst = false;    //!< Twice the requests for some seconds.
-	bool crashes = false;  //!< Some are down for four seconds.
+	bool grey = false;             //!< Some back ends fail part of their requests.
+	bool slow = false;             //!< Some work several times as long.
+	bool dependencyFails = false;  //!< A service behind it fails: a share of all answers fails for some seconds.
+	bool burst = false;            //!< Twice the requests for some seconds.
+	bool crashes = false;          //!< Some are down for four seconds.
 };
 
 /// How a rollout went.
 struct rollout_outcome
 {
 	wire::RolloutState::type state = wire::RolloutState::RUNNING;
-	base::Duration decidedAfter{0};            //!< From the order.
-	double exposure = 0;                       //!< Requests to the version on trial, as a share of all until its time.
-	int64_t requests = 0;                      //!< To the version on trial.
-	int64_t badAnswers = 0;                    //!< Of it.
-	std::optional<base::Duration> afterFifty;  //!< From the fiftieth bad answer until no request went there any more.
+	base::Duration decidedAfter{0};  //!< From the order.
+	double exposure = 0;             //!< Requests to the version on trial, as a share of all until its time.
+	int64_t requests = 0;            //!< To the version on trial.
+	int64_t badAnswers = 0;          //!< Of it.
+	std::optional<base::Duration>
+		rollbackDelay;  //!< From the fiftieth bad answer until no request went there any more.
 	std::string reason;
 };
 
@@ -51,14 +52,14 @@
 ///
 /// Back ends differ in speed and start cold; routes differ in work, spread as lognormal. Reports come each quarter of a
 /// second, 150 ms late, and what is decided reaches the nodes after 300 ms.
-class modelled_service
+class simulated_service
 {
 public:
-	modelled_service(uint64_t _seed, badness _bad, const service_troubles& _troubles);
+	simulated_service(uint64_t _seed, version_fault _bad, const background_faults& _faults);
 
 	/// Plays the order.
 	/// @param[in] _finishBy Its time.
-	rollout_outcome play(base::Duration _finishBy);
+	rollout_outcome run(base::Duration _finishBy);
 
 	/// @returns Back ends of each version.
 	size_t size() const
@@ -77,11 +78,11 @@
 		bool crashes = false;  //!< It is down for some seconds.
 		base::TimePoint startedAt{};
 		int64_t sequence = 0;
-		rollout::run_figures figures;
+		rollout::run_statistics figures;
 		std::vector<base::TimePoint> busyUntil;
 	};
 
-	struct late_report
+	struct delayed_report
 	{
 		base::TimePoint at{};
 		wire::VersionReport report;
@@ -100,30 +101,30 @@
 
 	ManualTime m_time;
 	base::RandomSource m_random;
-	badness m_bad;
-	service_troubles m_troubles;
+	version_fault m_bad;
+	background_faults m_faults;
 	double m_badShare;
 	double m_badFactor;
-	base::Duration m_laterBy;
+	base::Duration m_faultDelay;
 	size_t m_size;
 	int m_slots = 6;
 	double m_perSecond;
 	std::vector<back_end> m_backEnds;
-	std::deque<late_report> m_reports;
+	std::deque<delayed_report> m_reports;
 	rollout::version_evidence m_evidence{m_time};
 	rollout::rollout_driver m_driver{{}};
 	wire::RolloutRow m_row;      //!< As the leader has it.
 	wire::RolloutRow m_atNodes;  //!< As the nodes have it.
-	base::TimePoint m_nodesFollowAt{};
+	base::TimePoint m_nodesUpdateAt{};
 	base::TimePoint m_writtenAt{};
 	base::TimePoint m_orderedAt{};
 	base::TimePoint m_begunAt{};
 	int64_t m_all = 0;
-	std::optional<base::TimePoint> m_fiftiethBadAt;
+	std::optional<base::TimePoint> m_fiftiethBadAnswerAt;
 	base::TimePoint m_lastToTarget{};
 	rollout_outcome m_outcome;
 };
 
 }  // namespace driftlug::test
 
-#endif  // DRIFTLUG_TEST_ROLLOUT_MODELLED_SERVICE_H_HEADER_GUARD
+#endif  // DRIFTLUG_TEST_ROLLOUT_SIMULATED_SERVICE_H_HEADER_GUARD
--- a/test/rollout/version_evidence_test.cc
+++ b/test/rollout/version_evidence_test.cc
@@ -3,8 +3,8 @@
 #include <catch2/catch.hpp>
 
 #include "manual_time.h"
-#include "rollout/run_figures.h"
-#include "rollout/version_test.h"
+#include "rollout/run_statistics.h"
+#include "rollout/version_comparison.h"
 
 namespace driftlug::rollout
 {
@@ -19,13 +19,13 @@
 	std::string version;
 	int64_t life = 1;
 	int64_t sequence = 0;
-	run_figures figures;
+	run_statistics figures;
 
 	void answer(int _count, int _failed, base::Duration _run = base::milliseconds(100))
 	{
 		for (int i = 0; i < _count; ++i)
 		{
-			figures.note(kRoute, i < _failed, _run, false);
+			figures.record(kRoute, i < _failed, _run, false);
 		}
 	}
 
@@ -69,9 +69,9 @@
 		time.advance(base::milliseconds(250));
 	}
 
-	standing_of_version judged() const
+	version_health health() const
 	{
-		return evidence.judge(policy).standing;
+		return evidence.evaluate(policy).health;
 	}
 
 	test::ManualTime time;
@@ -94,17 +94,17 @@
 		target[0].answer(5, 4);
 		target[1].answer(5, 0);
 		reportAll();
-		CHECK(judged() == standing_of_version::clear);
+		CHECK(health() == version_health::healthy);
 	}
 }
 
 TEST_CASE_METHOD(fixture, "several endpoints that fail do, and so do several that are slow")
 {
 	const bool slow = GENERATE(false, true);
-	int looks = 0;
-	while (judged() != standing_of_version::bad && looks < 40)
+	int evaluations = 0;
+	while (health() != version_health::unhealthy && evaluations < 40)
 	{
-		++looks;
+		++evaluations;
 		for (auto& reporter : standing)
 		{
 			reporter.answer(5, 0);
@@ -115,8 +115,8 @@
 		}
 		reportAll();
 	}
-	CHECK(judged() == standing_of_version::bad);
-	CHECK(looks <= 8);
+	CHECK(health() == version_health::unhealthy);
+	CHECK(evaluations <= 8);
 }
 
 TEST_CASE_METHOD(fixture, "what fails on both versions alike is held against neither")
@@ -131,7 +131,7 @@
 			}
 		}
 		reportAll();
-		CHECK(judged() != standing_of_version::bad);
+		CHECK(health() != version_health::unhealthy);
 	}
 }
 
@@ -168,15 +168,15 @@
 		reporter.answer(100, 90);
 	}
 	reportAll();
-	CHECK(judged() == standing_of_version::clear);
+	CHECK(health() == version_health::healthy);
 }
 
 TEST_CASE("as many endpoints may be ill by chance as the share of ill ones tells")
 {
-	CHECK(illByChance(1, 0.03) == 1);
-	CHECK(illByChance(3, 0.03) == 2);
-	CHECK(illByChance(20, 0.03) < 6);
-	CHECK(illByChance(20, 0.2) > 8);
+	CHECK(faultyByChance(1, 0.03) == 1);
+	CHECK(faultyByChance(3, 0.03) == 2);
+	CHECK(faultyByChance(20, 0.03) < 6);
+	CHECK(faultyByChance(20, 0.2) > 8);
 }
 
 }  // namespace driftlug::rollout
--- a/test/rollout/version_policy_test.cc
+++ b/test/rollout/version_policy_test.cc
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "rollout/run_figures.h"
+#include "rollout/run_statistics.h"
 #include "rollout/trial_group.h"
 
 namespace driftlug::rollout
@@ -39,21 +39,21 @@
 	auto row = rowOf(state);
 	row.targetPermille = 500;
 	const auto policy = policyOf(row);
-	CHECK_FALSE(policy.takes("v3"));
-	CHECK_FALSE(policy.covers("v3"));
-	CHECK(policy.takes("v1"));
+	CHECK_FALSE(policy.acceptsRequests("v3"));
+	CHECK_FALSE(policy.mayGetRequests("v3"));
+	CHECK(policy.acceptsRequests("v1"));
 }
 
 TEST_CASE("a target gets requests only while its order runs and it has a share")
 {
 	auto row = rowOf(wire::RolloutState::RUNNING);
-	CHECK_FALSE(policyOf(row).takes("v2"));
-	CHECK(policyOf(row).covers("v2"));
+	CHECK_FALSE(policyOf(row).acceptsRequests("v2"));
+	CHECK(policyOf(row).mayGetRequests("v2"));
 	row.targetPermille = 50;
-	CHECK(policyOf(row).takes("v2"));
+	CHECK(policyOf(row).acceptsRequests("v2"));
 	row.state = wire::RolloutState::ROLLED_BACK;
-	CHECK_FALSE(policyOf(row).takes("v2"));
-	CHECK_FALSE(policyOf(row).covers("v2"));
+	CHECK_FALSE(policyOf(row).acceptsRequests("v2"));
+	CHECK_FALSE(policyOf(row).mayGetRequests("v2"));
 }
 
 TEST_CASE("a standing version that retires takes nothing new")
@@ -61,18 +61,18 @@
 	auto row = rowOf(wire::RolloutState::RUNNING);
 	row.targetPermille = kWholePermille;
 	row.retiring = true;
-	CHECK_FALSE(policyOf(row).takes("v1"));
-	CHECK(policyOf(row).takes("v2"));
+	CHECK_FALSE(policyOf(row).acceptsRequests("v1"));
+	CHECK(policyOf(row).acceptsRequests("v2"));
 	row.state = wire::RolloutState::ROLLED_BACK;
-	CHECK(policyOf(row).takes("v1"));
+	CHECK(policyOf(row).acceptsRequests("v1"));
 }
 
 TEST_CASE("a back end whose version is not known yet takes requests only where no other version may be about")
 {
-	CHECK(policyOf(rowOf(wire::RolloutState::STANDING)).takes(""));
-	CHECK(policyOf(rowOf(wire::RolloutState::COMPLETED)).takes(""));
-	CHECK_FALSE(policyOf(rowOf(wire::RolloutState::RUNNING)).takes(""));
-	CHECK_FALSE(policyOf(rowOf(wire::RolloutState::ROLLED_BACK)).takes(""));
+	CHECK(policyOf(rowOf(wire::RolloutState::STANDING)).acceptsRequests(""));
+	CHECK(policyOf(rowOf(wire::RolloutState::COMPLETED)).acceptsRequests(""));
+	CHECK_FALSE(policyOf(rowOf(wire::RolloutState::RUNNING)).acceptsRequests(""));
+	CHECK_FALSE(policyOf(rowOf(wire::RolloutState::ROLLED_BACK)).acceptsRequests(""));
 }
 
 TEST_CASE("groups on trial follow each other through all endpoints, in whatever order these are known")
@@ -93,11 +93,11 @@
 
 TEST_CASE("figures of runs are counted by route, run times of warm back ends only")
 {
-	run_figures figures;
-	figures.note(1, false, base::milliseconds(100), false);
-	figures.note(1, false, base::milliseconds(100), true);
-	figures.note(1, true, base::milliseconds(2000), false);
-	figures.note(2, false, base::milliseconds(10), false);
+	run_statistics figures;
+	figures.record(1, false, base::milliseconds(100), false);
+	figures.record(1, false, base::milliseconds(100), true);
+	figures.record(1, true, base::milliseconds(2000), false);
+	figures.record(2, false, base::milliseconds(10), false);
 	wire::VersionReport report;
 	figures.fill(&report);
 	REQUIRE(report.routes.size() == 2);
@@ -109,10 +109,10 @@
 
 TEST_CASE("the routes of a report are bounded")
 {
-	run_figures figures;
+	run_statistics figures;
 	for (int64_t route = 1; route <= 1000; ++route)
 	{
-		figures.note(route, false, base::milliseconds(10), false);
+		figures.record(route, false, base::milliseconds(10), false);
 	}
 	wire::VersionReport report;
 	figures.fill(&report);
--- a/test/rollout/versioned_back_end.cc
+++ b/test/rollout/versioned_back_end.cc
@@ -6,7 +6,7 @@
 {
 namespace
 {
-constexpr base::Duration kNotices = base::milliseconds(1);  // until its node sees that nothing listens
+constexpr base::Duration kDetectionDelay = base::milliseconds(1);  // until its node sees that nothing listens
 constexpr base::Duration kHeartbeat = base::milliseconds(1500);
 constexpr int kOk = 200;
 constexpr int kFailed = 500;
@@ -39,7 +39,7 @@
 	const auto id = ++m_last;
 	if (!m_up)
 	{
-		m_process.schedule(kNotices,
+		m_process.schedule(kDetectionDelay,
 						   [_done]
 						   {
 							   _done({node::BackendOutcome::kNotSent, false, 0, {}, {}});
@@ -92,7 +92,7 @@
 	m_running.clear();
 	for (auto& [id, done] : running)
 	{
-		m_process.schedule(kNotices,
+		m_process.schedule(kDetectionDelay,
 						   [done]
 						   {
 							   done({node::BackendOutcome::kUnknown, false, 0, {}, {}});
