--- a/src/rollout/answer_history.cc
+++ b/src/rollout/answer_history.cc
@@ -4,7 +4,7 @@
 {
 namespace
 {
-/// At four reports a second this is 20 samples.
+/// Retention of individual samples. At four reports per second this is 20 samples.
 constexpr base::Duration kRetention = base::seconds(5);
 
 }  // namespace
--- a/src/rollout/answer_history.h
+++ b/src/rollout/answer_history.h
@@ -1,4 +1,4 @@
-/// What one endpoint answered on one route, lately and since it was first looked at.
+/// Answer counts of one endpoint on one route, over recent time spans and in total.
 #ifndef DRIFTLUG_ROLLOUT_ANSWER_HISTORY_H_HEADER_GUARD
 #define DRIFTLUG_ROLLOUT_ANSWER_HISTORY_H_HEADER_GUARD
 
@@ -9,18 +9,18 @@
 
 namespace driftlug::rollout
 {
-/// Samples by time. Those of the last seconds are kept one by one, so that a version that turns bad is seen in them and
-/// not lost among its good answers of before.
+/// Time series of samples. Samples of the last 5 s are kept individually, so that a version that becomes unhealthy is
+/// detected in its recent answers and is not masked by earlier successful ones.
 class answer_history
 {
 public:
-	/// Adds answers that came just now.
+	/// Adds a sample and drops samples that exceed the retention time.
 	void add(const run_sample& _sample, base::TimePoint _now);
 
-	/// @returns The answers since a point in time, as far as they are kept.
+	/// @returns The sum of the retained samples since a point in time.
 	run_sample since(base::TimePoint _time) const;
 
-	/// @returns All answers.
+	/// @returns The sum of all samples ever added.
 	const run_sample& all() const
 	{
 		return m_total;
--- a/src/rollout/ramp.cc
+++ b/src/rollout/ramp.cc
@@ -8,32 +8,33 @@
 {
 namespace
 {
-/// Part of the exposure that the trial may use up; the rest is for what the steps of the rise give a version that turns
-/// bad then, until that is noticed.
+/// Share of the exposure limit available to the trial phase. The rest is reserved for requests sent during the ramp-up
+/// steps to a version that becomes unhealthy then, until the failure is detected.
 constexpr double kTrialExposureShare = 0.6;
-/// Part of the requests beyond the share that it may use up.
+/// Share of the exposure slack available to the trial phase.
 constexpr double kTrialSlackShare = 0.4;
 constexpr int kMinTrialPermille = 10;
 constexpr int kMaxTrialPermille = 100;
 constexpr int kMiddlePermille = 350;
 constexpr int kHighestPermille = 950;
-/// From a decision until its effect is counted and told: a commit, the way to the nodes, a quarter of a second between
-/// two reports, and their way back, each some tens to hundreds of milliseconds.
+/// Time from a decision until its effect is visible in reports: log commit, propagation to the nodes, the report
+/// interval of 250 ms, and propagation of the reports. Each part takes some tens to hundreds of milliseconds.
 constexpr base::Duration kStepTime = base::milliseconds(900);
-/// What an endpoint answers before it is another's turn: a version that is three times slower shows within some 25
-/// answers.
+/// Answers per endpoint before the trial moves on to the next group; enough to detect a version that is three times
+/// slower.
 constexpr double kAnswersPerEndpoint = 25;
-/// Beside it, for the nodes to follow; and a share of a long order's time, so that its steps cost next to nothing.
+/// Added to the time of each group, for the nodes to apply the new row.
 constexpr base::Duration kGroupSwitchDelay = base::milliseconds(400);
+/// Minimum time per group as a share of the rollout time, so that long rollouts write few rows.
 constexpr double kMinGroupTimeShare = 0.08;
-/// Beyond the longest usual run, until the last node's word that nothing runs any more is here.
+/// Added to the 99th percentile of run times, until the last report of an idle endpoint has arrived.
 constexpr base::Duration kRetireMargin = base::milliseconds(1700);
 constexpr base::Duration kMaxRetireTime = base::seconds(4);
-/// Kept free at the end: an order may have been sent again for some seconds before it was accepted, and is read back by
-/// whoever gave it until its time is over.
+/// Reserve before the deadline: a client may have retried the order for some seconds before it was accepted, and reads
+/// the outcome only until its own deadline.
 constexpr double kReserveShare = 0.1;
 constexpr base::Duration kMaxReserve = base::seconds(2);
-/// Share of the order's time that retiring may take, and the steps of the rise.
+/// Maximum shares of the rollout time for retiring the standing version and for each ramp-up step.
 constexpr double kMaxRetireShare = 0.3;
 constexpr double kMaxStepShare = 0.08;
 
--- a/src/rollout/ramp.h
+++ b/src/rollout/ramp.h
@@ -1,4 +1,4 @@
-/// When a version on trial gets which share of the requests.
+/// Schedule of the traffic share of the target version.
 #ifndef DRIFTLUG_ROLLOUT_RAMP_H_HEADER_GUARD
 #define DRIFTLUG_ROLLOUT_RAMP_H_HEADER_GUARD
 
@@ -6,53 +6,53 @@
 
 namespace driftlug::rollout
 {
-/// How many of a service's requests a version that may be bad gets, at the most.
+/// Upper bound of the requests that may reach a target version before it is rolled back.
 struct exposure_limit
 {
-	double share = 0.1;  //!< Of all requests from the order to the end of its time.
-	double slack = 50;   //!< Requests beyond that.
+	double share = 0.1;  //!< Of all requests of the service between the order and its deadline.
+	double slack = 50;   //!< Additional requests.
 };
 
-/// What the ramp of one order follows from.
+/// Inputs of the schedule of one rollout.
 struct ramp_options
 {
-	base::Duration finishBy{0};    //!< From the order.
-	base::Duration p99RunTime{0};  //!< A request in a hundred runs longer on the standing version.
-	double answersPerSecond = 0;   //!< Of the service.
+	base::Duration finishBy{0};    //!< Deadline, relative to the order.
+	base::Duration p99RunTime{0};  //!< 99th percentile of run times on the standing version.
+	double answersPerSecond = 0;   //!< Request rate of the service.
 	exposure_limit exposure;
 };
 
-/// The share of requests that a version on trial gets, by the time since the order.
+/// Share of requests sent to the target version, as a function of the time since the order.
 ///
-/// What a bad version may get is a share of all requests of the order's time, and one may turn bad at any moment, so
-/// the ramp stays low for long and rises late: a small share while there is time to look, then, in two steps,
-/// everything, with just the time left that the last requests on the standing version need to end. Spreading the rise
-/// over the time would give a version that turns bad halfway several times more requests before it is noticed.
+/// The exposure limit covers all requests of the rollout, and a version may become unhealthy at any time. The ramp
+/// therefore stays at a small trial share for most of the time and increases late: in two steps to the full load, with
+/// just enough time left to drain the standing version. Spreading the increase over the whole time would send several
+/// times more requests to a version that becomes unhealthy halfway, before this is detected.
 class ramp
 {
 public:
 	explicit ramp(const ramp_options& _options);
 
-	/// @returns The share while there is time to look, of a thousand.
+	/// @returns The share of the trial phase in permille.
 	int trialPermille() const;
 
-	/// @returns The share of the step between the trial and everything.
+	/// @returns The share of the first ramp-up step in permille.
 	int middlePermille() const;
 
-	/// @returns The share before the standing version retires: it keeps a few requests, so that it can be compared
-	/// with.
+	/// @returns The share of the second ramp-up step in permille. The standing version keeps the rest, as a baseline
+	/// for comparison, until it retires.
 	int highestPermille() const;
 
-	/// @returns When the share rises beyond the trial's, from the order.
+	/// @returns The end of the trial phase, relative to the order.
 	base::Duration rampUpAt() const;
 
-	/// @returns How long each step of the rise takes: for the nodes to follow, and for what is bad to be told.
+	/// @returns The minimum duration of a ramp-up step: the nodes apply the new share, and failures are reported.
 	base::Duration stepTime() const;
 
-	/// @returns For how long a group of so many endpoints is tried before it is another's turn.
+	/// @returns The minimum duration of the trial of one group with the given number of endpoints.
 	base::Duration groupTime(int _permille, int _endpoints) const;
 
-	/// @returns How long requests that began on the standing version are waited for, as far as the order's time goes.
+	/// @returns The time reserved for draining the standing version, limited to a share of the rollout time.
 	base::Duration retireTime() const;
 
 private:
--- a/src/rollout/rollout_driver.cc
+++ b/src/rollout/rollout_driver.cc
@@ -9,17 +9,18 @@
 namespace
 {
 constexpr size_t kMinGroupSize = 1;
-/// Nodes for each endpoint on trial at the most: each of them opens a connection there.
+/// Maximum number of nodes per endpoint of the trial group; each node opens a connection to each endpoint of the group.
 constexpr size_t kMaxNodesPerEndpoint = 500;
-/// A controller that has just begun to lead has heard of each endpoint after this time: its relays connect again, and
-/// two reports of each endpoint have come.
+/// A new leader does not increase the share before this time: its relays reconnect, and two reports of each endpoint
+/// arrive.
 constexpr base::Duration kReportCollectionTime = base::milliseconds(1200);
-/// Until it takes what did not report for gone: the lease of an endpoint whose node was lost.
+/// A new leader completes no rollout before this time, the lease of an endpoint whose node was lost. Endpoints that
+/// have not reported by then are gone.
 constexpr base::Duration kEndpointLossTimeout = base::milliseconds(2500);
-/// Nodes that don't say within this time that they have a row are cut off or gone; they hold nothing up.
+/// Nodes that do not confirm a row within this time are disconnected or gone and do not delay the rollout.
 constexpr base::Duration kNodeConfirmationTimeout = base::seconds(2);
-/// Share of the standing version's slots that the new one must have to take its requests, or else room for what is at
-/// work now.
+/// The target version has enough capacity if it has kMinSlotShare of the standing version's slots, or if the requests
+/// active on both versions take at most kMaxActiveShare of its own slots.
 constexpr double kMinSlotShare = 0.6;
 constexpr double kMaxActiveShare = 0.85;
 
@@ -33,7 +34,7 @@
 	return row;
 }
 
-/// As many endpoints as the share is of the usual load of all, so that each carries what it will in the end.
+/// Sizes the trial group in proportion to the traffic share, so that each endpoint gets its eventual load.
 size_t groupSizeFor(int _permille, const rollout_situation& _situation)
 {
 	const size_t byLoad = (static_cast<size_t>(_permille) * _situation.target.count + kWholePermille / 2)
@@ -52,7 +53,7 @@
 
 std::string reasonOf(const version_verdict& _verdict)
 {
-	return _verdict.reason.empty() ? "nothing speaks against the version" : _verdict.reason;
+	return _verdict.reason.empty() ? "no evidence against the version" : _verdict.reason;
 }
 
 }  // namespace
@@ -148,7 +149,7 @@
 		0 < _current.groupSize && static_cast<size_t>(_current.groupSize) < _situation.target.count;
 	if (partialGroup && _ramp.groupTime(permille, _current.groupSize) <= _situation.stepAge)
 	{
-		// Whether it is the endpoints or the version, others tell, under the same load.
+		// Other endpoints under the same load tell a fault of the version from a fault of single endpoints.
 		auto row = step(_current, _situation, permille, groupSizeFor(permille, _situation));
 		row.groupOffset = (_current.groupOffset + _current.groupSize) % static_cast<int>(_situation.target.count);
 		return row;
--- a/src/rollout/rollout_driver.h
+++ b/src/rollout/rollout_driver.h
@@ -1,4 +1,4 @@
-/// Decides the steps of an order to move a service to another version.
+/// State machine of a rollout that moves a service to another version.
 #ifndef DRIFTLUG_ROLLOUT_ROLLOUT_DRIVER_H_HEADER_GUARD
 #define DRIFTLUG_ROLLOUT_ROLLOUT_DRIVER_H_HEADER_GUARD
 
@@ -13,34 +13,34 @@
 
 namespace driftlug::rollout
 {
-/// Endpoints of one version, as their newest reports tell.
+/// Totals over the endpoints of one version, from their latest reports.
 struct version_endpoints
 {
 	size_t count = 0;
 	int slots = 0;
-	int active = 0;  //!< Requests that run or wait there.
+	int active = 0;  //!< Requests that run or wait at the endpoints.
 };
 
-/// What the leading controller knows when it looks at an order.
+/// Inputs of the leading controller for the next step of a rollout.
 struct rollout_situation
 {
-	base::Duration elapsed{0};        //!< Since the order.
-	base::Duration stepAge{0};        //!< Since the row was last written.
-	base::Duration leadershipAge{0};  //!< Since this controller leads, and gets reports.
-	base::Duration p99RunTime{0};     //!< A request in a hundred runs longer on the standing version.
+	base::Duration elapsed{0};        //!< Time since the order.
+	base::Duration stepAge{0};        //!< Time since the row was last written.
+	base::Duration leadershipAge{0};  //!< Time since this controller became leader.
+	base::Duration p99RunTime{0};     //!< 99th percentile of run times on the standing version.
 	double answersPerSecond = 0;
 	version_verdict verdict;
 	version_endpoints target;
 	version_endpoints standing;
-	bool standingIdle = false;       //!< All endpoints of the standing version run the newest row, and nothing else.
-	bool inForceEverywhere = false;  //!< The newest row is in force at all nodes that are there.
-	size_t nodes = 0;                //!< That send requests.
+	bool standingIdle = false;       //!< All standing endpoints have applied the latest row and run no request.
+	bool inForceEverywhere = false;  //!< The latest row is in force at all attached nodes.
+	size_t nodes = 0;                //!< Attached nodes.
 };
 
-/// The state machine of one order, without I/O: a row and what is known give the next row, or none.
+/// State machine of one rollout, without I/O: computes the next row, if any, from the current row and the situation.
 ///
-/// Invariants: the share of the target only rises while the version looks well and reports come in; an order ends once;
-/// it completes only when nothing runs on the standing version any more and the nodes send nothing there.
+/// Invariants: the share of the target only increases while the version is healthy and reports arrive; a rollout ends
+/// exactly once; it completes only when the standing version runs no request and the nodes send none to it.
 class rollout_driver
 {
 public:
@@ -49,16 +49,16 @@
 	{
 	}
 
-	/// @returns The first row of an order.
-	/// @param[in] _current The row that stands; no order is under way in it.
+	/// @returns The first row of a rollout.
+	/// @param[in] _current Current row; no rollout may be running in it.
 	static wire::RolloutRow begin(const wire::RolloutRow& _current, const std::string& _target,
 								  base::Duration _finishBy);
 
-	/// @returns The row of an order that is taken back.
+	/// @returns The row of a rollout that is rolled back.
 	static wire::RolloutRow rollBack(const wire::RolloutRow& _current, base::Duration _elapsed,
 									 const std::string& _reason);
 
-	/// @returns The next row of a running order; nothing while it stays as it is.
+	/// @returns The next row of a running rollout; nothing while no step is due.
 	std::optional<wire::RolloutRow> next(const wire::RolloutRow& _current, const rollout_situation& _situation) const;
 
 private:
--- a/src/rollout/route_baseline.cc
+++ b/src/rollout/route_baseline.cc
@@ -6,18 +6,19 @@
 {
 namespace
 {
-/// Answers after which an older one counts half: at some hundred a second, the last seconds decide.
+/// Half-life of the exponential decay, in answers. At some hundred answers per second the last seconds dominate.
 constexpr double kHalfLifeAnswers = 400;
-/// What is assumed before anything was seen, and how many answers that assumption is worth.
+/// Prior shares, and their weight in answers.
 constexpr double kPriorFailedShare = 0.02;
 constexpr double kPriorSlowShare = 0.04;
 constexpr double kPriorAnswers = 50;
-/// Share of the usual answers that may count as slow. With run times spread as those of the services seen (0.3 to 0.8
-/// in logarithms) and machines of 0.5 to 1.6 times the usual speed it lies at two to four times the usual run, so that
-/// the slowest machines don't look like a bad version (0.16 of their answers at the most).
+/// Share of the standing version's answers that count as slow. With the spread of run times of known services (standard
+/// deviation 0.3 to 0.8 in logarithms) and machines of 0.5 to 1.6 times the typical speed, the threshold lies at two to
+/// four times the typical run time. On the slowest machines at most 0.16 of the answers exceed it, so that these do not
+/// look like an unhealthy version.
 constexpr double kSlowTailShare = 0.04;
 constexpr double kP99TailShare = 0.01;
-/// Run times below which nothing is held to be slow.
+/// Minimum number of run times for a valid threshold of slow answers.
 constexpr double kMinRunTimes = 40;
 
 }  // namespace
@@ -58,7 +59,7 @@
 
 double route_baseline::failedShare() const
 {
-	// Never far below what is assumed: a handful of failures among a hundred tells nothing of a version.
+	// The prior keeps the share from dropping far below its own: a few failures in a hundred answers are no evidence.
 	return (m_failed + kPriorFailedShare * kPriorAnswers) / (m_answered + kPriorAnswers);
 }
 
--- a/src/rollout/route_baseline.h
+++ b/src/rollout/route_baseline.h
@@ -1,4 +1,4 @@
-/// How the standing version serves a route, as what a new one is compared with.
+/// Baseline of one route: failure rate and run times of the standing version.
 #ifndef DRIFTLUG_ROLLOUT_ROUTE_BASELINE_H_HEADER_GUARD
 #define DRIFTLUG_ROLLOUT_ROUTE_BASELINE_H_HEADER_GUARD
 
@@ -8,31 +8,32 @@
 
 namespace driftlug::rollout
 {
-/// Shares of failed and slow answers of the standing version's endpoints, of the last some hundred answers. What
-/// befalls the whole fleet (a burst, a service behind it that fails) shows here too and is not held against the new
-/// version. It ages with answers, not with time: once all requests go to the new version it stays as it was.
+/// Shares of failed and slow answers of the standing version's endpoints, over some hundred recent answers. Faults that
+/// affect the whole fleet (a burst of load, a failing dependency) raise the baseline too and are not attributed to the
+/// target version. The baseline decays with answers, not with time: once all requests go to the target version it stays
+/// unchanged.
 class route_baseline
 {
 public:
 	route_baseline();
 
-	/// Takes answers.
-	/// @param[in] _runs Run times of those that did not fail, by bucket.
+	/// Adds answers.
+	/// @param[in] _runs Run times of the answers that did not fail, by bucket.
 	void add(int64_t _answered, int64_t _failed, const run_time_counts& _runs);
 
-	/// @returns The share of answers that fail, with a small one assumed before any was seen.
+	/// @returns The share of failed answers; a small prior before any answer was added.
 	double failedShare() const;
 
-	/// @returns The bucket from which on an answer counts as slow.
+	/// @returns The first bucket whose answers count as slow.
 	size_t firstSlowBucket() const;
 
-	/// @returns The share of answers that are slow.
+	/// @returns The share of slow answers.
 	double slowShare() const;
 
-	/// @returns Whether enough run times were seen to tell what is slow.
+	/// @returns Whether there are enough run times for firstSlowBucket() to be valid.
 	bool hasRunTimes() const;
 
-	/// @returns A run time that one in a hundred takes longer than, at most 0 before any was seen.
+	/// @returns The 99th percentile of run times; 0 before any was added.
 	base::Duration p99RunTime() const;
 
 private:
--- a/src/rollout/run_sample.h
+++ b/src/rollout/run_sample.h
@@ -1,4 +1,4 @@
-/// Answers of one endpoint on one route in some span of time.
+/// Answer counts of one endpoint on one route within a time span.
 #ifndef DRIFTLUG_ROLLOUT_RUN_SAMPLE_H_HEADER_GUARD
 #define DRIFTLUG_ROLLOUT_RUN_SAMPLE_H_HEADER_GUARD
 
@@ -6,14 +6,14 @@
 
 namespace driftlug::rollout
 {
-/// Samples add up.
+/// Counts and sums; samples of several time spans or routes can be added.
 struct run_sample
 {
 	int64_t answered = 0;
 	int64_t failed = 0;
-	int64_t timed = 0;    //!< Answers whose run time counts.
-	int64_t slow = 0;     //!< Of these: slower than nearly all of the standing version's.
-	double logSumMs = 0;  //!< Sum of the natural logarithms of their run times.
+	int64_t timed = 0;    //!< Answers with a counted run time.
+	int64_t slow = 0;     //!< Timed answers above the slow threshold of the route baseline.
+	double logSumMs = 0;  //!< Sum of the natural logarithms of the run times in milliseconds.
 
 	run_sample& operator+=(const run_sample& _other)
 	{
--- a/src/rollout/run_statistics.cc
+++ b/src/rollout/run_statistics.cc
@@ -8,8 +8,8 @@
 {
 namespace
 {
-/// Routes told apart at one endpoint; a service with more has its further ones counted together. It bounds a report to
-/// some kilobytes.
+/// Maximum number of routes counted separately at one endpoint; further routes share the counts of kOtherRoutes. This
+/// limits a report to a few kilobytes.
 constexpr size_t kMaxRoutes = 32;
 constexpr int64_t kOtherRoutes = 0;
 
--- a/src/rollout/run_statistics.h
+++ b/src/rollout/run_statistics.h
@@ -1,4 +1,4 @@
-/// What a back end did with its requests, counted at the node beside it while a rollout runs.
+/// Per-route answer counts and run times of a back end, collected by its local node during a rollout.
 #ifndef DRIFTLUG_ROLLOUT_RUN_STATISTICS_H_HEADER_GUARD
 #define DRIFTLUG_ROLLOUT_RUN_STATISTICS_H_HEADER_GUARD
 
@@ -15,27 +15,27 @@
 
 namespace driftlug::rollout
 {
-/// Counts by route. They only grow, so a report that is lost, late or taken twice changes nothing: the newest one tells
-/// all. Run times are taken at the back end, without the wait for a slot or a link.
+/// Cumulative counts by route. Since they are cumulative, lost, late and duplicate reports do no harm: the latest one
+/// contains everything. Run times are measured at the back end, without the time spent waiting for a slot or a link.
 class run_statistics
 {
 public:
-	/// A back end has answered, or its run was cut off or timed out.
+	/// Records a run that was answered, lost its connection or timed out.
 	/// @param[in] _route Hash of the route's name.
 	/// @param[in] _failed Whether the back end, not the request, was at fault.
-	/// @param[in] _cold Whether the back end is slow from its start, so that its run time tells nothing.
+	/// @param[in] _cold Whether the back end is still warming up; its run time is not counted then.
 	void record(int64_t _route, bool _failed, base::Duration _run, bool _cold);
 
-	/// Fills in the counts of a report.
+	/// Adds the counts to a report.
 	void fill(wire::VersionReport* _report) const;
 
-	/// @returns Answers of all routes.
+	/// @returns The number of answers on all routes.
 	int64_t answered() const
 	{
 		return m_answered;
 	}
 
-	/// Forgets everything.
+	/// Resets all counts.
 	void clear();
 
 private:
--- a/src/rollout/run_time_buckets.h
+++ b/src/rollout/run_time_buckets.h
@@ -1,4 +1,4 @@
-/// Buckets of run times, so that distributions can be added up and compared.
+/// Logarithmic histogram buckets of run times, so that distributions can be added and compared.
 #ifndef DRIFTLUG_ROLLOUT_RUN_TIME_BUCKETS_H_HEADER_GUARD
 #define DRIFTLUG_ROLLOUT_RUN_TIME_BUCKETS_H_HEADER_GUARD
 
@@ -12,12 +12,12 @@
 
 namespace driftlug::rollout
 {
-/// Four buckets for each doubling from a millisecond on, up to a minute: neighbours differ by a fifth, well below the
-/// several times by which a bad version is slower.
+/// Four buckets per doubling, from one millisecond up to a minute. Adjacent buckets differ by a fifth, well below the
+/// several-fold slowdown of an unhealthy version.
 constexpr int kBucketsPerDoubling = 4;
 constexpr size_t kRunTimeBuckets = 64;
 
-/// Counts by bucket.
+/// Run time counts by bucket.
 using run_time_counts = std::array<int64_t, kRunTimeBuckets>;
 
 /// @returns The bucket of a run time.
@@ -28,13 +28,13 @@
 	return std::min(kRunTimeBuckets - 1, static_cast<size_t>(position));
 }
 
-/// @returns The natural logarithm of a usual run time of a bucket, in milliseconds.
+/// @returns The natural logarithm of the (geometric) middle of a bucket in milliseconds.
 inline double logMidpointMs(size_t _bucket)
 {
 	return (static_cast<double>(_bucket) + 0.5) / kBucketsPerDoubling * std::log(2.0);
 }
 
-/// @returns The longest run time of a bucket.
+/// @returns The upper bound of a bucket.
 inline base::Duration upperBoundOf(size_t _bucket)
 {
 	const double ms = std::exp2(static_cast<double>(_bucket + 1) / kBucketsPerDoubling);
--- a/src/rollout/version_comparison.cc
+++ b/src/rollout/version_comparison.cc
@@ -10,42 +10,45 @@
 {
 namespace
 {
-/// Sum of evidence that is needed: one chance in e^11, about 60,000, for a look by itself. A rollout is looked at some
-/// hundred times, for some symptoms, routes and spans, most of which see the same answers.
+/// Required sum of log-likelihood ratios: the false positive odds of a single evaluation are 1 in e^11, about 60,000. A
+/// rollout is evaluated some hundred times, for several symptoms, routes and time spans, most of which use the same
+/// answers.
 constexpr double kRequiredEvidence = 11;
-/// Where a version has less endpoints than can be told from ill ones, those that there are have to show twice as much.
+/// With fewer endpoints, an unhealthy version cannot be told reliably from faulty endpoints, and twice the evidence is
+/// required.
 constexpr size_t kFewEndpoints = 3;
 constexpr double kFewEndpointsFactor = 2;
-/// Evidence from which on an endpoint counts as ill.
+/// Log-likelihood ratio from which an endpoint counts as faulty.
 constexpr double kFaultyEvidence = 3;
-/// Chance that more endpoints are ill than are left out.
+/// Maximum probability that more endpoints are faulty than are excluded.
 constexpr double kExcessFaultyProbability = 1e-3;
-/// Taken for seen besides: so many endpoints, half a one of them ill, so that a small fleet's good luck proves nothing.
+/// Prior for the share of faulty endpoints, so that the absence of faults in a small fleet is no proof.
 constexpr double kPriorEndpoints = 10;
 constexpr double kPriorFaultyEndpoints = 0.5;
-/// Assumed of the answers, and how many seen ones that is worth.
+/// Prior share of answers with a symptom, and its weight in answers.
 constexpr double kPriorShare = 0.02;
 constexpr double kPriorAnswers = 50;
-/// Run times of an endpoint below which its mean says little, and endpoints that are needed.
+/// Minimum number of run times for a usable mean of an endpoint, and of endpoints for a comparison.
 constexpr int64_t kMinTimedAnswers = 5;
 constexpr size_t kMinComparedEndpoints = 2;
-/// How far, in standard errors, the means have to be apart.
+/// Required difference of the means in standard errors.
 constexpr double kRequiredStandardErrors = 5;
-/// Taken for the least standard deviation between endpoints of one version: speeds of 0.7 to 1.4 times the usual.
+/// Lower bound of the standard deviation between endpoints of one version: 0.7 to 1.4 times the typical speed.
 constexpr double kMinEndpointDeviation = 0.3;
-/// Least shift worth a rollback: half as long again.
+/// Minimum slowdown that justifies a rollback: run times 1.5 times as long.
 const double kMinShift = std::log(1.5);
 
-/// Beyond the median of the standing version's endpoints, as a logarithm: 2.7 times slower. Machines differ by less.
+/// Distance of slow outliers from the median of the standing version's endpoints, as a logarithm: 2.7 times slower.
+/// Differences between healthy machines are smaller.
 constexpr double kSlowOutlierMargin = 1;
-/// Spread of single run times, as a variance of logarithms: what was seen is 0.1 to 0.6.
+/// Variance of the logarithms of single run times; known services have 0.1 to 0.6.
 constexpr double kRunTimeVariance = 0.5;
 
-/// Means of endpoints' run times.
+/// Mean logarithms of the run times of endpoints.
 struct endpoint_means
 {
 	std::vector<double> means;
-	double samplingVariance = 0;  //!< Mean of what they are uncertain by, as a variance.
+	double samplingVariance = 0;  //!< Mean sampling variance of the means.
 
 	double mean() const
 	{
@@ -86,7 +89,7 @@
 	return found;
 }
 
-/// @returns The chance of more than _hits in _draws, each with the given chance.
+/// @returns The probability of more than _hits successes in _draws independent trials.
 double binomialTail(size_t _hits, size_t _draws, double _probability)
 {
 	double sum = 0;
@@ -100,10 +103,10 @@
 	return sum;
 }
 
-/// Share of answers above which nothing more can be told.
+/// Maximum expected share of answers with a symptom; above it, an excess cannot be detected.
 constexpr double kMaxBaselineShare = 0.95;
 
-/// @returns How much likelier an endpoint's answers are with a symptom than without, as a logarithm.
+/// @returns The log-likelihood ratio of an endpoint's answers with the symptom to those without it.
 double logLikelihoodRatio(const run_sample& _sample, const symptom& _symptom, double _baselineShare)
 {
 	const double baselineShare = std::min(_baselineShare, kMaxBaselineShare - _symptom.excessShare);
@@ -140,7 +143,7 @@
 	}
 	symptom_baseline baseline;
 	baseline.share = shareOf(all);
-	// Ill endpoints make the mean of all look worse than what a well one does.
+	// Faulty endpoints raise the share of all above that of the healthy ones.
 	run_sample healthy;
 	double faulty = kPriorFaultyEndpoints;
 	double seen = kPriorEndpoints;
@@ -223,7 +226,7 @@
 	}
 
 	target.means.resize(result.testedEndpoints - result.excludedEndpoints);
-	// How far endpoints of one version are apart is told by the standing version's, of which there are more.
+	// The variance between endpoints of one version is estimated from the standing version, which has more of them.
 	const double between =
 		std::max(kMinEndpointDeviation * kMinEndpointDeviation, standing.variance() - standing.samplingVariance);
 	const double error =
--- a/src/rollout/version_comparison.h
+++ b/src/rollout/version_comparison.h
@@ -1,4 +1,4 @@
-/// Statistical tests between the endpoints of two versions.
+/// Statistical tests that compare the endpoints of the target version with those of the standing version.
 #ifndef DRIFTLUG_ROLLOUT_VERSION_COMPARISON_H_HEADER_GUARD
 #define DRIFTLUG_ROLLOUT_VERSION_COMPARISON_H_HEADER_GUARD
 
@@ -10,56 +10,57 @@
 
 namespace driftlug::rollout
 {
-/// What is looked for: a share of answers beyond what is usual.
+/// A failure symptom: an excess of failed or slow answers over the baseline.
 struct symptom
 {
 	const char* name = "";
-	bool failing = false;    //!< Answers that fail, or else that are slow.
-	double excessShare = 0;  //!< Share of answers beyond the usual one.
+	bool failing = false;    //!< Whether failed answers are counted; slow ones otherwise.
+	double excessShare = 0;  //!< Expected share of such answers in excess of the baseline share.
 };
 
-/// How sure a test is that a version is bad.
+/// Evidence of a test that a version is unhealthy.
 struct test_result
 {
-	double strength = 0;           //!< Of what is needed: 1 and more is sure.
-	size_t testedEndpoints = 0;    //!< Endpoints of the version with answers.
-	size_t excludedEndpoints = 0;  //!< Of these: as many as may be ill by themselves, the worst first.
+	double strength = 0;           //!< Evidence relative to the required one; 1 or more means unhealthy.
+	size_t testedEndpoints = 0;    //!< Endpoints of the version with enough answers.
+	size_t excludedEndpoints = 0;  //!< The worst of these, which may be faulty by chance.
 };
 
-/// What is usual among the endpoints of the standing version.
+/// Baseline of a symptom on the standing version.
 struct symptom_baseline
 {
-	double share = 0;        //!< Of the answers of well endpoints that show a symptom.
-	double faultyShare = 0;  //!< Of the endpoints that show it far more often than the others.
+	double share = 0;        //!< Share of answers with the symptom on healthy endpoints.
+	double faultyShare = 0;  //!< Share of endpoints that show the symptom far more often than the others.
 };
 
-/// @returns What is usual, with some unremarkable answers and endpoints assumed besides those seen.
+/// @returns The baseline of a symptom, estimated with priors for the answers and the endpoints.
 symptom_baseline symptomBaselineOf(const symptom& _symptom, std::span<const run_sample> _standing);
 
-/// @returns How many of some endpoints may be ill by themselves, by chance, where a share of endpoints is.
+/// @returns The number of endpoints that may be faulty by chance if each is with probability _faultyShare.
 size_t faultyByChance(size_t _endpoints, double _faultyShare);
 
-/// Tests for a symptom.
+/// Tests the target version for a symptom.
 ///
-/// Faults of single endpoints look like a bad version as long as few endpoints were tried. So as many of the worst are
-/// left out as may be ill by chance, seen what share of the standing version's is, and the others have to be worse
-/// without them: one ill endpoint never makes a version bad, and a bad version is told from few answers each of many.
-/// @param[in] _target Answers of the endpoints of the version on trial, on one route in one span of time.
-/// @param[in] _known Endpoints of the version on trial that there are.
+/// While few endpoints have been tested, faults of single endpoints look like an unhealthy version. The test therefore
+/// excludes the worst endpoints, as many as may be faulty by chance given the share among the standing version's, and
+/// sums the evidence of the others. A single faulty endpoint never makes a version unhealthy, and an unhealthy version
+/// is detected from few answers of each of many endpoints.
+/// @param[in] _target Samples of the target version's endpoints, on one route in one time span.
+/// @param[in] _knownEndpoints Number of endpoints of the target version, with or without answers.
 test_result testSymptom(const symptom& _symptom, const symptom_baseline& _baseline, std::span<const run_sample> _target,
 						size_t _knownEndpoints);
 
-/// @returns The mean logarithm of run times from which on an endpoint of the standing version is held to be ill, and
-/// tells nothing of its version; infinite while too little was seen.
+/// @returns The mean logarithm of run times from which an endpoint of the standing version counts as a slow outlier and
+/// is excluded from the baseline; infinity if fewer than two endpoints have enough run times.
 double slowOutlierThreshold(std::span<const run_sample> _standing);
 
-/// @returns The mean logarithm of an endpoint's run times; nothing where too few were seen.
+/// @returns The mean logarithm of an endpoint's run times in milliseconds; nothing if there are too few.
 std::optional<double> meanLogRunTime(const run_sample& _sample);
 
-/// Tests whether the endpoints of the version on trial take longer, by their mean logarithms of run times, than those
-/// of the standing version, seen how far these are apart among themselves: machines differ in speed. Those that are ill
-/// by themselves are left out on both sides. It tells a version that is slower as a whole from some 20 answers each of
-/// some endpoints.
+/// Tests whether the target version has longer run times than the standing version. The test compares the means over
+/// the endpoints of their mean logarithmic run times, relative to the variance between endpoints: machines differ in
+/// speed. Faulty endpoints are excluded on both sides. About 20 answers of each of several endpoints suffice to detect
+/// a version that is slower overall.
 test_result testRunTimes(std::span<const run_sample> _target, std::span<const run_sample> _standing);
 
 }  // namespace driftlug::rollout
--- a/src/rollout/version_evidence.cc
+++ b/src/rollout/version_evidence.cc
@@ -12,15 +12,15 @@
 namespace
 {
 constexpr base::Duration kAllTime = base::Duration::max();
-/// Spans over which answers are looked at: short ones notice what has just begun, long ones what is rare.
+/// Time spans of the evaluation: short ones detect recent failures, long ones detect rare failures.
 constexpr base::Duration kSpans[] = {base::seconds(1), base::seconds(2), base::seconds(4), kAllTime};
-/// Added to the share of failed answers that counts as usual where the standing version gets no requests any more:
-/// what befalls both, as the failure of a service behind them, shows in one only then.
+/// Added to the baseline share of failed answers once the standing version gets no more requests. A fault that would
+/// affect both versions, such as a failing dependency, then shows on the target version only.
 constexpr double kNoComparisonMargin = 0.10;
-/// Share of what is needed from which on a version gets no more requests than it has.
+/// Strength of the evidence from which the share of a version is not increased further.
 constexpr double kSuspectStrength = 0.6;
 constexpr base::Duration kThresholdRefreshInterval = base::milliseconds(500);
-/// Over which the rate of answers is taken.
+/// Time span for the rate of answers.
 constexpr base::Duration kRateSpan = base::seconds(4);
 
 constexpr symptom kSymptoms[] = {
@@ -95,7 +95,7 @@
 	{
 		delta.runs[i] = std::max<int64_t>(0, now.runs[i] - before.runs[i]);
 	}
-	// Of what was counted before the endpoint was first looked at nobody knows when it happened.
+	// The first report of an endpoint only sets the starting counts: the time of its answers is unknown.
 	if (_first || 0 == delta.answered)
 	{
 		return;
@@ -110,10 +110,10 @@
 	}
 }
 
-/// With the answers of endpoints that are ill, several times slower would be usual.
+/// Slow outliers must not enter the baseline, or a severalfold slowdown would become normal.
 bool version_evidence::isSlowOutlier(int64_t _route, const answer_history& _history, const version_policy& _policy)
 {
-	// It takes a pass over all endpoints, and changes slowly.
+	// Computing the threshold takes a pass over all endpoints, and it changes slowly.
 	const auto [known, first] = m_slowOutlierThresholds.try_emplace(_route);
 	if (first || m_time.now() - known->second.at >= kThresholdRefreshInterval)
 	{
@@ -139,7 +139,7 @@
 	return sample;
 }
 
-/// @param[in] _route Null for all routes together.
+/// @param[in] _route Route to sum up; null for all routes.
 std::vector<run_sample> version_evidence::samplesOf(std::string_view _version, const int64_t* _route,
 													base::Duration _span) const
 {
@@ -186,7 +186,7 @@
 		const auto span =
 			kAllTime == _span ? "all answers" : absl::StrFormat("the last %d ms", _span / base::milliseconds(1));
 		_verdict->reason =
-			absl::StrFormat("%s %s: strength %.2f over %d endpoints without the worst %d, of %s", _name, route,
+			absl::StrFormat("%s %s: strength %.2f over %d endpoints excluding the worst %d, from %s", _name, route,
 							_result.strength, _result.testedEndpoints, _result.excludedEndpoints, span);
 	};
 	for (const auto& symptom : kSymptoms)
@@ -194,7 +194,7 @@
 		auto symptomBaseline = symptomBaselineOf(symptom, standing);
 		if (_policy.retiring)
 		{
-			// Run times are those of another load now, and nothing is left to compare them with.
+			// The load has changed, and the standing version no longer provides run times to compare with.
 			if (!symptom.failing)
 			{
 				continue;
@@ -204,7 +204,7 @@
 		}
 		keepStrongest(testSymptom(symptom, symptomBaseline, target, known), symptom.name);
 	}
-	// How run times of different routes mix says nothing.
+	// Run times are only comparable within a route: the mix of routes may differ between the versions.
 	if (!_policy.retiring && nullptr != _route)
 	{
 		keepStrongest(testRunTimes(target, standing), "takes longer");
--- a/src/rollout/version_evidence.h
+++ b/src/rollout/version_evidence.h
@@ -1,4 +1,4 @@
-/// What tells a bad version from a good one in bad company.
+/// Health evaluation of the target version of a rollout.
 #ifndef DRIFTLUG_ROLLOUT_VERSION_EVIDENCE_H_HEADER_GUARD
 #define DRIFTLUG_ROLLOUT_VERSION_EVIDENCE_H_HEADER_GUARD
 
@@ -15,44 +15,44 @@
 
 namespace driftlug::rollout
 {
-/// How a version on trial looks.
+/// Health of a target version.
 enum class version_health
 {
 	healthy,
-	suspect,  //!< Something speaks against it, but not enough to be sure.
+	suspect,  //!< There is evidence against the version, but not enough for a rollback.
 	unhealthy,
 };
 
-/// What is known of a version on trial.
+/// Result of the health evaluation.
 struct version_verdict
 {
 	version_health health = version_health::healthy;
-	double strength = 0;         //!< Of what speaks against it, of what is needed.
-	size_t testedEndpoints = 0;  //!< Endpoints of the version with answers.
-	std::string reason;          //!< What speaks against it most, for logs and operators; may be empty.
+	double strength = 0;         //!< Strongest evidence against the version, relative to the required one.
+	size_t testedEndpoints = 0;  //!< Endpoints of the target version with enough answers.
+	std::string reason;          //!< Strongest evidence, for logs and operators; may be empty.
 };
 
-/// An endpoint as its newest report tells.
+/// State of an endpoint from its latest report.
 struct endpoint_report
 {
 	std::string version;
 	base::TimePoint at{};
-	int64_t incarnation = 0;  //!< Of its node.
-	int64_t sequence = 0;     //!< Within the life.
-	int64_t revision = 0;     //!< Of the table in force there.
+	int64_t incarnation = 0;  //!< Incarnation of the counts of its node; the wire field is life.
+	int64_t sequence = 0;     //!< Sequence number within the incarnation.
+	int64_t revision = 0;     //!< Revision of the table in force at its node.
 	int active = 0;
 	int slots = 0;
 };
 
-/// Compares the endpoints of a version on trial, route by route, with the standing version's at the same time.
+/// Compares the endpoints of the target version with those of the standing version, per route and over the same time.
 ///
-/// Faults hit single back ends (some fail, some are slow, machines differ in speed), a bad version is bad wherever it
-/// runs, but maybe not from the start, only on one route or only under load. So it is looked for several symptoms on
-/// each route, in the last second, the last two and four, and in all answers, each time over all endpoints but those
-/// that may be ill by themselves.
+/// Faults affect single back ends: some fail, some are slow, and machines differ in speed. An unhealthy version is
+/// unhealthy on all endpoints, but possibly not from the start, only on one route or only under load. The evaluation
+/// therefore tests each route for several symptoms over the last one, two and four seconds and over all answers, each
+/// time excluding the endpoints that may be faulty by chance.
 ///
-/// Soft state of the leading controller. Reports carry all that an endpoint has counted, so lost, late and repeated
-/// ones do no harm, and a new leader goes on from the next one.
+/// This is soft state of the leading controller. Reports contain the cumulative counts of an endpoint, so lost, late
+/// and duplicate reports do no harm, and a new leader continues with the next report.
 class version_evidence
 {
 public:
@@ -61,24 +61,24 @@
 	{
 	}
 
-	/// Takes a report.
-	/// @param[in] _policy In force at the leader; of other versions only the state is kept.
+	/// Processes a report.
+	/// @param[in] _policy Policy in force at the leader. The counts of endpoints of versions that it does not name are
+	/// ignored.
 	void onReport(const wire::VersionReport& _report, const version_policy& _policy);
 
-	/// @returns How the version on trial looks now.
+	/// @returns The current health of the target version.
 	version_verdict evaluate(const version_policy& _policy) const;
 
-	/// Forgets everything, as a controller does that begins to lead.
+	/// Discards all reports and baselines; called when the controller becomes leader.
 	void clear();
 
-	/// @returns The newest reports that are not older than a time, by endpoint.
+	/// @returns The latest reports of a version's endpoints up to a maximum age, by endpoint.
 	std::map<std::string, endpoint_report> reportsOf(std::string_view _version, base::Duration _notOlderThan) const;
 
-	/// @returns A run time that one answer in a hundred of the standing version takes longer than, of its slowest
-	/// route.
+	/// @returns The 99th percentile of run times of the standing version on its slowest route.
 	base::Duration p99RunTime() const;
 
-	/// @returns Answers a second of both versions, over the last seconds.
+	/// @returns Answers per second of both versions over the last 4 s.
 	double answersPerSecond() const;
 
 private:
@@ -91,7 +91,7 @@
 
 	struct route_state
 	{
-		route_counts last;  //!< Of the newest report.
+		route_counts last;  //!< Cumulative counts of the latest report.
 		answer_history history;
 	};
 
@@ -101,7 +101,7 @@
 		std::map<int64_t, route_state> routes;
 	};
 
-	/// From which mean on an endpoint of the standing version is ill, as it was when it was last worked out.
+	/// Cached result of slowOutlierThreshold() and the time of its computation.
 	struct slow_outlier_threshold
 	{
 		double from = 0;
--- a/src/rollout/version_policy.cc
+++ b/src/rollout/version_policy.cc
@@ -6,8 +6,8 @@
 {
 	if (_version.empty())
 	{
-		// A node that was restarted knows its back end by name before it hears its version, for 1.5 s at the most. Only
-		// where another version may be about is that a reason to keep calls from it.
+		// A restarted node knows the name of its back end up to 1.5 s before its version. Calls are withheld during
+		// that time only if endpoints of another version may exist.
 		return !running && !rolledBack;
 	}
 	if (_version == standing)
