--- a/src/rollout/version_evidence.cc
+++ b/src/rollout/version_evidence.cc
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "rollout/version_comparison.h"
+#include "rollout/version_test.h"
 
 namespace driftlug::rollout
 {
--- a/src/rollout/version_comparison.cc
+++ b/src/rollout/version_test.cc
@@ -1,4 +1,4 @@
-#include "rollout/version_comparison.h"
+#include "rollout/version_test.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/rollout/version_comparison.h
+++ b/src/rollout/version_test.h
@@ -1,6 +1,6 @@
 /// Statistical tests that compare the endpoints of the target version with those of the standing version.
-#ifndef DRIFTLUG_ROLLOUT_VERSION_COMPARISON_H_HEADER_GUARD
-#define DRIFTLUG_ROLLOUT_VERSION_COMPARISON_H_HEADER_GUARD
+#ifndef DRIFTLUG_ROLLOUT_VERSION_TEST_H_HEADER_GUARD
+#define DRIFTLUG_ROLLOUT_VERSION_TEST_H_HEADER_GUARD
 
 #include <cstddef>
 #include <optional>
@@ -65,4 +65,4 @@
 
 }  // namespace driftlug::rollout
 
-#endif  // DRIFTLUG_ROLLOUT_VERSION_COMPARISON_H_HEADER_GUARD
+#endif  // DRIFTLUG_ROLLOUT_VERSION_TEST_H_HEADER_GUARD
--- a/test/rollout/version_evidence_test.cc
+++ b/test/rollout/version_evidence_test.cc
@@ -4,7 +4,7 @@
 
 #include "manual_time.h"
 #include "rollout/run_statistics.h"
-#include "rollout/version_comparison.h"
+#include "rollout/version_test.h"
 
 namespace driftlug::rollout
 {
