--- a/test/rollout/rollout_cost_test.cc
+++ b/test/rollout/rollout_cost_test.cc
@@ -1,4 +1,4 @@
-// What a rollout costs on the wire, by message kind, among processes of the virtual clock.
+// Network cost of a rollout by message type, with simulated processes on the virtual clock.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <cstdio>
@@ -13,8 +13,8 @@
 constexpr base::Duration kOrderAt = base::seconds(6);
 constexpr base::Duration kFinishBy = base::seconds(15);
 
-/// Of a fleet of the aim, with two versions of 300 endpoints for each of its services: what a node beside a back end
-/// may send on reports, of a link of 1 Mbit/s, and what one row may be.
+/// Limits for the required fleet size, with two versions of 300 endpoints for each service: the report bandwidth of a
+/// node with a back end on a link of 1 Mbit/s, and the size of one row.
 constexpr double kReportBytesPerSecond = 1250;
 constexpr double kRowBytes = 200;
 
@@ -37,7 +37,8 @@
 
 }  // namespace
 
-TEST_CASE("without an order nothing is reported; with one a node's reports stay below a hundredth of a narrow link")
+TEST_CASE(
+	"without a rollout nothing is reported; with one, a node's reports use less than a hundredth of a 1 Mbit/s link")
 {
 	rollout_fleet fleet(1);
 	const auto reports = kindOf(wire::VersionReports());
@@ -55,18 +56,18 @@
 	const auto reported = costOf(fleet.traffic(), reports);
 	const auto sliced = costOf(fleet.traffic(), slices);
 	const auto nodes = static_cast<double>(fleet.nodes());
-	// A report crosses the link of its node, and that of its relay, gathered there with others.
+	// A report crosses the link of its node and, batched with others, the link of its relay.
 	const double perNode = static_cast<double>(reported.bytes) / 2 / nodes / took;
 	const auto updates = static_cast<double>(std::max<int64_t>(1, sliced.frames - slicesBefore.frames));
 	const double perUpdate = static_cast<double>(sliced.bytes - slicesBefore.bytes) / updates;
 	std::printf(
-		"reports: %.0f bytes a second of each of %.0f nodes over %.1f s; a step: %.0f bytes to a node, %.1f of "
-		"them in all\n",
+		"reports: %.0f bytes per second and node, %.0f nodes over %.1f s; steps: %.0f bytes per update, %.1f "
+		"updates per node\n",
 		perNode, nodes, took, perUpdate, updates / nodes);
 	CHECK(perNode <= kReportBytesPerSecond);
 	CHECK(perUpdate <= kRowBytes);
 
-	// Reports of the last quarter of a second may still be on their way.
+	// Reports of the last 250 ms may still be in flight.
 	fleet.runUntil(fleet.now() + base::seconds(1));
 	const auto after = costOf(fleet.traffic(), reports).frames;
 	fleet.runUntil(fleet.now() + base::seconds(3));
--- a/test/rollout/rollout_driver_test.cc
+++ b/test/rollout/rollout_driver_test.cc
@@ -23,7 +23,8 @@
 		situation.nodes = 70;
 	}
 
-	/// Goes on by some time; takes the step that is due, if any.
+	/// Advances the time and takes the step that is due, if any.
+	/// @returns Whether a step was taken.
 	bool advance(base::Duration _time)
 	{
 		situation.elapsed += _time;
@@ -37,7 +38,7 @@
 		return next.has_value();
 	}
 
-	/// Goes on until a state holds.
+	/// Advances the time until the predicate holds, for at most 20 s.
 	template <typename Predicate>
 	void runUntilTrue(Predicate _holds)
 	{
@@ -64,7 +65,8 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(fixture, "a version that looks well gets a small share for long, then everything, and is completed")
+TEST_CASE_METHOD(fixture,
+				 "a healthy version keeps a small share for most of the time, then gets all requests and is completed")
 {
 	runUntilTrue(
 		[&]
@@ -93,7 +95,7 @@
 	CHECK_FALSE(row.retiring);
 }
 
-TEST_CASE_METHOD(fixture, "without reports of the new version nothing goes there, and the order ends with its time")
+TEST_CASE_METHOD(fixture, "without reports the target version gets no requests, and the rollout ends at its deadline")
 {
 	situation.target = {};
 	while (situation.elapsed < kFinishBy - base::milliseconds(200))
@@ -108,7 +110,7 @@
 	CHECK(row.reason == "out of time: no endpoint of the version reports");
 }
 
-TEST_CASE_METHOD(fixture, "a bad version is rolled back at each step, also while the standing one retires")
+TEST_CASE_METHOD(fixture, "an unhealthy version is rolled back at each step, also while the standing version retires")
 {
 	const int permille = GENERATE(0, 50, 350, 950, 1000);
 	runUntilTrue(
@@ -127,7 +129,8 @@
 	CHECK_FALSE(advance(base::seconds(60)));
 }
 
-TEST_CASE_METHOD(fixture, "a doubtful version gets no more than it has, and is rolled back when the time is over")
+TEST_CASE_METHOD(fixture,
+				 "the share of a suspect version is not increased, and the version is rolled back at the deadline")
 {
 	runUntilTrue(
 		[&]
@@ -148,7 +151,7 @@
 		});
 }
 
-TEST_CASE_METHOD(fixture, "a controller that has just begun to lead takes no step up before it has reports of all")
+TEST_CASE_METHOD(fixture, "a new leader does not increase the share before all endpoints have reported")
 {
 	situation.leadershipAge = base::Duration(0);
 	for (int i = 0; i < 10; ++i)
@@ -160,8 +163,7 @@
 	CHECK(advance(base::milliseconds(100)));
 }
 
-TEST_CASE_METHOD(fixture,
-				 "a controller that has just begun to lead doesn't complete before the last endpoint has reported")
+TEST_CASE_METHOD(fixture, "a new leader completes no rollout before the last endpoint has reported")
 {
 	runUntilRetiring();
 	situation.standingIdle = true;
@@ -173,7 +175,7 @@
 	CHECK(row.state == wire::RolloutState::COMPLETED);
 }
 
-TEST_CASE_METHOD(fixture, "nodes that are cut off hold completion up for two seconds at the most")
+TEST_CASE_METHOD(fixture, "disconnected nodes delay completion by two seconds at most")
 {
 	runUntilRetiring();
 	situation.standingIdle = true;
@@ -182,7 +184,7 @@
 	CHECK(row.state == wire::RolloutState::COMPLETED);
 }
 
-TEST_CASE_METHOD(fixture, "a version with too few slots for what is at work gets no more than its trial")
+TEST_CASE_METHOD(fixture, "a version with too few slots for the active requests stays at the trial share")
 {
 	situation.target = {5, 30, 0};
 	runUntilTrue(
@@ -193,7 +195,7 @@
 	CHECK(row.reason == "out of time: the version has too few slots");
 }
 
-TEST_CASE_METHOD(fixture, "the endpoints on trial carry what they will in the end, and take turns")
+TEST_CASE_METHOD(fixture, "the trial group gets the load that its endpoints get in the end, and groups rotate")
 {
 	runUntilTrue(
 		[&]
@@ -210,8 +212,7 @@
 	CHECK(row.groupOffset == offset + 2);
 }
 
-TEST_CASE_METHOD(fixture,
-				 "where there are many nodes, so many endpoints are on trial that each is linked by 500 at the most")
+TEST_CASE_METHOD(fixture, "with many nodes the trial group is so large that at most 500 nodes connect to each endpoint")
 {
 	situation.target = {200, 1200, 0};
 	situation.nodes = 14'000;
@@ -219,7 +220,8 @@
 	CHECK(row.groupSize >= 28);
 }
 
-TEST_CASE_METHOD(fixture, "an order whose time is too short for a look is not completed")
+TEST_CASE_METHOD(fixture,
+				 "a rollout too short for an evaluation retires the standing version or is rolled back by its deadline")
 {
 	const auto seconds = GENERATE(1, 2);
 	row.finishByMs = seconds * 1000;
--- a/test/rollout/rollout_fleet.cc
+++ b/test/rollout/rollout_fleet.cc
@@ -206,7 +206,7 @@
 
 void rollout_fleet::call()
 {
-	// Callers are beside the back ends of the first version.
+	// Callers are local to the nodes of the first version.
 	auto* entry = m_nodes[m_random.below(kBackEnds)]->entry();
 	if (nullptr == entry)
 	{
--- a/test/rollout/rollout_fleet.h
+++ b/test/rollout/rollout_fleet.h
@@ -1,4 +1,4 @@
-/// A fleet on the virtual clock with the true controllers, relays and nodes, whose service moves to another version.
+/// Fleet of production controllers, relays and nodes on the virtual clock, with a rollout of a service.
 #ifndef DRIFTLUG_TEST_ROLLOUT_ROLLOUT_FLEET_H_HEADER_GUARD
 #define DRIFTLUG_TEST_ROLLOUT_ROLLOUT_FLEET_H_HEADER_GUARD
 
@@ -18,21 +18,21 @@
 constexpr char kOldVersion[] = "v1";
 constexpr char kNewVersion[] = "v2";
 
-/// Answers to callers.
+/// Counts of the outcomes of calls.
 struct caller_counters
 {
 	int asked = 0;
-	int answered = 0;  //!< With 200.
-	int failed = 0;    //!< With another answer of a back end.
+	int answered = 0;  //!< Answered with status 200.
+	int failed = 0;    //!< Answered by a back end with another status.
 	int notRun = 0;
-	int unknown = 0;  //!< That may have run and have no answer.
+	int unknown = 0;  //!< Calls that may have run, without an answer.
 };
 
-/// Three controllers, two relays, and nodes with back ends of one version; those of another one come with start().
+/// Three controllers, two relays, and nodes with back ends of one version. startVersion() adds those of another one.
 class rollout_fleet
 {
 public:
-	static constexpr size_t kBackEnds = 12;  //!< Of each version.
+	static constexpr size_t kBackEnds = 12;  //!< Number of back ends of each version.
 	static constexpr int kSlots = 6;
 
 	explicit rollout_fleet(uint64_t _seed);
@@ -45,27 +45,28 @@
 		return m_queue.now() - base::TimePoint{};
 	}
 
-	/// Callers ask at all nodes.
+	/// Sends calls to random nodes of the first version until a time.
 	void generateLoad(double _perSecond, base::Duration _until);
 
 	/// Starts nodes with back ends of a version.
-	/// @returns The position of the first.
+	/// @returns The position of the first node.
 	size_t startVersion(const std::string& _version);
 
-	/// Orders the service onto a version.
-	/// @returns The answer of the leader, or of nobody while none leads.
+	/// Orders a rollout of the service to a version.
+	/// @returns The answer of the leader; kNotLeader while there is none.
 	base::ErrorCode order(const std::string& _version, base::Duration _finishBy);
 
-	/// @returns The row of the service at the leader; empty while none leads or there is none.
+	/// @returns The row of the service at the leader; empty if there is no leader or no row.
 	std::optional<wire::RolloutRow> row();
 
-	/// Goes on until the order is decided, at the latest until a time.
+	/// Runs until the rollout is decided, but not beyond a time.
+	/// @returns The state of the rollout.
 	wire::RolloutState::type runUntilDecided(base::Duration _until);
 
-	/// @returns The controller that leads; null while none does.
+	/// @returns The leading controller; null if there is none.
 	Host* leader();
 
-	/// Nothing passes between a node and the relays and controllers; other nodes reach it.
+	/// Cuts or restores the network between a node and the relays and controllers; other nodes still reach the node.
 	void cutOff(size_t _node, bool _cut);
 
 	fleet_node& node(size_t _position)
@@ -93,13 +94,13 @@
 		return m_seeds;
 	}
 
-	/// @returns What all processes have sent.
+	/// @returns The traffic sent by all processes.
 	const simulation::Traffic& traffic() const
 	{
 		return m_network.traffic();
 	}
 
-	/// @returns Requests at work on back ends of a version.
+	/// @returns The number of requests running on back ends of a version.
 	size_t runningOn(const std::string& _version) const;
 
 	version_record record;
@@ -117,8 +118,8 @@
 	std::vector<base::Address> m_relayAddresses{{"relay-a", 1}, {"relay-b", 2}};
 	std::vector<std::unique_ptr<fleet_relay>> m_relays;
 	std::vector<std::unique_ptr<fleet_node>> m_nodes;
-	std::vector<versioned_back_end*> m_backEnds;  //!< By node.
-	std::vector<std::string> m_versions;          //!< By node.
+	std::vector<versioned_back_end*> m_backEnds;  //!< Indexed by node.
+	std::vector<std::string> m_versions;          //!< Indexed by node.
 };
 
 }  // namespace driftlug::test
--- a/test/rollout/rollout_fleet_test.cc
+++ b/test/rollout/rollout_fleet_test.cc
@@ -10,12 +10,12 @@
 constexpr base::Duration kFinishBy = base::seconds(15);
 constexpr base::Duration kOrderAt = base::seconds(6);
 constexpr base::Duration kEnd = kOrderAt + kFinishBy;
-/// Of the aim: how long behind its fiftieth bad answer a version may still get requests, and how many in all.
+/// Requirements: time from the 50th bad answer after which a version may get no more requests, and its total exposure.
 constexpr base::Duration kMaxRollbackDelay = base::seconds(5);
 constexpr double kExposureShare = 0.1;
 constexpr double kExposureSlack = 50;
 
-/// Requests run; the order has just been accepted, and back ends of the new version start.
+/// Fleet under load, shortly before an order. startRollout() orders the new version and starts its back ends.
 struct fixture
 {
 	explicit fixture(uint64_t _seed = 1)
@@ -31,7 +31,7 @@
 		fleet.startVersion(kNewVersion);
 	}
 
-	/// Goes on until the new version gets a share.
+	/// Runs until the new version gets a share of 80 permille.
 	void runUntilOnTrial()
 	{
 		while (fleet.now() < kEnd && fleet.row()->targetPermille < 80)
@@ -41,7 +41,7 @@
 		REQUIRE(fleet.row()->targetPermille >= 80);
 	}
 
-	/// Checks that nothing reaches the old version any more, nothing runs there, and nobody lost an answer.
+	/// Checks that the old version runs and receives no more requests, and that no call is without an answer.
 	void checkCompleted()
 	{
 		REQUIRE(fleet.runUntilDecided(kEnd) == wire::RolloutState::COMPLETED);
@@ -62,7 +62,7 @@
 
 }  // namespace
 
-TEST_CASE("the version that runs at the start stands, without an order")
+TEST_CASE("the version that runs at the start becomes the standing version without an order")
 {
 	rollout_fleet fleet(1);
 	REQUIRE(fleet.row());
@@ -70,7 +70,7 @@
 	CHECK(fleet.row()->state == wire::RolloutState::STANDING);
 }
 
-TEST_CASE("back ends of a version without an order get nothing, also from nodes that start")
+TEST_CASE("back ends of a version without an order get no requests, also from nodes that start")
 {
 	fixture f;
 	const auto first = f.fleet.startVersion(kNewVersion);
@@ -85,7 +85,7 @@
 	CHECK(f.fleet.callers.answered > 1000);
 }
 
-TEST_CASE("a good version is completed in time, with nothing at work on the old one and nothing sent there any more")
+TEST_CASE("a healthy version is completed in time, and the old version then runs and receives no requests")
 {
 	const auto seed = GENERATE(range(1, 6));
 	fixture f(static_cast<uint64_t>(seed));
@@ -95,7 +95,7 @@
 	CHECK(f.fleet.callers.notRun == 0);
 }
 
-TEST_CASE("a bad version is rolled back in time, within its exposure, and gets nothing any more")
+TEST_CASE("an unhealthy version is rolled back in time, within the exposure limit, and gets no more requests")
 {
 	const auto seed = GENERATE(range(1, 6));
 	fixture f(static_cast<uint64_t>(seed));
@@ -125,7 +125,7 @@
 	CHECK(static_cast<double>(exposed) <= kExposureShare * all + kExposureSlack);
 }
 
-TEST_CASE("an order survives the end of the leader, and is carried on by the next one")
+TEST_CASE("a rollout continues under the next leader when the leader fails")
 {
 	fixture f;
 	f.startRollout();
@@ -139,7 +139,7 @@
 	f.checkCompleted();
 }
 
-TEST_CASE("a bad version is rolled back over the end of the leader")
+TEST_CASE("an unhealthy version is rolled back when the leader fails")
 {
 	fixture f;
 	f.startRollout();
@@ -150,7 +150,7 @@
 	CHECK(f.fleet.runUntilDecided(kEnd) == wire::RolloutState::ROLLED_BACK);
 }
 
-TEST_CASE("orders and their outcome survive the loss of all power")
+TEST_CASE("orders and their outcome survive a power failure of all controllers")
 {
 	fixture f;
 	f.startRollout();
@@ -175,7 +175,7 @@
 	CHECK(f.fleet.row()->standing == (decided ? kNewVersion : kOldVersion));
 }
 
-TEST_CASE("an order that comes again is the same; another one is refused while it runs")
+TEST_CASE("a repeated order has no effect; a different one is refused while a rollout runs")
 {
 	fixture f;
 	f.startRollout();
@@ -188,7 +188,7 @@
 	CHECK(f.fleet.row()->state == wire::RolloutState::COMPLETED);
 }
 
-TEST_CASE("an order for the version that stands is completed at once")
+TEST_CASE("an order for the standing version is completed at once")
 {
 	fixture f;
 	CHECK(f.fleet.order(kOldVersion, kFinishBy) == base::ErrorCode::kNone);
@@ -197,7 +197,7 @@
 	CHECK(f.fleet.row()->standing == kOldVersion);
 }
 
-TEST_CASE("an order for a version without back ends ends with its time, and the service goes on")
+TEST_CASE("a rollout to a version without back ends ends at its deadline, and the service stays available")
 {
 	fixture f;
 	REQUIRE(f.fleet.order(kNewVersion, base::seconds(4)) == base::ErrorCode::kNone);
@@ -206,7 +206,7 @@
 	CHECK(f.fleet.record.arrivalsOf(kNewVersion, base::TimePoint{}) == 0);
 }
 
-TEST_CASE("after a rollback the same version may be ordered again, and is completed once it is well")
+TEST_CASE("after a rollback the same version may be ordered again, and is completed once it is healthy")
 {
 	fixture f;
 	f.fleet.record.badVersion = kNewVersion;
@@ -220,7 +220,7 @@
 	CHECK(f.fleet.runUntilDecided(f.fleet.now() + kFinishBy) == wire::RolloutState::COMPLETED);
 }
 
-TEST_CASE("a node that is cut off holds nothing up, and sends nothing to the old version when it is back")
+TEST_CASE("a disconnected node does not delay a rollout, and sends nothing to the old version once it reconnects")
 {
 	fixture f;
 	f.startRollout();
@@ -238,7 +238,7 @@
 	CHECK(f.fleet.record.arrivalsOf(kOldVersion, at) == 0);
 }
 
-TEST_CASE("a node that doesn't hear of the controllers sends nothing to a version on trial")
+TEST_CASE("a node that is disconnected from the controllers sends nothing to the target version")
 {
 	fixture f;
 	f.startRollout();
@@ -254,7 +254,7 @@
 	CHECK(f.fleet.record.arrivalsOf(kOldVersion, at) > 300);
 }
 
-TEST_CASE("the node beside a back end of a version that was rolled back refuses what nodes with an old row send")
+TEST_CASE("the node of a back end whose version was rolled back refuses requests of nodes with an outdated row")
 {
 	fixture f;
 	f.fleet.record.badVersion = kNewVersion;
--- a/test/rollout/rollout_odds_test.cc
+++ b/test/rollout/rollout_odds_test.cc
@@ -11,14 +11,14 @@
 namespace
 {
 constexpr base::Duration kFinishBy = base::seconds(15);
-/// Of the aim: what a version that turns out bad may get, and for how long behind its fiftieth bad answer.
+/// Requirements: exposure limit of an unhealthy version, and time from its 50th bad answer to its last request.
 constexpr double kExposureShare = 0.1;
 constexpr int64_t kExposureSlack = 50;
 constexpr base::Duration kMaxRollbackDelay = base::seconds(5);
 
 constexpr uint64_t kSingleFaultSets = 6;
 
-/// None, each alone, two together, and all.
+/// Fault sets: none, each fault alone, two faults together, and all.
 background_faults faultsOf(uint64_t _kind)
 {
 	background_faults faults;
@@ -66,7 +66,7 @@
 		CHECK(wire::RolloutState::COMPLETED == outcome.state);
 		CHECK(outcome.decidedAfter <= kFinishBy);
 	}
-	std::printf("good rollouts: 200 played, %d rolled back, %d not completed in time\n", rolledBack, late);
+	std::printf("good rollouts: 200 run, %d rolled back, %d not completed in time\n", rolledBack, late);
 }
 
 namespace
@@ -74,7 +74,7 @@
 constexpr uint64_t kFirstBadSeed = 1001;
 constexpr uint64_t kLastBadSeed = 1200;
 
-/// A bad rollout as it is drawn.
+/// Parameters of an unhealthy rollout.
 struct drawn_rollout
 {
 	uint64_t seed = 0;
@@ -89,11 +89,13 @@
 	return {_seed, kinds[_seed % std::size(kinds)], _seed / std::size(kinds) % kSingleFaultSets};
 }
 
-/// Went beyond its exposure once: 39 answers were bad in all, and the share rose before they told enough.
+/// Regression: once exceeded the exposure limit. Only 39 answers were bad in all, and the share was increased before
+/// these were sufficient evidence.
 const drawn_rollout kExposureRegression{1017, version_fault::oneRoute, 3};
 
-/// Small services that are ill themselves. Of the first, three of seven endpoints of the standing version are five
-/// times slower; the last two fail in a tenth of the answers as long as the share is small.
+/// Known failures: small services with faults of their own. In the first, three of
+/// the seven endpoints of the standing version are five times slower; the last two fail only a tenth of the requests
+/// while the share is small.
 const drawn_rollout kKnownFailures[] = {
 	{1041, version_fault::slow, 2}, {1198, version_fault::underLoad, 3}, {1088, version_fault::underLoad, 1}};
 
@@ -110,7 +112,7 @@
 {
 	simulated_service service(_drawn.seed, _drawn.fault, faultsOf(_drawn.faultSet));
 	const auto outcome = service.run(kFinishBy);
-	INFO("seed " << _drawn.seed << " size " << service.size() << " bad in way " << static_cast<int>(_drawn.fault)
+	INFO("seed " << _drawn.seed << " size " << service.size() << " fault " << static_cast<int>(_drawn.fault)
 				 << " decided after " << secondsOf(outcome.decidedAfter) << " s with " << outcome.badAnswers
 				 << " bad answers of " << outcome.requests << ": " << outcome.reason);
 	CHECK(wire::RolloutState::ROLLED_BACK == outcome.state);
@@ -142,7 +144,7 @@
 		exposure.push_back(100 * outcome.exposure);
 	}
 	(void)runBad(kExposureRegression);
-	printHistogram("seconds behind the fiftieth bad answer", rollbackDelays, 0.5);
+	printHistogram("seconds from the 50th bad answer to the last request", rollbackDelays, 0.5);
 	printHistogram("percent of all requests", exposure, 1);
 }
 
--- a/test/rollout/simulated_service.cc
+++ b/test/rollout/simulated_service.cc
@@ -18,10 +18,10 @@
 constexpr base::Duration kDecisionInterval = base::milliseconds(100);
 constexpr base::Duration kColdFor = base::seconds(3);
 constexpr double kColdFactor = 2;
-constexpr double kTimeoutMs = 2000;  // of the routes
+constexpr double kTimeoutMs = 2000;  // timeout of the routes
 constexpr double kSpeeds[] = {0.6, 1.0, 1.4};
 
-/// Mean work in milliseconds and its spread, of three routes; the first gets half of the requests.
+/// Mean run time in milliseconds and its spread, for three routes; the first route gets half of the requests.
 struct route_shape
 {
 	double workMs;
--- a/test/rollout/simulated_service.h
+++ b/test/rollout/simulated_service.h
@@ -1,4 +1,4 @@
-/// A service with back ends of two versions on the virtual clock, for rollouts decided by the true classes.
+/// Model of a service with back ends of two versions on the virtual clock; the production classes decide its rollouts.
 #ifndef DRIFTLUG_TEST_ROLLOUT_SIMULATED_SERVICE_H_HEADER_GUARD
 #define DRIFTLUG_TEST_ROLLOUT_SIMULATED_SERVICE_H_HEADER_GUARD
 
@@ -14,54 +14,53 @@
 
 namespace driftlug::test
 {
-/// In which way a version is bad.
+/// Fault of the target version.
 enum class version_fault
 {
 	none,
-	fails,      //!< A share of its answers.
-	slow,       //!< A share of its answers takes several times as long.
+	fails,      //!< Fails a share of the requests.
+	slow,       //!< Takes several times as long for a share of the requests.
 	oneRoute,   //!< Fails on one route only.
 	underLoad,  //!< Fails while more than half of its slots are busy.
-	later,      //!< Fails from some seconds after its start on.
+	later,      //!< Fails from some seconds after its start.
 };
 
-/// What happens to the service meanwhile, to back ends of both versions alike.
+/// Background faults, which affect back ends of both versions alike.
 struct background_faults
 {
-	bool grey = false;             //!< Some back ends fail part of their requests.
-	bool slow = false;             //!< Some work several times as long.
-	bool dependencyFails = false;  //!< A service behind it fails: a share of all answers fails for some seconds.
-	bool burst = false;            //!< Twice the requests for some seconds.
-	bool crashes = false;          //!< Some are down for four seconds.
+	bool grey = false;             //!< Some back ends fail a share of their requests.
+	bool slow = false;             //!< Some back ends take several times as long.
+	bool dependencyFails = false;  //!< A dependency fails: a share of all requests fails for some seconds.
+	bool burst = false;            //!< The load rises to 1.6 times for some seconds.
+	bool crashes = false;          //!< Some back ends are down for four seconds.
 };
 
-/// How a rollout went.
+/// Outcome of a rollout.
 struct rollout_outcome
 {
 	wire::RolloutState::type state = wire::RolloutState::RUNNING;
-	base::Duration decidedAfter{0};  //!< From the order.
-	double exposure = 0;             //!< Requests to the version on trial, as a share of all until its time.
-	int64_t requests = 0;            //!< To the version on trial.
-	int64_t badAnswers = 0;          //!< Of it.
-	std::optional<base::Duration>
-		rollbackDelay;  //!< From the fiftieth bad answer until no request went there any more.
+	base::Duration decidedAfter{0};  //!< Time from the order to the decision.
+	double exposure = 0;             //!< Requests to the target version, as a share of all until the deadline.
+	int64_t requests = 0;            //!< Requests to the target version.
+	int64_t badAnswers = 0;          //!< Bad answers of the target version.
+	std::optional<base::Duration> rollbackDelay;  //!< From the 50th bad answer to the last request to the version.
 	std::string reason;
 };
 
-/// One rollout, drawn by a seed.
+/// One rollout, randomized by a seed.
 ///
-/// Back ends differ in speed and start cold; routes differ in work, spread as lognormal. Reports come each quarter of a
-/// second, 150 ms late, and what is decided reaches the nodes after 300 ms.
+/// Back ends differ in speed and start cold; run times are lognormal with different parameters for each route.
+/// Endpoints report every 250 ms with a delay of 150 ms, and decisions reach the nodes after 300 ms.
 class simulated_service
 {
 public:
 	simulated_service(uint64_t _seed, version_fault _bad, const background_faults& _faults);
 
-	/// Plays the order.
-	/// @param[in] _finishBy Its time.
+	/// Runs the rollout.
+	/// @param[in] _finishBy Deadline, relative to the order.
 	rollout_outcome run(base::Duration _finishBy);
 
-	/// @returns Back ends of each version.
+	/// @returns The number of back ends of each version.
 	size_t size() const
 	{
 		return m_size;
@@ -73,8 +72,8 @@
 		std::string name;
 		bool target = false;
 		double speed = 1;
-		double failing = 0;    //!< Share of its answers, by a fault of its own.
-		double slower = 1;     //!< By a fault of its own.
+		double failing = 0;    //!< Share of requests that a fault of the back end itself fails.
+		double slower = 1;     //!< Slowdown by a fault of the back end itself.
 		bool crashes = false;  //!< It is down for some seconds.
 		base::TimePoint startedAt{};
 		int64_t sequence = 0;
@@ -113,8 +112,8 @@
 	std::deque<delayed_report> m_reports;
 	rollout::version_evidence m_evidence{m_time};
 	rollout::rollout_driver m_driver{{}};
-	wire::RolloutRow m_row;      //!< As the leader has it.
-	wire::RolloutRow m_atNodes;  //!< As the nodes have it.
+	wire::RolloutRow m_row;      //!< Row at the leader.
+	wire::RolloutRow m_atNodes;  //!< Row at the nodes.
 	base::TimePoint m_nodesUpdateAt{};
 	base::TimePoint m_writtenAt{};
 	base::TimePoint m_orderedAt{};
--- a/test/rollout/version_evidence_test.cc
+++ b/test/rollout/version_evidence_test.cc
@@ -12,7 +12,7 @@
 {
 constexpr int64_t kRoute = 7;
 
-/// An endpoint's node, which counts and reports.
+/// Node of an endpoint, which counts answers and reports them.
 struct reporter
 {
 	std::string endpoint;
@@ -83,7 +83,8 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(fixture, "one endpoint that fails does not make its version bad, however many answers it gives")
+TEST_CASE_METHOD(fixture,
+				 "a single failing endpoint does not make its version unhealthy, however many answers it gives")
 {
 	for (int i = 0; i < 40; ++i)
 	{
@@ -98,7 +99,7 @@
 	}
 }
 
-TEST_CASE_METHOD(fixture, "several endpoints that fail do, and so do several that are slow")
+TEST_CASE_METHOD(fixture, "several failing endpoints make their version unhealthy, and so do several slow ones")
 {
 	const bool slow = GENERATE(false, true);
 	int evaluations = 0;
@@ -119,7 +120,7 @@
 	CHECK(evaluations <= 8);
 }
 
-TEST_CASE_METHOD(fixture, "what fails on both versions alike is held against neither")
+TEST_CASE_METHOD(fixture, "failures on both versions alike do not make the target version unhealthy")
 {
 	for (int i = 0; i < 20; ++i)
 	{
@@ -135,7 +136,7 @@
 	}
 }
 
-TEST_CASE_METHOD(fixture, "reports that come twice, late or not at all change nothing")
+TEST_CASE_METHOD(fixture, "duplicate, late and lost reports change nothing")
 {
 	for (auto& reporter : target)
 	{
@@ -150,7 +151,7 @@
 	CHECK(evidence.answersPerSecond() == Approx(10 * 20 / 4.0));
 }
 
-TEST_CASE_METHOD(fixture, "a node that starts again counts anew")
+TEST_CASE_METHOD(fixture, "the counts of a restarted node start at zero")
 {
 	target[0].answer(100, 0);
 	evidence.onReport(target[0].report(), policy);
@@ -160,7 +161,7 @@
 	CHECK(evidence.answersPerSecond() == Approx(120 / 4.0));
 }
 
-TEST_CASE_METHOD(fixture, "what was answered before a controller led is not dated to its first look")
+TEST_CASE_METHOD(fixture, "answers from before a controller became leader do not count as recent")
 {
 	evidence.clear();
 	for (auto& reporter : target)
@@ -171,7 +172,7 @@
 	CHECK(health() == version_health::healthy);
 }
 
-TEST_CASE("as many endpoints may be ill by chance as the share of ill ones tells")
+TEST_CASE("the number of endpoints that may be faulty by chance depends on the share of faulty endpoints")
 {
 	CHECK(faultyByChance(1, 0.03) == 1);
 	CHECK(faultyByChance(3, 0.03) == 2);
--- a/test/rollout/version_policy_test.cc
+++ b/test/rollout/version_policy_test.cc
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-TEST_CASE("a version that no row names gets nothing, whatever the state")
+TEST_CASE("a version that the row does not name gets no requests in any state")
 {
 	const auto state = GENERATE(wire::RolloutState::STANDING, wire::RolloutState::RUNNING,
 								wire::RolloutState::COMPLETED, wire::RolloutState::ROLLED_BACK);
@@ -44,7 +44,7 @@
 	CHECK(policy.acceptsRequests("v1"));
 }
 
-TEST_CASE("a target gets requests only while its order runs and it has a share")
+TEST_CASE("a target version gets requests only while its rollout runs and it has a share")
 {
 	auto row = rowOf(wire::RolloutState::RUNNING);
 	CHECK_FALSE(policyOf(row).acceptsRequests("v2"));
@@ -56,7 +56,7 @@
 	CHECK_FALSE(policyOf(row).mayGetRequests("v2"));
 }
 
-TEST_CASE("a standing version that retires takes nothing new")
+TEST_CASE("a retiring standing version accepts no new requests")
 {
 	auto row = rowOf(wire::RolloutState::RUNNING);
 	row.targetPermille = kWholePermille;
@@ -67,7 +67,7 @@
 	CHECK(policyOf(row).acceptsRequests("v1"));
 }
 
-TEST_CASE("a back end whose version is not known yet takes requests only where no other version may be about")
+TEST_CASE("a back end of unknown version accepts requests only if no other version may be running")
 {
 	CHECK(policyOf(rowOf(wire::RolloutState::STANDING)).acceptsRequests(""));
 	CHECK(policyOf(rowOf(wire::RolloutState::COMPLETED)).acceptsRequests(""));
@@ -75,7 +75,7 @@
 	CHECK_FALSE(policyOf(rowOf(wire::RolloutState::ROLLED_BACK)).acceptsRequests(""));
 }
 
-TEST_CASE("groups on trial follow each other through all endpoints, in whatever order these are known")
+TEST_CASE("trial groups rotate through all endpoints, in whatever order these are known")
 {
 	auto known = names(7);
 	std::set<std::string> tried;
@@ -91,7 +91,7 @@
 	CHECK(chooseTrialGroup(names(2), 0, 5).size() == 2);
 }
 
-TEST_CASE("figures of runs are counted by route, run times of warm back ends only")
+TEST_CASE("runs are counted by route, and run times only for warm back ends")
 {
 	run_statistics figures;
 	figures.record(1, false, base::milliseconds(100), false);
@@ -107,7 +107,7 @@
 	CHECK(static_cast<size_t>(report.routes[0].firstBucket) == bucketOf(base::milliseconds(100)));
 }
 
-TEST_CASE("the routes of a report are bounded")
+TEST_CASE("the number of routes in a report is limited")
 {
 	run_statistics figures;
 	for (int64_t route = 1; route <= 1000; ++route)
--- a/test/rollout/versioned_back_end.cc
+++ b/test/rollout/versioned_back_end.cc
@@ -6,7 +6,7 @@
 {
 namespace
 {
-constexpr base::Duration kDetectionDelay = base::milliseconds(1);  // until its node sees that nothing listens
+constexpr base::Duration kDetectionDelay = base::milliseconds(1);  // until the node detects that the process is gone
 constexpr base::Duration kHeartbeat = base::milliseconds(1500);
 constexpr int kOk = 200;
 constexpr int kFailed = 500;
--- a/test/rollout/versioned_back_end.h
+++ b/test/rollout/versioned_back_end.h
@@ -1,4 +1,4 @@
-/// Back ends of several versions on the virtual clock.
+/// Simulated back ends of several versions on the virtual clock.
 #ifndef DRIFTLUG_TEST_ROLLOUT_VERSIONED_BACK_END_H_HEADER_GUARD
 #define DRIFTLUG_TEST_ROLLOUT_VERSIONED_BACK_END_H_HEADER_GUARD
 
@@ -12,31 +12,31 @@
 
 namespace driftlug::test
 {
-/// A request at a back end.
+/// A request that arrived at a back end.
 struct version_arrival
 {
 	base::TimePoint time;
 	std::string version;
 	size_t node = 0;
-	bool bad = false;  //!< It was answered badly.
+	bool bad = false;  //!< Whether it gets a bad answer.
 };
 
-/// What all back ends saw.
+/// Requests at all back ends, and the fault of one version.
 struct version_record
 {
 	std::vector<version_arrival> arrivals;
-	double badShare = 0;     //!< Of the answers of the version that is bad.
-	std::string badVersion;  //!< May be empty.
+	double badShare = 0;     //!< Share of bad answers of the unhealthy version.
+	std::string badVersion;  //!< Unhealthy version; may be empty.
 
-	/// @returns Requests to a version since a point in time.
+	/// @returns The number of requests to a version since a point in time.
 	size_t arrivalsOf(const std::string& _version, base::TimePoint _since) const;
 };
 
-/// Works on some requests at once; an answer of the bad version may fail.
+/// Back end of one version; answers of the unhealthy version may fail.
 class versioned_back_end : public fleet_back_end
 {
 public:
-	static constexpr base::Duration kRun = base::milliseconds(60);  //!< Mean; drawn from a third to five thirds.
+	static constexpr base::Duration kRun = base::milliseconds(60);  //!< Mean; uniform between 1/3 and 5/3 of it.
 
 	versioned_back_end(simulation::Process& _process, uint64_t _seed, size_t _node, std::string _version, int _slots,
 					   version_record& _record);
@@ -61,7 +61,7 @@
 		return m_up;
 	}
 
-	/// Ends, with all that it works on.
+	/// Stops the back end; the outcome of its running requests is unknown.
 	void stop();
 
 	size_t running() const
