--- a/src/quarantine/back_end_presence.h
+++ b/src/quarantine/back_end_presence.h
@@ -1,4 +1,4 @@
-/// Tells whether a back end is still there.
+/// Check for whether a back end process is still running.
 #ifndef DRIFTLUG_QUARANTINE_BACK_END_PRESENCE_H_HEADER_GUARD
 #define DRIFTLUG_QUARANTINE_BACK_END_PRESENCE_H_HEADER_GUARD
 
@@ -6,21 +6,22 @@
 
 namespace driftlug::quarantine
 {
-/// What was found at a back end's address.
+/// Result of a connection attempt to a back end's address.
 enum class presence
 {
-	listening,  //!< A connection was taken.
-	gone,       //!< It was refused: no process listens.
-	unknown,    //!< Nothing was heard in time.
+	listening,  //!< The connection was accepted.
+	gone,       //!< The connection was refused: no process listens.
+	unknown,    //!< There was no response in time.
 };
 
-/// Asks for a connection to the back end beside this node.
+/// Attempts a connection to the local back end of this node.
 class back_end_presence
 {
 public:
 	virtual ~back_end_presence() = default;
 
-	/// The callback is called once, within a bound of the implementation's, never from within this call.
+	/// Starts a check. The callback is called once, within a time limit of the implementation, and never from within
+	/// this call.
 	virtual void check(std::function<void(presence)> _done) = 0;
 };
 
--- a/src/quarantine/crash_detector.cc
+++ b/src/quarantine/crash_detector.cc
@@ -8,10 +8,11 @@
 {
 namespace
 {
-/// Connections of one process end together; a busy node finds the last of them closed some turns of its loop later. No
-/// back end is up again, and crashed again, so soon.
+/// Runs cut within this time belong to the same crash. All connections of a process close together, but a busy node
+/// detects the last of them some event loop iterations later. No back end restarts and crashes again within this time.
 constexpr base::Duration kSameCrashWindow = base::milliseconds(200);
-/// A back end whose supervisor starts it at once listens before anybody asks. It reports soon after its start.
+/// Time within which a restarted back end reports to its node. If its supervisor restarts it at once, it may already
+/// listen again when the presence check runs, so the crash is found by this report only.
 constexpr base::Duration kRestartWindow = base::seconds(5);
 constexpr size_t kMaxRecentRuns = 256;
 
@@ -99,7 +100,7 @@
 			runs.push_back(entry.run);
 		}
 	}
-	// Unless the crash was seen as it happened, some seconds ago.
+	// A crash that was detected directly, a few seconds ago, is not counted again.
 	if (m_time.now() - m_sameCrashUntil > kRestartWindow || !runs.empty())
 	{
 		beginCrash(runs);
--- a/src/quarantine/crash_detector.h
+++ b/src/quarantine/crash_detector.h
@@ -1,4 +1,4 @@
-/// Tells the crash of a back end from a lost connection to it.
+/// Distinguishes the crash of a back end from the loss of a connection to it.
 #ifndef DRIFTLUG_QUARANTINE_CRASH_DETECTOR_H_HEADER_GUARD
 #define DRIFTLUG_QUARANTINE_CRASH_DETECTOR_H_HEADER_GUARD
 
@@ -17,29 +17,29 @@
 {
 class back_end_presence;
 
-/// Runs whose connection the back end closed without an answer wait here, for as long as it takes to ask whether
-/// something still listens at its address. If nothing does, all of them were at work on it when it crashed. Those that
-/// are found cut a moment later belong to the same crash.
+/// Collects the runs whose connection the back end closed without an answer, until a check shows whether a process
+/// still listens at its address. If none does, all these runs were active when the back end crashed. Runs that are
+/// found cut shortly afterwards belong to the same crash.
 class crash_detector
 {
 public:
-	/// A run that was cut and, once that is known, the crash that cut it; nothing where there was none.
+	/// Called with the id of the crash that cut a run; nothing if there was no crash.
 	using result_handler = std::function<void(std::optional<uint64_t> crash)>;
 
-	/// Called for each crash, once or more, with the runs that were at work; before their verdicts.
+	/// Called one or more times for each crash with the runs that were active, before their result handlers.
 	using crash_handler = std::function<void(uint64_t crash, const std::vector<crashed_run>& runs)>;
 
-	/// @param[in] _presence Outlives the watch, as the source of time does.
+	/// @param[in] _presence Must outlive the detector, as must _time.
 	crash_detector(const base::TimeSource& _time, base::RandomSource _random, back_end_presence& _presence,
 				   crash_handler _onCrash);
 	~crash_detector();
 
-	/// A run was cut.
-	/// @param[in] _verdict Called once, at once where it belongs to a crash that is known already.
+	/// Processes a run whose connection was closed without an answer.
+	/// @param[in] _done Called once; immediately if the run belongs to a crash that is already known.
 	void onCut(const crashed_run& _run, result_handler _done);
 
-	/// The back end has started again without having been found gone: whatever it had cut in the last seconds, and what
-	/// is found cut now, was at work on it when it crashed.
+	/// Processes a restart of the back end that no check has detected. The runs cut during the last 5 s, and those that
+	/// are found cut from now on for 200 ms, were active when it crashed.
 	void onRestart();
 
 private:
@@ -63,9 +63,9 @@
 	back_end_presence& m_presence;
 	crash_handler m_onCrash;
 	std::vector<pending_run> m_pending;
-	std::deque<recent_run> m_recentRuns;  //!< Cut lately, while something listened.
+	std::deque<recent_run> m_recentRuns;  //!< Recently cut runs that no check attributed to a crash.
 	bool m_checking = false;
-	uint64_t m_lastCrash = 0;  //!< The last one.
+	uint64_t m_lastCrash = 0;  //!< Id of the last crash.
 	base::TimePoint m_sameCrashUntil{};
 	std::shared_ptr<bool> m_alive = std::make_shared<bool>(true);
 };
--- a/src/quarantine/crash_history.cc
+++ b/src/quarantine/crash_history.cc
@@ -8,7 +8,7 @@
 {
 namespace
 {
-/// Probes are at most this far apart, so that the time fits where it is told to callers.
+/// Maximum time between probes, so that it fits the value sent to callers.
 constexpr base::Duration kMaxProbeDelay = std::chrono::hours(24 * 365);
 
 base::milliseconds ageOf(base::TimePoint _at, base::TimePoint _now)
@@ -167,8 +167,9 @@
 	return nullptr != crashIds && 0 < countProbationCrashes(*crashIds, _request);
 }
 
-/// Whether another request that was at work in a crash is to blame: one that is held and has more crashes. With as many
-/// it may be innocent itself, on probation beside a guilty one that nobody knew yet.
+/// @returns Whether another request that was running during a crash explains it: one that has crashed a back end on
+/// probation and has more crashes than _request. With the same number it may itself be harmless, and have been on
+/// probation next to a crashing request that was not known yet.
 bool crash_history::isExplainedByHeldRequest(uint64_t _crash, const request_fingerprint& _request) const
 {
 	const size_t own = unclearedCrashesOf(_request)->size();
@@ -300,8 +301,8 @@
 	return result;
 }
 
-/// Whether nothing in a crash holds a request. Cleared marks of one that was held are kept as long as others, so that a
-/// node that was cut off meanwhile can't hold it again.
+/// @returns Whether a crash contributes to no hold. Cleared marks of a request that was held are kept as long as other
+/// marks, so that a node that was disconnected in the meantime cannot cause the request to be held again.
 bool crash_history::holdsNoRequest(const crash& _crash) const
 {
 	return std::none_of(_crash.requests.begin(), _crash.requests.end(),
@@ -311,8 +312,8 @@
 						});
 }
 
-/// Clears what held requests account for, so that it is neither remembered nor sent any more. All processes do so by
-/// themselves, and none needs to be told.
+/// Clears the marks of requests whose crashes are explained by held requests, so that they are no longer stored or
+/// sent. Each process does this on its own; no reports are needed.
 void crash_history::clearExplained()
 {
 	for (auto& [id, known] : m_crashes)
@@ -328,8 +329,8 @@
 	}
 }
 
-/// Drops the cleared marks of those that only were at work beside others: a node that subscribes after a hundred guilty
-/// requests is sent 11 kB instead of 38 (1,487 marks, a fleet of 300 nodes).
+/// Drops the cleared marks of requests that only ran at the same time as others. A node that subscribes after a hundred
+/// crashing requests then receives 11 kB instead of 38 kB (1,487 marks, fleet of 300 nodes).
 void crash_history::dropClearedMarks(crash* _crash)
 {
 	m_markCount -= std::erase_if(_crash->requests,
--- a/src/quarantine/crash_history.h
+++ b/src/quarantine/crash_history.h
@@ -1,4 +1,4 @@
-/// Which requests were at work on back ends when these crashed, and what follows for each of them.
+/// Record of the requests that were running when back ends crashed, and the resulting status of each request.
 #ifndef DRIFTLUG_QUARANTINE_CRASH_HISTORY_H_HEADER_GUARD
 #define DRIFTLUG_QUARANTINE_CRASH_HISTORY_H_HEADER_GUARD
 
@@ -20,36 +20,35 @@
 /// How a request is treated.
 enum class standing
 {
-	clear,    //!< As any other.
-	suspect,  //!< Runs on probation: alone of its kind on a back end, and at one of them.
-	held,     //!< Not run.
+	clear,    //!< Runs without restrictions.
+	suspect,  //!< Runs on probation: on a single back end, with no other suspect there.
+	held,     //!< Is not run.
 };
 
-/// Bounds of what is remembered, and for how long.
+/// Limits of the size of a crash history and of the retention of its marks.
 struct crash_history_options
 {
-	/// Requests under all crashes together. At 40 bytes of a frame each a node that subscribes is sent 160 kB at the
-	/// most, 0.7 s of a link of 2 Mbit/s; a crash that is accounted for costs two or three of them.
+	/// Maximum number of marks over all crashes. At 40 bytes each in a frame, a node that subscribes is sent 160 kB at
+	/// most, 0.7 s of a link of 2 Mbit/s. An explained crash takes two or three marks.
 	size_t maxMarks = 4096;
-	/// A request that comes again sooner than this after a crash under it is known.
+	/// Retention of a suspect's marks: a request that is repeated within this time is recognized.
 	base::Duration suspectRetention = std::chrono::hours(24);
-	/// Marks that were cleared are kept for so long, since reports of them may still be on their way: behind a link
-	/// that is cut they arrive once it is back.
+	/// Retention of cleared marks: reports of them may still be in flight, and arrive late after a network partition.
 	base::Duration clearedRetention = std::chrono::minutes(1);
-	/// A held request is put on probation again so long after its last crash, and this many times longer after each
-	/// further one: within a week it ends six back ends at the most, three beyond the third.
+	/// A held request is put on probation again this long after its last crash. The delay grows by probeBackoffFactor
+	/// with each further crash: within a week a request ends at most six back ends, three beyond the third.
 	base::Duration firstProbeDelay = std::chrono::minutes(5);
 	int probeBackoffFactor = 12;
 };
 
-/// A request at work on a back end that crashed.
+/// A request that was running on a back end when it crashed.
 struct crashed_run
 {
 	request_fingerprint request;
 	bool onProbation = false;
 };
 
-/// A request that is a suspect or held, for pages.
+/// A suspect or held request, for status pages.
 struct quarantined_request
 {
 	request_fingerprint request;
@@ -57,56 +56,58 @@
 	standing treatedAs = standing::suspect;
 	size_t crashes = 0;
 	base::Duration sinceLast{0};
-	base::Duration untilProbe{0};  //!< Of one that is held.
+	base::Duration untilProbe{0};  //!< Zero unless the request is held.
 };
 
-/// A set of marks, each of one request and one crash. Marks are added and cleared, never set back, so that reports may
-/// arrive in any order, late and twice, over any number of relays, and all that have heard the same judge alike.
+/// A set of marks. A mark records that a request was running during a crash. Marks are only added and cleared, and a
+/// clear is final. Reports may therefore arrive late, repeatedly and in any order, over any number of relays, and all
+/// processes that have received the same reports agree.
 ///
-/// A request with a mark is a suspect. One under which a back end crashed while it was on probation is held. A held
-/// request accounts for its crashes: the others that were at work then are suspects no more, and another that is held
-/// by the same crashes is released when this one has more.
+/// A request with an uncleared mark is a suspect. A request that was on probation during a crash is held. A held
+/// request explains its crashes: the other requests that were running then are no longer suspects, and another request
+/// held for the same crashes is released when this one has more crashes.
 class crash_history
 {
 public:
-	/// Reports to be spread.
+	/// Reports to be sent to other processes.
 	using reports = std::vector<wire::CrashReport>;
 
-	/// @param[in] _time Outlives the history.
+	/// @param[in] _time Must outlive the history.
 	explicit crash_history(const base::TimeSource& _time, const crash_history_options& _options = {});
 
-	/// Takes what others report.
-	/// @returns What of it was news.
+	/// Merges reports of other processes.
+	/// @returns The parts that changed this history.
 	reports merge(std::span<const wire::CrashReport> _reports);
 
-	/// A back end crashed.
-	/// @param[in] _id Drawn by the node beside it; the same when further runs of the same crash are added.
-	/// @returns What was news.
+	/// Adds a crash of a back end.
+	/// @param[in] _id Random id chosen by the node of the back end; the same for further runs of the same crash.
+	/// @returns The parts that changed this history.
 	reports addCrash(uint64_t _id, std::string_view _service, std::string_view _endpoint,
 					 std::span<const crashed_run> _runs);
 
-	/// A request ran well, or an operator releases it.
-	/// @returns What was news; nothing when the request has no mark.
+	/// Clears the marks of a request that ran successfully or that an operator releases.
+	/// @returns The changes; empty if the request has no uncleared mark.
 	reports clear(const request_fingerprint& _request);
 
-	/// @param[in] _service Where the request is to run: it is held only where it has crashed back ends, and a suspect
-	/// elsewhere.
+	/// @param[in] _service Service that is to run the request. A request is held only for services whose back ends it
+	/// has crashed, and is a suspect for others.
 	standing standingOf(const request_fingerprint& _request, std::string_view _service) const;
 
-	/// @returns When a held request is put on probation again, from now; 0 for any other.
+	/// @returns The time until a held request is put on probation again; 0 for any other request.
 	base::Duration untilProbe(const request_fingerprint& _request) const;
 
-	/// @returns How long ago a back end last crashed under a request; the longest duration when none is known.
+	/// @returns The time since a back end last crashed while running a request; the maximum duration if no crash is
+	/// known.
 	base::Duration timeSinceLastCrash(const request_fingerprint& _request) const;
 
-	/// @returns Whether no request has a mark, so that fingerprints are of no use.
+	/// @returns Whether no request has an uncleared mark, so that no fingerprint needs to be computed.
 	bool empty() const
 	{
 		return m_unclearedCrashes.empty();
 	}
 
-	/// @returns All marks for those who lack them, the cleared ones too.
-	/// @param[in] _wants Chooses services.
+	/// @returns All marks, including cleared ones, for processes that lack them.
+	/// @param[in] _wants Selects the services.
 	reports all(const std::function<bool(const std::string& service)>& _wants) const;
 
 	reports all() const
@@ -118,10 +119,10 @@
 			});
 	}
 
-	/// @returns Every request with a mark that counts.
+	/// @returns All suspect and held requests.
 	std::vector<quarantined_request> known() const;
 
-	/// @returns Marks that are remembered, the cleared ones too.
+	/// @returns The number of stored marks, including cleared ones.
 	size_t marks() const
 	{
 		return m_markCount;
@@ -134,7 +135,7 @@
 		bool cleared = false;
 	};
 
-	/// @returns Whether a mark is of no use once reports of it that are on their way have arrived.
+	/// @returns Whether a mark is not needed once all reports of it have been delivered.
 	static bool isObsolete(const mark& _mark)
 	{
 		return _mark.cleared && !_mark.onProbation;
@@ -144,13 +145,13 @@
 	{
 		std::string service;
 		std::string endpoint;
-		base::TimePoint at{};          //!< By this process's clock.
-		base::TimePoint modifiedAt{};  //!< When a mark was added or cleared.
+		base::TimePoint at{};          //!< Time of the crash on the clock of this process.
+		base::TimePoint modifiedAt{};  //!< Time when a mark was last added or cleared.
 		std::map<request_fingerprint, mark> requests;
 	};
 
 	using crashes = std::map<uint64_t, crash>;
-	/// Crashes under one request whose marks are not cleared.
+	/// Ids of the crashes of one request whose marks are not cleared.
 	using crash_ids = std::vector<uint64_t>;
 
 	bool addMark(uint64_t _id, crash* _crash, const request_fingerprint& _request, const mark& _mark);
@@ -172,9 +173,9 @@
 
 	const base::TimeSource& m_time;
 	crash_history_options m_options;
-	crashes m_crashes;                                            //!< By id.
-	std::map<request_fingerprint, crash_ids> m_unclearedCrashes;  //!< By request; oldest first.
-	size_t m_markCount = 0;                                       //!< Marks in m_crashes.
+	crashes m_crashes;                                            //!< Keyed by crash id.
+	std::map<request_fingerprint, crash_ids> m_unclearedCrashes;  //!< Keyed by request; oldest crash first.
+	size_t m_markCount = 0;                                       //!< Number of marks in m_crashes.
 };
 
 }  // namespace driftlug::quarantine
--- a/src/quarantine/request_fingerprint.cc
+++ b/src/quarantine/request_fingerprint.cc
@@ -10,7 +10,7 @@
 {
 request_fingerprint fingerprintOf(const request_identity& _request)
 {
-	// Each part by itself first, so that what ends one part can't begin the next.
+	// Each part is hashed separately first, so that moving bytes from one part to the next changes the fingerprint.
 	const std::array parts{_request.method, _request.host, _request.path, _request.body};
 	std::array<XXH128_hash_t, parts.size()> hashes;
 	std::transform(parts.begin(), parts.end(), hashes.begin(),
--- a/src/quarantine/request_fingerprint.h
+++ b/src/quarantine/request_fingerprint.h
@@ -1,4 +1,4 @@
-/// What makes two requests the same one, sent again.
+/// Fingerprints that identify repeated requests.
 #ifndef DRIFTLUG_QUARANTINE_REQUEST_FINGERPRINT_H_HEADER_GUARD
 #define DRIFTLUG_QUARANTINE_REQUEST_FINGERPRINT_H_HEADER_GUARD
 
@@ -9,8 +9,8 @@
 
 namespace driftlug::quarantine
 {
-/// Hash of 128 bits over what a request asks for. With as many requests as 100 a second make in a year,
-/// the chance that any two different ones share a fingerprint is below 1e-19 (birthday bound).
+/// 128-bit hash of the identity of a request. Over a year at 100 requests per second, the probability that any two
+/// different requests share a fingerprint is below 1e-19 (birthday bound).
 struct request_fingerprint
 {
 	uint64_t low = 0;
@@ -19,20 +19,20 @@
 	auto operator<=>(const request_fingerprint&) const = default;
 };
 
-/// The parts of a request that are the same when it is sent again, at whatever node. Headers are no part of it: ids of
-/// tries, deadlines, traces and the service beside the node differ from one try to the next.
+/// The parts of a request that are the same when it is repeated, at any node. Headers are excluded: attempt ids,
+/// deadlines, traces and the calling service differ between attempts.
 struct request_identity
 {
 	std::string_view method;
 	std::string_view host;  //!< Without a port.
-	std::string_view path;  //!< With the query.
-	std::string_view body;  //!< The whole of it.
+	std::string_view path;  //!< Including the query.
+	std::string_view body;  //!< The complete body.
 };
 
-/// @returns The same for the same parts, in every process.
+/// @returns The fingerprint of a request; the same in every process.
 request_fingerprint fingerprintOf(const request_identity& _request);
 
-/// @returns 32 lower-case hexadecimal digits, as logs and pages show it.
+/// @returns 32 lower-case hexadecimal digits, the format of logs and pages.
 std::string toText(const request_fingerprint& _fingerprint);
 
 }  // namespace driftlug::quarantine
--- a/src/quarantine/request_quarantine.cc
+++ b/src/quarantine/request_quarantine.cc
@@ -11,15 +11,15 @@
 {
 namespace
 {
-/// Clearances are gathered for so long: after a crash up to eight requests of nine are cleared within some hundred
-/// milliseconds, and each message goes to all nodes of the service. A node that doesn't know yet runs them on
-/// probation.
+/// Cleared marks are batched for this time. After a crash up to eight of nine requests are cleared within some hundred
+/// milliseconds, and each message goes to all nodes of the service. Until the message arrives, nodes run these requests
+/// on probation.
 constexpr base::Duration kClearedBatchDelay = base::milliseconds(100);
 
-/// Held requests whose log lines are remembered; more than these are noted twice.
+/// Maximum number of held requests that are tracked for logging; beyond it, a request may be logged as held twice.
 constexpr size_t kMaxLoggedHeld = 1024;
 
-/// Longest time that is told to a caller whose request is held. Somebody who comes back after a day may be told again.
+/// Upper limit of the Retry-After time of held requests. A caller that retries after a day gets a new time.
 constexpr base::Duration kMaxRetryAfter = std::chrono::hours(24);
 
 }  // namespace
@@ -133,7 +133,7 @@
 	m_changeTimer.start(base::Duration(0));
 }
 
-/// What was noted as held and is forgotten since, or accounted for, is dropped before there is much of it.
+/// Drops logged requests whose marks have expired or are explained by another request, once the set is at its limit.
 void request_quarantine::pruneLoggedHeld()
 {
 	if (m_loggedHeld.size() < kMaxLoggedHeld)
--- a/src/quarantine/request_quarantine.h
+++ b/src/quarantine/request_quarantine.h
@@ -1,4 +1,4 @@
-/// What a node knows of requests that crash back ends, and tells others of them.
+/// Quarantine of requests that crash back ends, as seen by one node.
 #ifndef DRIFTLUG_QUARANTINE_REQUEST_QUARANTINE_H_HEADER_GUARD
 #define DRIFTLUG_QUARANTINE_REQUEST_QUARANTINE_H_HEADER_GUARD
 
@@ -17,14 +17,14 @@
 /// Counters of a node's quarantine.
 struct quarantine_counters
 {
-	int64_t crashes = 0;   //!< Of the back end beside this node.
-	int64_t cleared = 0;   //!< Suspects that ran well beside this node.
-	int64_t held = 0;      //!< Requests that this node learned to be held.
-	int64_t released = 0;  //!< Held requests that it learned to run again.
+	int64_t crashes = 0;   //!< Crashes of the local back end.
+	int64_t cleared = 0;   //!< Suspects that ran successfully on the local back end.
+	int64_t held = 0;      //!< Requests that became held, as seen by this node.
+	int64_t released = 0;  //!< Held requests that were released, as seen by this node.
 };
 
-/// The crash history of one node: both sides of its calls ask it and add to it, its control connection carries news
-/// from and to relays.
+/// Crash history of one node. Its outgoing and incoming calls query and update the history, and its control connection
+/// exchanges reports with the relays.
 class request_quarantine
 {
 public:
@@ -33,39 +33,40 @@
 
 	explicit request_quarantine(base::Scheduler& _scheduler, const crash_history_options& _options = {});
 
-	/// Sets what carries news of this node to others.
+	/// Sets the handler that sends reports of this node to others.
 	void onOutgoingReports(report_sender _send)
 	{
 		m_sendReports = std::move(_send);
 	}
 
-	/// Sets what is called after the standing of requests may have changed, never from within a change.
+	/// Sets the handler that is called after the standing of requests may have changed, never from within the change.
 	void onChange(std::function<void()> _handler)
 	{
 		m_onChange = std::move(_handler);
 	}
 
-	/// The back end beside this node crashed.
+	/// Records a crash of the local back end.
 	void onCrash(uint64_t _id, std::string_view _service, std::string_view _endpoint,
 				 std::span<const crashed_run> _runs);
 
-	/// A call that began at this node was cut by a crash elsewhere. The node there tells all others.
+	/// Records a crash of a remote back end that cut a call of this node. The node of the back end reports it to
+	/// others.
 	void onRemoteCrash(uint64_t _id, std::string_view _service, std::string_view _endpoint, const crashed_run& _run);
 
-	/// The back end beside this node answered a request.
+	/// Records that the local back end answered a request, and clears its marks.
 	void onRunSucceeded(const request_fingerprint& _request);
 
-	/// An operator lets a request run again.
-	/// @returns Whether anything was known of it.
+	/// Releases a request on behalf of an operator.
+	/// @returns Whether the request had any uncleared marks.
 	bool release(const request_fingerprint& _request);
 
-	/// A relay told of crashes.
+	/// Merges reports from a relay.
 	void onReports(std::span<const wire::CrashReport> _reports);
 
-	/// @returns All that this node knows, for a relay that may know less.
+	/// @returns All marks known to this node, for a newly connected relay.
 	reports all() const;
 
-	/// @returns Whether fingerprints are of any use now.
+	/// @returns Whether no request has an uncleared mark, so that no fingerprint needs to be computed.
 	bool empty() const
 	{
 		return m_history.empty();
@@ -76,7 +77,7 @@
 		return m_history.standingOf(_request, _service);
 	}
 
-	/// @returns Time after which the caller of a held request is asked to come back.
+	/// @returns The Retry-After time for the caller of a held request.
 	base::Duration retryAfter(const request_fingerprint& _request) const;
 
 	const crash_history& history() const
@@ -99,7 +100,7 @@
 	report_sender m_sendReports;       //!< May be empty.
 	std::function<void()> m_onChange;  //!< May be empty.
 	std::set<request_fingerprint> m_loggedHeld;
-	reports m_cleared;  //!< To be spread.
+	reports m_cleared;  //!< Cleared marks that are not sent yet.
 	base::Timer m_sendTimer;
 	base::Timer m_changeTimer;
 	quarantine_counters m_counters;
