--- a/test/quarantine/crash_history_test.cc
+++ b/test/quarantine/crash_history_test.cc
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(fixture, "all that was at work on a back end that crashed is suspect, and nothing else")
+TEST_CASE_METHOD(fixture, "all requests that ran on a crashed back end are suspects, and no others")
 {
 	history.addCrash(10, kService, "i-1", std::vector<crashed_run>{{kCrashing}, {kOther}});
 	CHECK(standing::suspect == of(kCrashing));
@@ -41,7 +41,7 @@
 	CHECK(standing::clear == of(kThird));
 }
 
-TEST_CASE_METHOD(fixture, "any number of crashes beside others holds nothing; one on probation does")
+TEST_CASE_METHOD(fixture, "crashes shared with other requests never hold a request; a single crash on probation does")
 {
 	for (uint64_t id = 10; id < 20; ++id)
 	{
@@ -53,7 +53,7 @@
 	CHECK(history.untilProbe(kCrashing) == std::chrono::minutes(5));
 }
 
-TEST_CASE_METHOD(fixture, "a held request accounts for its crashes")
+TEST_CASE_METHOD(fixture, "a held request explains its crashes, and other requests are no longer suspects")
 {
 	history.addCrash(10, kService, "i-1", std::vector<crashed_run>{{kCrashing}, {kOther}});
 	history.addCrash(11, kService, "i-2", std::vector<crashed_run>{{kCrashing, true}, {kThird}});
@@ -62,7 +62,7 @@
 	CHECK(1 == history.known().size());
 }
 
-TEST_CASE_METHOD(fixture, "one that was held beside a guilty one that nobody knew is released once that one is held")
+TEST_CASE_METHOD(fixture, "a request held in place of an unknown crashing request is released once that one is held")
 {
 	history.addCrash(10, kService, "i-1", std::vector<crashed_run>{{kCrashing}, {kOther}});
 	history.addCrash(11, kService, "i-2", std::vector<crashed_run>{{kCrashing}, {kOther, true}});
@@ -72,7 +72,7 @@
 	CHECK(standing::clear == of(kOther));
 }
 
-TEST_CASE_METHOD(fixture, "a run that went well clears a suspect, and later crashes count anew")
+TEST_CASE_METHOD(fixture, "a successful run clears a suspect, and later crashes count again")
 {
 	history.addCrash(10, kService, "i-1", std::vector<crashed_run>{{kCrashing}, {kOther}});
 	CHECK(1 == history.clear(kOther).size());
@@ -83,7 +83,7 @@
 	CHECK(standing::suspect == of(kOther));
 }
 
-TEST_CASE_METHOD(fixture, "reports may come in any order and twice")
+TEST_CASE_METHOD(fixture, "reports may arrive in any order and repeatedly")
 {
 	crash_history origin(time);
 	auto crash = origin.addCrash(10, kService, "i-1", std::vector<crashed_run>{{kCrashing}, {kOther}});
@@ -97,14 +97,14 @@
 	CHECK(history.merge(cleared).empty());
 }
 
-TEST_CASE_METHOD(fixture, "a report that learns of probation later is news")
+TEST_CASE_METHOD(fixture, "a later report that adds probation is a change")
 {
 	history.addCrash(10, kService, "i-1", std::vector<crashed_run>{{kCrashing}});
 	CHECK(1 == history.addCrash(10, kService, "i-1", std::vector<crashed_run>{{kCrashing, true}}).size());
 	CHECK(standing::held == of(kCrashing));
 }
 
-TEST_CASE_METHOD(fixture, "what one knows brings another to the same judgement")
+TEST_CASE_METHOD(fixture, "a process that merges all marks of another one treats requests alike")
 {
 	history.addCrash(10, kService, "i-1", std::vector<crashed_run>{{kCrashing}, {kOther}, {kThird}});
 	history.addCrash(11, kService, "i-2", std::vector<crashed_run>{{kCrashing, true}});
@@ -122,7 +122,7 @@
 	CHECK(history.untilProbe(kCrashing) == restarted.untilProbe(kCrashing));
 }
 
-TEST_CASE_METHOD(fixture, "a request that one service can't run is on probation at another")
+TEST_CASE_METHOD(fixture, "a request held for one service is a suspect for another")
 {
 	history.addCrash(10, kService, "i-1", std::vector<crashed_run>{{kCrashing}});
 	history.addCrash(11, kService, "i-2", std::vector<crashed_run>{{kCrashing, true}});
@@ -130,7 +130,7 @@
 	CHECK(standing::suspect == history.standingOf(kCrashing, "other"));
 }
 
-TEST_CASE_METHOD(fixture, "a held request is probed ever more rarely, and is back after a run that went well")
+TEST_CASE_METHOD(fixture, "a held request is probed at increasing intervals, and is cleared by a successful run")
 {
 	history.addCrash(10, kService, "i-1", std::vector<crashed_run>{{kCrashing}});
 	history.addCrash(11, kService, "i-2", std::vector<crashed_run>{{kCrashing, true}});
@@ -168,7 +168,7 @@
 	CHECK(5 == probes);
 }
 
-TEST_CASE_METHOD(fixture, "single marks are forgotten after a day, held requests are not")
+TEST_CASE_METHOD(fixture, "single marks expire after a day, held requests do not")
 {
 	history.addCrash(10, kService, "i-1", std::vector<crashed_run>{{kOther}});
 	history.addCrash(11, kService, "i-1", std::vector<crashed_run>{{kCrashing}});
@@ -179,7 +179,7 @@
 	CHECK(3 == history.marks());
 }
 
-TEST_CASE_METHOD(fixture, "a held request takes the room of its own marks only, after a minute")
+TEST_CASE_METHOD(fixture, "after a minute a held request only occupies its own marks")
 {
 	std::vector<crashed_run> runs{{kCrashing}};
 	for (uint64_t i = 0; i < 8; ++i)
@@ -199,7 +199,7 @@
 	CHECK(standing::held == of(kCrashing));
 }
 
-TEST_CASE_METHOD(fixture, "memory is bounded however many requests crash back ends, and the guilty are kept longest")
+TEST_CASE_METHOD(fixture, "the number of marks is limited, and held requests are kept longest")
 {
 	crash_history_options options;
 	options.maxMarks = 100;
@@ -218,7 +218,7 @@
 	CHECK(standing::clear == bounded.standingOf(numbered(100), kService));
 }
 
-TEST_CASE_METHOD(fixture, "a request that was released stays so when one that was cut off tells of its crashes")
+TEST_CASE_METHOD(fixture, "a released request stays released when a disconnected process reports its crashes later")
 {
 	crash_history disconnected(time);
 	disconnected.merge(history.addCrash(10, kService, "i-1", std::vector<crashed_run>{{kCrashing}}));
@@ -234,7 +234,7 @@
 	CHECK(standing::held != of(kCrashing));
 }
 
-TEST_CASE("a fingerprint survives its way over the network and over pages")
+TEST_CASE("a fingerprint survives encoding and decoding as bytes and as text")
 {
 	const request_fingerprint fingerprint{0x0123456789abcdef, 0xfedcba9876543210};
 	CHECK(fingerprint == fingerprintFromBytes(toBytes(fingerprint)));
--- a/test/quarantine/request_fingerprint_test.cc
+++ b/test/quarantine/request_fingerprint_test.cc
@@ -15,7 +15,7 @@
 	CHECK(fingerprintOf(kRequest) == fingerprintOf(kRequest));
 }
 
-TEST_CASE("each part of a request counts")
+TEST_CASE("each part of a request changes the fingerprint")
 {
 	const auto own = fingerprintOf(kRequest);
 	auto other = kRequest;
@@ -32,7 +32,7 @@
 	CHECK(own != fingerprintOf(other));
 }
 
-TEST_CASE("what moves from one part to the next is another request")
+TEST_CASE("bytes moved from one part to the next change the fingerprint")
 {
 	request_identity first = kRequest;
 	first.path = "/a";
