--- a/apps/node_daemon.cc
+++ b/apps/node_daemon.cc
@@ -242,7 +242,7 @@
   quarantine::request_quarantine quarantine_{loop_};
   quota::quota_queue quotas_;
   ConnectPresence presence_;
-  quarantine::crash_detector crashWatch_;
+  quarantine::crash_watch crashWatch_;
   EntryServer entryServer_;
   AdminServer admin_;
   PageHandler reportPages_;  // empty where the back end does not tell of itself
--- a/src/node/endpoint_calls.h
+++ b/src/node/endpoint_calls.h
@@ -18,7 +18,7 @@
 #include "overload/answer_room.h"
 #include "overload/body_intake.h"
 #include "overload/call_origins.h"
-#include "quarantine/crash_detector.h"
+#include "quarantine/crash_watch.h"
 #include "quarantine/request_quarantine.h"
 #include "routing/routing_table.h"
 
@@ -93,7 +93,7 @@
   /// Has requests that crash the back end told from others; without it, none is.
   /// @param quarantine what is known of them; outlives this object, as `watch` does
   /// @param watch tells crashes; null where the back end can't be asked
-  void useQuarantine(quarantine::request_quarantine* quarantine, quarantine::crash_detector* watch);
+  void useQuarantine(quarantine::request_quarantine* quarantine, quarantine::crash_watch* watch);
 
   /// The standing of requests may have changed: those that wait are judged again.
   void onQuarantineChange();
@@ -263,7 +263,7 @@
   limits::SlotLimiter limiter_;
   limits::SlotLimiter probation_;                         // one place, for suspects
   quarantine::request_quarantine* quarantine_ = nullptr;  // may stay null
-  quarantine::crash_detector* watch_ = nullptr;           // may stay null
+  quarantine::crash_watch* watch_ = nullptr;              // may stay null
   bool leaving_ = false;
   bool stale_ = false;
   std::map<CallKey, Call> calls_;
--- a/src/quarantine/crash_detector.h
+++ b/src/quarantine/crash_watch.h
@@ -1,6 +1,6 @@
 /// Distinguishes the crash of a back end from the loss of a connection to it.
-#ifndef DRIFTLUG_QUARANTINE_CRASH_DETECTOR_H_HEADER_GUARD
-#define DRIFTLUG_QUARANTINE_CRASH_DETECTOR_H_HEADER_GUARD
+#ifndef DRIFTLUG_QUARANTINE_CRASH_WATCH_H_HEADER_GUARD
+#define DRIFTLUG_QUARANTINE_CRASH_WATCH_H_HEADER_GUARD
 
 #include <cstdint>
 #include <deque>
@@ -20,7 +20,7 @@
 /// Collects the runs whose connection the back end closed without an answer, until a check shows whether a process
 /// still listens at its address. If none does, all these runs were active when the back end crashed. Runs that are
 /// found cut shortly afterwards belong to the same crash.
-class crash_detector
+class crash_watch
 {
 public:
 	/// Called with the id of the crash that cut a run; nothing if there was no crash.
@@ -29,10 +29,10 @@
 	/// Called one or more times for each crash with the runs that were active, before their result handlers.
 	using crash_handler = std::function<void(uint64_t crash, const std::vector<crashed_run>& runs)>;
 
-	/// @param[in] _presence Must outlive the detector, as must _time.
-	crash_detector(const base::TimeSource& _time, base::RandomSource _random, back_end_presence& _presence,
-				   crash_handler _onCrash);
-	~crash_detector();
+	/// @param[in] _presence Must outlive the watch, as must _time.
+	crash_watch(const base::TimeSource& _time, base::RandomSource _random, back_end_presence& _presence,
+				crash_handler _onCrash);
+	~crash_watch();
 
 	/// Processes a run whose connection was closed without an answer.
 	/// @param[in] _done Called once; immediately if the run belongs to a crash that is already known.
@@ -72,4 +72,4 @@
 
 }  // namespace driftlug::quarantine
 
-#endif  // DRIFTLUG_QUARANTINE_CRASH_DETECTOR_H_HEADER_GUARD
+#endif  // DRIFTLUG_QUARANTINE_CRASH_WATCH_H_HEADER_GUARD
--- a/test/fleet/fleet_node.h
+++ b/test/fleet/fleet_node.h
@@ -13,7 +13,7 @@
 #include "node/local_backend.h"
 #include "node/version_reporter.h"
 #include "quarantine/back_end_presence.h"
-#include "quarantine/crash_detector.h"
+#include "quarantine/crash_watch.h"
 #include "quarantine/request_quarantine.h"
 #include "simulation/simulated_network.h"
 
@@ -103,7 +103,7 @@
 	std::unique_ptr<simulation::ProcessNetwork> m_calls;
 	std::unique_ptr<asked_presence> m_presence;
 	std::unique_ptr<quarantine::request_quarantine> m_quarantine;
-	std::unique_ptr<quarantine::crash_detector> m_watch;
+	std::unique_ptr<quarantine::crash_watch> m_watch;
 	std::unique_ptr<node::EntryCalls> m_entry;
 	std::unique_ptr<node::EndpointCalls> m_endpoint;
 	std::unique_ptr<node::ControlClient> m_client;
