--- a/src/rollout/rollout_driver.cc
+++ b/src/rollout/rollout_driver.cc
@@ -149,7 +149,7 @@
 		0 < _current.groupSize && static_cast<size_t>(_current.groupSize) < _situation.target.count;
 	if (partialGroup && _ramp.groupTime(permille, _current.groupSize) <= _situation.stepAge)
 	{
-		// Other endpoints under the same load tell a fault of the version from a fault of single endpoints.
+		// Trying other endpoints under the same load distinguishes a faulty version from faulty endpoints.
 		auto row = step(_current, _situation, permille, groupSizeFor(permille, _situation));
 		row.groupOffset = (_current.groupOffset + _current.groupSize) % static_cast<int>(_situation.target.count);
 		return row;
--- a/test/rollout/rollout_odds_test.cc
+++ b/test/rollout/rollout_odds_test.cc
@@ -93,9 +93,8 @@
 /// these were sufficient evidence.
 const drawn_rollout kExposureRegression{1017, version_fault::oneRoute, 3};
 
-/// Known failures: small services with faults of their own. In the first, three of
-/// the seven endpoints of the standing version are five times slower; the last two fail only a tenth of the requests
-/// while the share is small.
+/// Known failures: small services with faults of their own. In the first, three of the seven endpoints of the standing
+/// version are five times slower; the last two fail only a tenth of the requests while the share is small.
 const drawn_rollout kKnownFailures[] = {
 	{1041, version_fault::slow, 2}, {1198, version_fault::underLoad, 3}, {1088, version_fault::underLoad, 1}};
 
