--- a/src/node/endpoint_calls_quarantine.cc
+++ b/src/node/endpoint_calls_quarantine.cc
@@ -140,7 +140,7 @@
 }
 
 void EndpointCalls::noteRanWell(const CallKey& key) {
-  if (quarantine_ != nullptr && !quarantine_->empty()) quarantine_->onRanWell(fingerprintOfCall(key));
+  if (quarantine_ != nullptr && !quarantine_->empty()) quarantine_->onRunSucceeded(fingerprintOfCall(key));
 }
 
 }  // namespace driftlug::node
--- a/src/quarantine/crash_watch.cc
+++ b/src/quarantine/crash_watch.cc
@@ -8,12 +8,13 @@
 {
 namespace
 {
-/// Connections of one process end together; a busy node finds the last of them closed some turns of its loop later. No
-/// back end is up again, and crashed again, so soon.
-constexpr base::Duration kSameCrash = base::milliseconds(200);
-/// A back end whose supervisor starts it at once listens before anybody asks. It reports soon after its start.
-constexpr base::Duration kStartedWithin = base::seconds(5);
-constexpr size_t kMostSurvivors = 256;
+/// Runs cut within this time belong to the same crash. All connections of a process close together, but a busy node
+/// detects the last of them some event loop iterations later. No back end restarts and crashes again within this time.
+constexpr base::Duration kSameCrashWindow = base::milliseconds(200);
+/// Time within which a restarted back end reports to its node. If its supervisor restarts it at once, it may already
+/// listen again when the presence check runs, so the crash is found by this report only.
+constexpr base::Duration kRestartWindow = base::seconds(5);
+constexpr size_t kMaxRecentRuns = 256;
 
 }  // namespace
 
@@ -31,21 +32,21 @@
 	*m_alive = false;
 }
 
-void crash_watch::onCut(const crashed_run& _run, verdict _verdict)
+void crash_watch::onCut(const crashed_run& _run, result_handler _done)
 {
-	if (m_time.now() < m_joinUntil)
+	if (m_time.now() < m_sameCrashUntil)
 	{
-		m_onCrash(m_crash, {_run});
-		_verdict(m_crash);
+		m_onCrash(m_lastCrash, {_run});
+		_done(m_lastCrash);
 		return;
 	}
 
-	m_waiting.push_back({_run, std::move(_verdict)});
-	if (m_asking)
+	m_pending.push_back({_run, std::move(_done)});
+	if (m_checking)
 	{
 		return;
 	}
-	m_asking = true;
+	m_checking = true;
 	m_presence.check(
 		[this, alive = m_alive](presence _presence)
 		{
@@ -58,51 +59,51 @@
 
 void crash_watch::onChecked(bool _gone)
 {
-	m_asking = false;
-	const auto cuts = std::exchange(m_waiting, {});
+	m_checking = false;
+	const auto pending = std::exchange(m_pending, {});
 	std::vector<crashed_run> runs;
-	runs.reserve(cuts.size());
-	for (const auto& one : cuts)
+	runs.reserve(pending.size());
+	for (const auto& entry : pending)
 	{
-		runs.push_back(one.run);
-		m_survived.push_back({one.run, m_time.now()});
+		runs.push_back(entry.run);
+		m_recentRuns.push_back({entry.run, m_time.now()});
 	}
-	while (m_survived.size() > kMostSurvivors)
+	while (m_recentRuns.size() > kMaxRecentRuns)
 	{
-		m_survived.pop_front();
+		m_recentRuns.pop_front();
 	}
 	if (_gone)
 	{
-		m_survived.clear();
-		begin(runs);
+		m_recentRuns.clear();
+		beginCrash(runs);
 	}
-	for (const auto& one : cuts)
+	for (const auto& entry : pending)
 	{
-		one.done(_gone ? std::optional(m_crash) : std::nullopt);
+		entry.done(_gone ? std::optional(m_lastCrash) : std::nullopt);
 	}
 }
 
-void crash_watch::begin(const std::vector<crashed_run>& _runs)
+void crash_watch::beginCrash(const std::vector<crashed_run>& _runs)
 {
-	m_crash = m_random.bits();
-	m_joinUntil = m_time.now() + kSameCrash;
-	m_onCrash(m_crash, _runs);
+	m_lastCrash = m_random.bits();
+	m_sameCrashUntil = m_time.now() + kSameCrashWindow;
+	m_onCrash(m_lastCrash, _runs);
 }
 
 void crash_watch::onRestart()
 {
 	std::vector<crashed_run> runs;
-	for (const auto& one : std::exchange(m_survived, {}))
+	for (const auto& entry : std::exchange(m_recentRuns, {}))
 	{
-		if (m_time.now() - one.at < kStartedWithin)
+		if (m_time.now() - entry.at < kRestartWindow)
 		{
-			runs.push_back(one.run);
+			runs.push_back(entry.run);
 		}
 	}
-	// Unless the crash was seen as it happened, some seconds ago.
-	if (m_time.now() - m_joinUntil > kStartedWithin || !runs.empty())
+	// A crash that was detected directly, a few seconds ago, is not counted again.
+	if (m_time.now() - m_sameCrashUntil > kRestartWindow || !runs.empty())
 	{
-		begin(runs);
+		beginCrash(runs);
 	}
 }
 
--- a/src/rollout/version_policy.cc
+++ b/src/rollout/version_policy.cc
@@ -2,12 +2,12 @@
 
 namespace driftlug::rollout
 {
-bool version_policy::takes(std::string_view _version) const
+bool version_policy::acceptsRequests(std::string_view _version) const
 {
 	if (_version.empty())
 	{
-		// A node that was restarted knows its back end by name before it hears its version, for 1.5 s at the most. Only
-		// where another version may be about is that a reason to keep calls from it.
+		// A restarted node knows the name of its back end up to 1.5 s before its version. Calls are withheld during
+		// that time only if endpoints of another version may exist.
 		return !running && !rolledBack;
 	}
 	if (_version == standing)
@@ -17,9 +17,9 @@
 	return running && _version == target && 0 < targetPermille;
 }
 
-bool version_policy::covers(std::string_view _version) const
+bool version_policy::mayGetRequests(std::string_view _version) const
 {
-	return takes(_version) || _version == standing || (running && _version == target);
+	return acceptsRequests(_version) || _version == standing || (running && _version == target);
 }
 
 version_policy policyOf(const wire::RolloutRow& _row)
--- a/src/rollout/version_test.cc
+++ b/src/rollout/version_test.cc
@@ -10,42 +10,45 @@
 {
 namespace
 {
-/// Sum of evidence that is needed: one chance in e^11, about 60,000, for a look by itself. A rollout is looked at some
-/// hundred times, for some symptoms, routes and spans, most of which see the same answers.
-constexpr double kNeeded = 11;
-/// Where a version has less endpoints than can be told from ill ones, those that there are have to show twice as much.
+/// Required sum of log-likelihood ratios: the false positive odds of a single evaluation are 1 in e^11, about 60,000. A
+/// rollout is evaluated some hundred times, for several symptoms, routes and time spans, most of which use the same
+/// answers.
+constexpr double kRequiredEvidence = 11;
+/// With fewer endpoints, an unhealthy version cannot be told reliably from faulty endpoints, and twice the evidence is
+/// required.
 constexpr size_t kFewEndpoints = 3;
-constexpr double kFewFactor = 2;
-/// Evidence from which on an endpoint counts as ill.
-constexpr double kIll = 3;
-/// Chance that more endpoints are ill than are left out.
-constexpr double kMoreIllChance = 1e-3;
-/// Taken for seen besides: so many endpoints, half a one of them ill, so that a small fleet's good luck proves nothing.
-constexpr double kAssumedEndpoints = 10;
-constexpr double kAssumedIll = 0.5;
-/// Assumed of the answers, and how many seen ones that is worth.
-constexpr double kAssumedShare = 0.02;
-constexpr double kAssumedAnswers = 50;
-/// Run times of an endpoint below which its mean says little, and endpoints that are needed.
-constexpr int64_t kLeastTimed = 5;
-constexpr size_t kLeastCompared = 2;
-/// How far, in standard errors, the means have to be apart.
-constexpr double kNeededErrors = 5;
-/// Taken for the least standard deviation between endpoints of one version: speeds of 0.7 to 1.4 times the usual.
-constexpr double kLeastDeviation = 0.3;
-/// Least shift worth a rollback: half as long again.
-const double kLeastShift = std::log(1.5);
-
-/// Beyond the median of the standing version's endpoints, as a logarithm: 2.7 times slower. Machines differ by less.
-constexpr double kFarSlower = 1;
-/// Spread of single run times, as a variance of logarithms: what was seen is 0.1 to 0.6.
-constexpr double kRunVariance = 0.5;
-
-/// Means of endpoints' run times.
+constexpr double kFewEndpointsFactor = 2;
+/// Log-likelihood ratio from which an endpoint counts as faulty.
+constexpr double kFaultyEvidence = 3;
+/// Maximum probability that more endpoints are faulty than are excluded.
+constexpr double kExcessFaultyProbability = 1e-3;
+/// Prior for the share of faulty endpoints, so that the absence of faults in a small fleet is no proof.
+constexpr double kPriorEndpoints = 10;
+constexpr double kPriorFaultyEndpoints = 0.5;
+/// Prior share of answers with a symptom, and its weight in answers.
+constexpr double kPriorShare = 0.02;
+constexpr double kPriorAnswers = 50;
+/// Minimum number of run times for a usable mean of an endpoint, and of endpoints for a comparison.
+constexpr int64_t kMinTimedAnswers = 5;
+constexpr size_t kMinComparedEndpoints = 2;
+/// Required difference of the means in standard errors.
+constexpr double kRequiredStandardErrors = 5;
+/// Lower bound of the standard deviation between endpoints of one version: 0.7 to 1.4 times the typical speed.
+constexpr double kMinEndpointDeviation = 0.3;
+/// Minimum slowdown that justifies a rollback: run times 1.5 times as long.
+const double kMinShift = std::log(1.5);
+
+/// Distance of slow outliers from the median of the standing version's endpoints, as a logarithm: 2.7 times slower.
+/// Differences between healthy machines are smaller.
+constexpr double kSlowOutlierMargin = 1;
+/// Variance of the logarithms of single run times; known services have 0.1 to 0.6.
+constexpr double kRunTimeVariance = 0.5;
+
+/// Mean logarithms of the run times of endpoints.
 struct endpoint_means
 {
 	std::vector<double> means;
-	double noise = 0;  //!< Mean of what they are uncertain by, as a variance.
+	double samplingVariance = 0;  //!< Mean sampling variance of the means.
 
 	double mean() const
 	{
@@ -75,19 +78,19 @@
 	endpoint_means found;
 	for (const auto& sample : _samples)
 	{
-		if (const auto mean = meanLogOf(sample))
+		if (const auto mean = meanLogRunTime(sample))
 		{
 			found.means.push_back(*mean);
-			found.noise += kRunVariance / static_cast<double>(sample.timed);
+			found.samplingVariance += kRunTimeVariance / static_cast<double>(sample.timed);
 		}
 	}
-	found.noise /= std::max<double>(1, static_cast<double>(found.means.size()));
+	found.samplingVariance /= std::max<double>(1, static_cast<double>(found.means.size()));
 	std::sort(found.means.begin(), found.means.end());
 	return found;
 }
 
-/// @returns The chance of more than _hits in _draws, each with the given chance.
-double chanceOfMore(size_t _hits, size_t _draws, double _chance)
+/// @returns The probability of more than _hits successes in _draws independent trials.
+double binomialTail(size_t _hits, size_t _draws, double _probability)
 {
 	double sum = 0;
 	for (size_t hits = _hits + 1; hits <= _draws; ++hits)
@@ -95,110 +98,111 @@
 		const auto n = static_cast<double>(_draws);
 		const auto k = static_cast<double>(hits);
 		const double ways = std::lgamma(n + 1) - std::lgamma(k + 1) - std::lgamma(n - k + 1);
-		sum += std::exp(ways + k * std::log(_chance) + (n - k) * std::log1p(-_chance));
+		sum += std::exp(ways + k * std::log(_probability) + (n - k) * std::log1p(-_probability));
 	}
 	return sum;
 }
 
-/// Share of answers above which nothing more can be told.
-constexpr double kMostShare = 0.95;
+/// Maximum expected share of answers with a symptom; above it, an excess cannot be detected.
+constexpr double kMaxBaselineShare = 0.95;
 
-/// @returns How much likelier an endpoint's answers are with a symptom than without, as a logarithm.
-double evidenceOf(const run_sample& _sample, const symptom& _symptom, double _usual)
+/// @returns The log-likelihood ratio of an endpoint's answers with the symptom to those without it.
+double logLikelihoodRatio(const run_sample& _sample, const symptom& _symptom, double _baselineShare)
 {
-	const double usual = std::min(_usual, kMostShare - _symptom.more);
-	const double with = usual + _symptom.more;
+	const double baselineShare = std::min(_baselineShare, kMaxBaselineShare - _symptom.excessShare);
+	const double with = baselineShare + _symptom.excessShare;
 	const auto trials = static_cast<double>(_symptom.failing ? _sample.answered : _sample.timed);
 	const auto events = static_cast<double>(_symptom.failing ? _sample.failed : _sample.slow);
-	return events * std::log(with / usual) + (trials - events) * std::log((1 - with) / (1 - usual));
+	return events * std::log(with / baselineShare) + (trials - events) * std::log((1 - with) / (1 - baselineShare));
 }
 
 }  // namespace
 
-size_t illByChance(size_t _endpoints, double _illShare)
+size_t faultyByChance(size_t _endpoints, double _faultyShare)
 {
-	size_t ill = 0;
-	while (ill < _endpoints && kMoreIllChance < chanceOfMore(ill, _endpoints, _illShare))
+	size_t faulty = 0;
+	while (faulty < _endpoints && kExcessFaultyProbability < binomialTail(faulty, _endpoints, _faultyShare))
 	{
-		++ill;
+		++faulty;
 	}
-	return ill;
+	return faulty;
 }
 
-usual_answers usualOf(const symptom& _symptom, std::span<const run_sample> _standing)
+symptom_baseline symptomBaselineOf(const symptom& _symptom, std::span<const run_sample> _standing)
 {
 	const auto shareOf = [&](const run_sample& _sum)
 	{
 		const auto events = static_cast<double>(_symptom.failing ? _sum.failed : _sum.slow);
 		const auto trials = static_cast<double>(_symptom.failing ? _sum.answered : _sum.timed);
-		return (events + kAssumedShare * kAssumedAnswers) / (trials + kAssumedAnswers);
+		return (events + kPriorShare * kPriorAnswers) / (trials + kPriorAnswers);
 	};
 	run_sample all;
 	for (const auto& sample : _standing)
 	{
 		all += sample;
 	}
-	usual_answers usual;
-	usual.share = shareOf(all);
-	// Ill endpoints make the mean of all look worse than what a well one does.
-	run_sample well;
-	double ill = kAssumedIll;
-	double seen = kAssumedEndpoints;
+	symptom_baseline baseline;
+	baseline.share = shareOf(all);
+	// Faulty endpoints raise the share of all above that of the healthy ones.
+	run_sample healthy;
+	double faulty = kPriorFaultyEndpoints;
+	double seen = kPriorEndpoints;
 	for (const auto& sample : _standing)
 	{
-		const bool isIll = kIll <= evidenceOf(sample, _symptom, usual.share);
+		const bool isFaulty = kFaultyEvidence <= logLikelihoodRatio(sample, _symptom, baseline.share);
 		seen += 0 < sample.answered ? 1 : 0;
-		ill += isIll ? 1 : 0;
-		well += isIll ? run_sample{} : sample;
+		faulty += isFaulty ? 1 : 0;
+		healthy += isFaulty ? run_sample{} : sample;
 	}
-	usual.share = shareOf(well);
-	usual.illShare = ill / seen;
-	return usual;
+	baseline.share = shareOf(healthy);
+	baseline.faultyShare = faulty / seen;
+	return baseline;
 }
 
-test_result testSymptom(const symptom& _symptom, const usual_answers& _usual, std::span<const run_sample> _target,
-						size_t _known)
+test_result testSymptom(const symptom& _symptom, const symptom_baseline& _baseline, std::span<const run_sample> _target,
+						size_t _knownEndpoints)
 {
 	std::vector<double> evidence;
 	for (const auto& sample : _target)
 	{
 		if (0 < sample.answered)
 		{
-			evidence.push_back(evidenceOf(sample, _symptom, _usual.share));
+			evidence.push_back(logLikelihoodRatio(sample, _symptom, _baseline.share));
 		}
 	}
 
 	test_result result;
-	result.tried = evidence.size();
-	const bool few = _known < kFewEndpoints;
-	result.leftOut = few ? result.tried / 2 : illByChance(result.tried, _usual.illShare);
+	result.testedEndpoints = evidence.size();
+	const bool few = _knownEndpoints < kFewEndpoints;
+	result.excludedEndpoints =
+		few ? result.testedEndpoints / 2 : faultyByChance(result.testedEndpoints, _baseline.faultyShare);
 	std::sort(evidence.begin(), evidence.end(), std::greater<>());
 	double sum = 0;
-	for (size_t i = result.leftOut; i < evidence.size(); ++i)
+	for (size_t i = result.excludedEndpoints; i < evidence.size(); ++i)
 	{
 		sum += evidence[i];
 	}
-	result.strength = std::max(0.0, sum / (few ? kFewFactor * kNeeded : kNeeded));
+	result.strength = std::max(0.0, sum / (few ? kFewEndpointsFactor * kRequiredEvidence : kRequiredEvidence));
 	return result;
 }
 
-std::optional<double> meanLogOf(const run_sample& _sample)
+std::optional<double> meanLogRunTime(const run_sample& _sample)
 {
-	if (kLeastTimed > _sample.timed)
+	if (kMinTimedAnswers > _sample.timed)
 	{
 		return std::nullopt;
 	}
 	return _sample.logSumMs / static_cast<double>(_sample.timed);
 }
 
-double farSlowerFrom(std::span<const run_sample> _standing)
+double slowOutlierThreshold(std::span<const run_sample> _standing)
 {
 	const auto standing = meansOf(_standing);
-	if (kLeastCompared > standing.means.size())
+	if (kMinComparedEndpoints > standing.means.size())
 	{
 		return std::numeric_limits<double>::infinity();
 	}
-	return standing.means[standing.means.size() / 2] + kFarSlower;
+	return standing.means[standing.means.size() / 2] + kSlowOutlierMargin;
 }
 
 test_result testRunTimes(std::span<const run_sample> _target, std::span<const run_sample> _standing)
@@ -206,28 +210,32 @@
 	auto target = meansOf(_target);
 	auto standing = meansOf(_standing);
 	test_result result;
-	result.tried = target.means.size();
-	const auto ill = static_cast<double>(std::erase_if(standing.means,
-													   [from = farSlowerFrom(_standing)](double _mean)
-													   {
-														   return _mean >= from;
-													   }));
-	const auto seen = static_cast<double>(standing.means.size()) + ill;
-	result.leftOut = illByChance(result.tried, (ill + kAssumedIll) / (seen + kAssumedEndpoints));
-	if (kLeastCompared > result.tried - result.leftOut || kLeastCompared > standing.means.size())
+	result.testedEndpoints = target.means.size();
+	const auto faulty = static_cast<double>(std::erase_if(standing.means,
+														  [from = slowOutlierThreshold(_standing)](double _mean)
+														  {
+															  return _mean >= from;
+														  }));
+	const auto seen = static_cast<double>(standing.means.size()) + faulty;
+	result.excludedEndpoints =
+		faultyByChance(result.testedEndpoints, (faulty + kPriorFaultyEndpoints) / (seen + kPriorEndpoints));
+	if (kMinComparedEndpoints > result.testedEndpoints - result.excludedEndpoints
+		|| kMinComparedEndpoints > standing.means.size())
 	{
 		return result;
 	}
 
-	target.means.resize(result.tried - result.leftOut);
-	// How far endpoints of one version are apart is told by the standing version's, of which there are more.
-	const double between = std::max(kLeastDeviation * kLeastDeviation, standing.variance() - standing.noise);
-	const double error = std::sqrt((between + target.noise) / static_cast<double>(target.means.size())
-								   + (between + standing.noise) / static_cast<double>(standing.means.size()));
+	target.means.resize(result.testedEndpoints - result.excludedEndpoints);
+	// The variance between endpoints of one version is estimated from the standing version, which has more of them.
+	const double between =
+		std::max(kMinEndpointDeviation * kMinEndpointDeviation, standing.variance() - standing.samplingVariance);
+	const double error =
+		std::sqrt((between + target.samplingVariance) / static_cast<double>(target.means.size())
+				  + (between + standing.samplingVariance) / static_cast<double>(standing.means.size()));
 	const double shift = target.mean() - standing.mean();
-	if (shift >= kLeastShift)
+	if (shift >= kMinShift)
 	{
-		result.strength = shift / error / kNeededErrors;
+		result.strength = shift / error / kRequiredStandardErrors;
 	}
 	return result;
 }
--- a/test/rollout/rollout_driver_test.cc
+++ b/test/rollout/rollout_driver_test.cc
@@ -16,15 +16,16 @@
 		standing.standing = "v1";
 		standing.state = wire::RolloutState::STANDING;
 		row = rollout_driver::begin(standing, "v2", kFinishBy);
-		situation.ledFor = base::seconds(60);
+		situation.leadershipAge = base::seconds(60);
 		situation.answersPerSecond = 400;
 		situation.target = {20, 120, 0};
 		situation.standing = {20, 120, 80};
 		situation.nodes = 70;
 	}
 
-	/// Goes on by some time; takes the step that is due, if any.
-	bool after(base::Duration _time)
+	/// Advances the time and takes the step that is due, if any.
+	/// @returns Whether a step was taken.
+	bool advance(base::Duration _time)
 	{
 		situation.elapsed += _time;
 		situation.stepAge += _time;
@@ -37,20 +38,20 @@
 		return next.has_value();
 	}
 
-	/// Goes on until a state holds.
+	/// Advances the time until the predicate holds, for at most 20 s.
 	template <typename Predicate>
-	void until(Predicate _holds)
+	void runUntilTrue(Predicate _holds)
 	{
 		for (int i = 0; i < 200 && !_holds(); ++i)
 		{
-			after(base::milliseconds(100));
+			advance(base::milliseconds(100));
 		}
 		REQUIRE(_holds());
 	}
 
-	void untilRetiring()
+	void runUntilRetiring()
 	{
-		until(
+		runUntilTrue(
 			[&]
 			{
 				return row.retiring;
@@ -64,43 +65,44 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(fixture, "a version that looks well gets a small share for long, then everything, and is completed")
+TEST_CASE_METHOD(fixture,
+				 "a healthy version keeps a small share for most of the time, then gets all requests and is completed")
 {
-	until(
+	runUntilTrue(
 		[&]
 		{
 			return row.targetPermille > 0;
 		});
 	CHECK(situation.elapsed < base::seconds(1));
-	until(
+	runUntilTrue(
 		[&]
 		{
 			return row.targetPermille > 100;
 		});
 	CHECK(situation.elapsed > base::seconds(9));
-	untilRetiring();
+	runUntilRetiring();
 	CHECK(row.targetPermille == kWholePermille);
 	CHECK(situation.elapsed < kFinishBy);
 
 	situation.standing.active = 1;
-	CHECK_FALSE(after(base::milliseconds(300)));
+	CHECK_FALSE(advance(base::milliseconds(300)));
 	situation.standing.active = 0;
 	situation.standingIdle = true;
-	situation.everywhere = true;
-	REQUIRE(after(base::milliseconds(100)));
+	situation.inForceEverywhere = true;
+	REQUIRE(advance(base::milliseconds(100)));
 	CHECK(row.state == wire::RolloutState::COMPLETED);
 	CHECK(row.standing == "v2");
 	CHECK_FALSE(row.retiring);
 }
 
-TEST_CASE_METHOD(fixture, "without reports of the new version nothing goes there, and the order ends with its time")
+TEST_CASE_METHOD(fixture, "without reports the target version gets no requests, and the rollout ends at its deadline")
 {
 	situation.target = {};
 	while (situation.elapsed < kFinishBy - base::milliseconds(200))
 	{
-		CHECK_FALSE(after(base::milliseconds(100)));
+		CHECK_FALSE(advance(base::milliseconds(100)));
 	}
-	until(
+	runUntilTrue(
 		[&]
 		{
 			return row.state == wire::RolloutState::ROLLED_BACK;
@@ -108,84 +110,84 @@
 	CHECK(row.reason == "out of time: no endpoint of the version reports");
 }
 
-TEST_CASE_METHOD(fixture, "a bad version is rolled back at each step, also while the standing one retires")
+TEST_CASE_METHOD(fixture, "an unhealthy version is rolled back at each step, also while the standing version retires")
 {
 	const int permille = GENERATE(0, 50, 350, 950, 1000);
-	until(
+	runUntilTrue(
 		[&]
 		{
 			return row.targetPermille >= permille;
 		});
-	situation.verdict.standing = standing_of_version::bad;
+	situation.verdict.health = version_health::unhealthy;
 	situation.verdict.reason = "fails often";
-	REQUIRE(after(base::milliseconds(100)));
+	REQUIRE(advance(base::milliseconds(100)));
 	CHECK(row.state == wire::RolloutState::ROLLED_BACK);
 	CHECK(row.targetPermille == 0);
 	CHECK(row.standing == "v1");
 	CHECK_FALSE(row.retiring);
 	CHECK(row.reason == "fails often");
-	CHECK_FALSE(after(base::seconds(60)));
+	CHECK_FALSE(advance(base::seconds(60)));
 }
 
-TEST_CASE_METHOD(fixture, "a doubtful version gets no more than it has, and is rolled back when the time is over")
+TEST_CASE_METHOD(fixture,
+				 "the share of a suspect version is not increased, and the version is rolled back at the deadline")
 {
-	until(
+	runUntilTrue(
 		[&]
 		{
 			return row.targetPermille >= 50;
 		});
 	const int permille = row.targetPermille;
-	situation.verdict.standing = standing_of_version::doubtful;
+	situation.verdict.health = version_health::suspect;
 	while (situation.elapsed < kFinishBy - base::milliseconds(200))
 	{
-		after(base::milliseconds(100));
+		advance(base::milliseconds(100));
 		CHECK(row.targetPermille == permille);
 	}
-	until(
+	runUntilTrue(
 		[&]
 		{
 			return row.state == wire::RolloutState::ROLLED_BACK;
 		});
 }
 
-TEST_CASE_METHOD(fixture, "a controller that has just begun to lead takes no step up before it has reports of all")
+TEST_CASE_METHOD(fixture, "a new leader does not increase the share before all endpoints have reported")
 {
-	situation.ledFor = base::Duration(0);
+	situation.leadershipAge = base::Duration(0);
 	for (int i = 0; i < 10; ++i)
 	{
-		situation.ledFor += base::milliseconds(100);
-		CHECK_FALSE(after(base::milliseconds(100)));
+		situation.leadershipAge += base::milliseconds(100);
+		CHECK_FALSE(advance(base::milliseconds(100)));
 	}
-	situation.ledFor = base::seconds(2);
-	CHECK(after(base::milliseconds(100)));
+	situation.leadershipAge = base::seconds(2);
+	CHECK(advance(base::milliseconds(100)));
 }
 
-TEST_CASE_METHOD(fixture,
-				 "a controller that has just begun to lead doesn't complete before the last endpoint has reported")
+TEST_CASE_METHOD(fixture, "a new leader completes no rollout before the last endpoint has reported")
 {
-	untilRetiring();
+	runUntilRetiring();
 	situation.standingIdle = true;
-	situation.everywhere = true;
-	situation.ledFor = base::seconds(2);
-	CHECK_FALSE(after(base::milliseconds(100)));
-	situation.ledFor = base::seconds(3);
-	CHECK(after(base::milliseconds(100)));
+	situation.inForceEverywhere = true;
+	situation.leadershipAge = base::seconds(2);
+	CHECK_FALSE(advance(base::milliseconds(100)));
+	situation.leadershipAge = base::seconds(3);
+	CHECK(advance(base::milliseconds(100)));
 	CHECK(row.state == wire::RolloutState::COMPLETED);
 }
 
-TEST_CASE_METHOD(fixture, "nodes that are cut off hold completion up for two seconds at the most")
+TEST_CASE_METHOD(fixture, "disconnected nodes delay completion by two seconds at most")
 {
-	untilRetiring();
+	runUntilRetiring();
 	situation.standingIdle = true;
-	CHECK_FALSE(after(base::milliseconds(1900)));
-	CHECK(after(base::milliseconds(200)));
+	CHECK_FALSE(advance(base::milliseconds(1900)));
+	CHECK(advance(base::milliseconds(200)));
 	CHECK(row.state == wire::RolloutState::COMPLETED);
 }
 
-TEST_CASE_METHOD(fixture, "a version with too few slots for what is at work gets no more than its trial")
+TEST_CASE_METHOD(fixture, "a version with too few slots for the active requests stays at the trial share")
 {
 	situation.target = {5, 30, 0};
-	until(
+	runUntilTrue(
 		[&]
 		{
 			return row.state == wire::RolloutState::ROLLED_BACK;
@@ -193,16 +195,16 @@
 	CHECK(row.reason == "out of time: the version has too few slots");
 }
 
-TEST_CASE_METHOD(fixture, "the endpoints on trial carry what they will in the end, and take turns")
+TEST_CASE_METHOD(fixture, "the trial group gets the load that its endpoints get in the end, and groups rotate")
 {
-	until(
+	runUntilTrue(
 		[&]
 		{
 			return row.targetPermille >= 80;
 		});
 	CHECK(row.groupSize == 2);
 	const int offset = row.groupOffset;
-	until(
+	runUntilTrue(
 		[&]
 		{
 			return row.groupOffset != offset;
@@ -210,20 +212,20 @@
 	CHECK(row.groupOffset == offset + 2);
 }
 
-TEST_CASE_METHOD(fixture,
-				 "where there are many nodes, so many endpoints are on trial that each is linked by 500 at the most")
+TEST_CASE_METHOD(fixture, "with many nodes the trial group is so large that at most 500 nodes connect to each endpoint")
 {
 	situation.target = {200, 1200, 0};
 	situation.nodes = 14'000;
-	CHECK(after(base::milliseconds(100)));
+	CHECK(advance(base::milliseconds(100)));
 	CHECK(row.groupSize >= 28);
 }
 
-TEST_CASE_METHOD(fixture, "an order whose time is too short for a look is not completed")
+TEST_CASE_METHOD(fixture,
+				 "a rollout too short for an evaluation retires the standing version or is rolled back by its deadline")
 {
 	const auto seconds = GENERATE(1, 2);
 	row.finishByMs = seconds * 1000;
-	until(
+	runUntilTrue(
 		[&]
 		{
 			return row.state != wire::RolloutState::RUNNING || row.retiring;
--- a/test/rollout/rollout_fleet_test.cc
+++ b/test/rollout/rollout_fleet_test.cc
@@ -10,29 +10,29 @@
 constexpr base::Duration kFinishBy = base::seconds(15);
 constexpr base::Duration kOrderAt = base::seconds(6);
 constexpr base::Duration kEnd = kOrderAt + kFinishBy;
-/// Of the aim: how long behind its fiftieth bad answer a version may still get requests, and how many in all.
-constexpr base::Duration kBackWithin = base::seconds(5);
+/// Requirements: time from the 50th bad answer after which a version may get no more requests, and its total exposure.
+constexpr base::Duration kMaxRollbackDelay = base::seconds(5);
 constexpr double kExposureShare = 0.1;
 constexpr double kExposureSlack = 50;
 
-/// Requests run; the order has just been accepted, and back ends of the new version start.
+/// Fleet under load, shortly before an order. startRollout() orders the new version and starts its back ends.
 struct fixture
 {
 	explicit fixture(uint64_t _seed = 1)
 		: fleet(_seed)
 	{
-		fleet.callAllTheTime(kPerSecond, kEnd + base::seconds(10));
+		fleet.generateLoad(kPerSecond, kEnd + base::seconds(10));
 		fleet.runUntil(kOrderAt);
 	}
 
-	void begin()
+	void startRollout()
 	{
 		REQUIRE(base::ErrorCode::kNone == fleet.order(kNewVersion, kFinishBy));
 		fleet.startVersion(kNewVersion);
 	}
 
-	/// Goes on until the new version gets a share.
-	void untilOnTrial()
+	/// Runs until the new version gets a share of 80 permille.
+	void runUntilOnTrial()
 	{
 		while (fleet.now() < kEnd && fleet.row()->targetPermille < 80)
 		{
@@ -41,10 +41,10 @@
 		REQUIRE(fleet.row()->targetPermille >= 80);
 	}
 
-	/// Checks that nothing reaches the old version any more, nothing runs there, and nobody lost an answer.
+	/// Checks that the old version runs and receives no more requests, and that no call is without an answer.
 	void checkCompleted()
 	{
-		REQUIRE(fleet.untilDecided(kEnd) == wire::RolloutState::COMPLETED);
+		REQUIRE(fleet.runUntilDecided(kEnd) == wire::RolloutState::COMPLETED);
 		const auto at = base::TimePoint{} + fleet.now();
 		CHECK(fleet.runningOn(kOldVersion) == 0);
 		for (size_t i = 0; i < rollout_fleet::kBackEnds; ++i)
@@ -62,7 +62,7 @@
 
 }  // namespace
 
-TEST_CASE("the version that runs at the start stands, without an order")
+TEST_CASE("the version that runs at the start becomes the standing version without an order")
 {
 	rollout_fleet fleet(1);
 	REQUIRE(fleet.row());
@@ -70,7 +70,7 @@
 	CHECK(fleet.row()->state == wire::RolloutState::STANDING);
 }
 
-TEST_CASE("back ends of a version without an order get nothing, also from nodes that start")
+TEST_CASE("back ends of a version without an order get no requests, also from nodes that start")
 {
 	fixture f;
 	const auto first = f.fleet.startVersion(kNewVersion);
@@ -85,30 +85,30 @@
 	CHECK(f.fleet.callers.answered > 1000);
 }
 
-TEST_CASE("a good version is completed in time, with nothing at work on the old one and nothing sent there any more")
+TEST_CASE("a healthy version is completed in time, and the old version then runs and receives no requests")
 {
 	const auto seed = GENERATE(range(1, 6));
 	fixture f(static_cast<uint64_t>(seed));
-	f.begin();
+	f.startRollout();
 	f.checkCompleted();
 	CHECK(f.fleet.callers.failed == 0);
 	CHECK(f.fleet.callers.notRun == 0);
 }
 
-TEST_CASE("a bad version is rolled back in time, within its exposure, and gets nothing any more")
+TEST_CASE("an unhealthy version is rolled back in time, within the exposure limit, and gets no more requests")
 {
 	const auto seed = GENERATE(range(1, 6));
 	fixture f(static_cast<uint64_t>(seed));
 	f.fleet.record.badVersion = kNewVersion;
 	f.fleet.record.badShare = 0.4;
-	f.begin();
-	REQUIRE(f.fleet.untilDecided(kEnd) == wire::RolloutState::ROLLED_BACK);
+	f.startRollout();
+	REQUIRE(f.fleet.runUntilDecided(kEnd) == wire::RolloutState::ROLLED_BACK);
 	f.fleet.runUntil(f.fleet.now() + base::seconds(5));
 
 	const auto& arrivals = f.fleet.record.arrivals;
 	size_t bad = 0;
 	size_t exposed = 0;
-	base::TimePoint fiftieth = base::TimePoint::max() - kBackWithin;
+	base::TimePoint fiftieth = base::TimePoint::max() - kMaxRollbackDelay;
 	base::TimePoint last{};
 	for (const auto& arrival : arrivals)
 	{
@@ -120,16 +120,16 @@
 			fiftieth = arrival.bad && 50 == bad ? arrival.time : fiftieth;
 		}
 	}
-	CHECK(last <= fiftieth + kBackWithin);
+	CHECK(last <= fiftieth + kMaxRollbackDelay);
 	const double all = kPerSecond * 15;
 	CHECK(static_cast<double>(exposed) <= kExposureShare * all + kExposureSlack);
 }
 
-TEST_CASE("an order survives the end of the leader, and is carried on by the next one")
+TEST_CASE("a rollout continues under the next leader when the leader fails")
 {
 	fixture f;
-	f.begin();
-	f.untilOnTrial();
+	f.startRollout();
+	f.runUntilOnTrial();
 	auto* old = f.fleet.leader();
 	old->losePower();
 	f.fleet.runUntil(f.fleet.now() + base::seconds(2));
@@ -139,25 +139,25 @@
 	f.checkCompleted();
 }
 
-TEST_CASE("a bad version is rolled back over the end of the leader")
+TEST_CASE("an unhealthy version is rolled back when the leader fails")
 {
 	fixture f;
-	f.begin();
-	f.untilOnTrial();
+	f.startRollout();
+	f.runUntilOnTrial();
 	f.fleet.record.badVersion = kNewVersion;
 	f.fleet.record.badShare = 0.4;
 	f.fleet.leader()->losePower();
-	CHECK(f.fleet.untilDecided(kEnd) == wire::RolloutState::ROLLED_BACK);
+	CHECK(f.fleet.runUntilDecided(kEnd) == wire::RolloutState::ROLLED_BACK);
 }
 
-TEST_CASE("orders and their outcome survive the loss of all power")
+TEST_CASE("orders and their outcome survive a power failure of all controllers")
 {
 	fixture f;
-	f.begin();
+	f.startRollout();
 	const bool decided = GENERATE(false, true);
 	if (decided)
 	{
-		REQUIRE(f.fleet.untilDecided(kEnd) == wire::RolloutState::COMPLETED);
+		REQUIRE(f.fleet.runUntilDecided(kEnd) == wire::RolloutState::COMPLETED);
 	}
 	for (const auto& host : f.fleet.controllers())
 	{
@@ -175,20 +175,20 @@
 	CHECK(f.fleet.row()->standing == (decided ? kNewVersion : kOldVersion));
 }
 
-TEST_CASE("an order that comes again is the same; another one is refused while it runs")
+TEST_CASE("a repeated order has no effect; a different one is refused while a rollout runs")
 {
 	fixture f;
-	f.begin();
+	f.startRollout();
 	const auto row = f.fleet.row();
 	CHECK(f.fleet.order(kNewVersion, kFinishBy) == base::ErrorCode::kNone);
 	CHECK(f.fleet.row()->elapsedMs == row->elapsedMs);
 	CHECK(f.fleet.order("v3", kFinishBy) == base::ErrorCode::kRevisionConflict);
-	REQUIRE(f.fleet.untilDecided(kEnd) == wire::RolloutState::COMPLETED);
+	REQUIRE(f.fleet.runUntilDecided(kEnd) == wire::RolloutState::COMPLETED);
 	CHECK(f.fleet.order(kNewVersion, kFinishBy) == base::ErrorCode::kNone);
 	CHECK(f.fleet.row()->state == wire::RolloutState::COMPLETED);
 }
 
-TEST_CASE("an order for the version that stands is completed at once")
+TEST_CASE("an order for the standing version is completed at once")
 {
 	fixture f;
 	CHECK(f.fleet.order(kOldVersion, kFinishBy) == base::ErrorCode::kNone);
@@ -197,36 +197,36 @@
 	CHECK(f.fleet.row()->standing == kOldVersion);
 }
 
-TEST_CASE("an order for a version without back ends ends with its time, and the service goes on")
+TEST_CASE("a rollout to a version without back ends ends at its deadline, and the service stays available")
 {
 	fixture f;
 	REQUIRE(f.fleet.order(kNewVersion, base::seconds(4)) == base::ErrorCode::kNone);
-	CHECK(f.fleet.untilDecided(kOrderAt + base::seconds(5)) == wire::RolloutState::ROLLED_BACK);
+	CHECK(f.fleet.runUntilDecided(kOrderAt + base::seconds(5)) == wire::RolloutState::ROLLED_BACK);
 	CHECK(f.fleet.callers.notRun == 0);
 	CHECK(f.fleet.record.arrivalsOf(kNewVersion, base::TimePoint{}) == 0);
 }
 
-TEST_CASE("after a rollback the same version may be ordered again, and is completed once it is well")
+TEST_CASE("after a rollback the same version may be ordered again, and is completed once it is healthy")
 {
 	fixture f;
 	f.fleet.record.badVersion = kNewVersion;
 	f.fleet.record.badShare = 0.5;
-	f.begin();
-	REQUIRE(f.fleet.untilDecided(kEnd) == wire::RolloutState::ROLLED_BACK);
+	f.startRollout();
+	REQUIRE(f.fleet.runUntilDecided(kEnd) == wire::RolloutState::ROLLED_BACK);
 	f.fleet.record.badVersion.clear();
 	f.fleet.runUntil(f.fleet.now() + base::seconds(11));
 	REQUIRE(f.fleet.order(kNewVersion, kFinishBy) == base::ErrorCode::kNone);
 	CHECK(f.fleet.row()->state == wire::RolloutState::RUNNING);
-	CHECK(f.fleet.untilDecided(f.fleet.now() + kFinishBy) == wire::RolloutState::COMPLETED);
+	CHECK(f.fleet.runUntilDecided(f.fleet.now() + kFinishBy) == wire::RolloutState::COMPLETED);
 }
 
-TEST_CASE("a node that is cut off holds nothing up, and sends nothing to the old version when it is back")
+TEST_CASE("a disconnected node does not delay a rollout, and sends nothing to the old version once it reconnects")
 {
 	fixture f;
-	f.begin();
-	f.untilOnTrial();
+	f.startRollout();
+	f.runUntilOnTrial();
 	f.fleet.cutOff(0, true);
-	REQUIRE(f.fleet.untilDecided(kEnd) == wire::RolloutState::COMPLETED);
+	REQUIRE(f.fleet.runUntilDecided(kEnd) == wire::RolloutState::COMPLETED);
 	for (size_t i = 1; i < rollout_fleet::kBackEnds; ++i)
 	{
 		f.fleet.backEnd(i).stop();
@@ -238,11 +238,11 @@
 	CHECK(f.fleet.record.arrivalsOf(kOldVersion, at) == 0);
 }
 
-TEST_CASE("a node that doesn't hear of the controllers sends nothing to a version on trial")
+TEST_CASE("a node that is disconnected from the controllers sends nothing to the target version")
 {
 	fixture f;
-	f.begin();
-	f.untilOnTrial();
+	f.startRollout();
+	f.runUntilOnTrial();
 	for (size_t i = 0; i < rollout_fleet::kBackEnds; ++i)
 	{
 		f.fleet.cutOff(i, true);
@@ -254,15 +254,15 @@
 	CHECK(f.fleet.record.arrivalsOf(kOldVersion, at) > 300);
 }
 
-TEST_CASE("the node beside a back end of a version that was rolled back refuses what nodes with an old row send")
+TEST_CASE("the node of a back end whose version was rolled back refuses requests of nodes with an outdated row")
 {
 	fixture f;
 	f.fleet.record.badVersion = kNewVersion;
 	f.fleet.record.badShare = 0.5;
-	f.begin();
-	f.untilOnTrial();
+	f.startRollout();
+	f.runUntilOnTrial();
 	f.fleet.cutOff(0, true);
-	REQUIRE(f.fleet.untilDecided(kEnd) == wire::RolloutState::ROLLED_BACK);
+	REQUIRE(f.fleet.runUntilDecided(kEnd) == wire::RolloutState::ROLLED_BACK);
 	f.fleet.runUntil(f.fleet.now() + base::milliseconds(300));
 	const auto at = base::TimePoint{} + f.fleet.now();
 	f.fleet.runUntil(f.fleet.now() + base::seconds(5));
--- a/test/rollout/version_evidence_test.cc
+++ b/test/rollout/version_evidence_test.cc
@@ -3,7 +3,7 @@
 #include <catch2/catch.hpp>
 
 #include "manual_time.h"
-#include "rollout/run_figures.h"
+#include "rollout/run_statistics.h"
 #include "rollout/version_test.h"
 
 namespace driftlug::rollout
@@ -12,20 +12,20 @@
 {
 constexpr int64_t kRoute = 7;
 
-/// An endpoint's node, which counts and reports.
+/// Node of an endpoint, which counts answers and reports them.
 struct reporter
 {
 	std::string endpoint;
 	std::string version;
 	int64_t life = 1;
 	int64_t sequence = 0;
-	run_figures figures;
+	run_statistics figures;
 
 	void answer(int _count, int _failed, base::Duration _run = base::milliseconds(100))
 	{
 		for (int i = 0; i < _count; ++i)
 		{
-			figures.note(kRoute, i < _failed, _run, false);
+			figures.record(kRoute, i < _failed, _run, false);
 		}
 	}
 
@@ -69,9 +69,9 @@
 		time.advance(base::milliseconds(250));
 	}
 
-	standing_of_version judged() const
+	version_health health() const
 	{
-		return evidence.judge(policy).standing;
+		return evidence.evaluate(policy).health;
 	}
 
 	test::ManualTime time;
@@ -83,7 +83,8 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(fixture, "one endpoint that fails does not make its version bad, however many answers it gives")
+TEST_CASE_METHOD(fixture,
+				 "a single failing endpoint does not make its version unhealthy, however many answers it gives")
 {
 	for (int i = 0; i < 40; ++i)
 	{
@@ -94,17 +95,17 @@
 		target[0].answer(5, 4);
 		target[1].answer(5, 0);
 		reportAll();
-		CHECK(judged() == standing_of_version::clear);
+		CHECK(health() == version_health::healthy);
 	}
 }
 
-TEST_CASE_METHOD(fixture, "several endpoints that fail do, and so do several that are slow")
+TEST_CASE_METHOD(fixture, "several failing endpoints make their version unhealthy, and so do several slow ones")
 {
 	const bool slow = GENERATE(false, true);
-	int looks = 0;
-	while (judged() != standing_of_version::bad && looks < 40)
+	int evaluations = 0;
+	while (health() != version_health::unhealthy && evaluations < 40)
 	{
-		++looks;
+		++evaluations;
 		for (auto& reporter : standing)
 		{
 			reporter.answer(5, 0);
@@ -115,11 +116,11 @@
 		}
 		reportAll();
 	}
-	CHECK(judged() == standing_of_version::bad);
-	CHECK(looks <= 8);
+	CHECK(health() == version_health::unhealthy);
+	CHECK(evaluations <= 8);
 }
 
-TEST_CASE_METHOD(fixture, "what fails on both versions alike is held against neither")
+TEST_CASE_METHOD(fixture, "failures on both versions alike do not make the target version unhealthy")
 {
 	for (int i = 0; i < 20; ++i)
 	{
@@ -131,11 +132,11 @@
 			}
 		}
 		reportAll();
-		CHECK(judged() != standing_of_version::bad);
+		CHECK(health() != version_health::unhealthy);
 	}
 }
 
-TEST_CASE_METHOD(fixture, "reports that come twice, late or not at all change nothing")
+TEST_CASE_METHOD(fixture, "duplicate, late and lost reports change nothing")
 {
 	for (auto& reporter : target)
 	{
@@ -150,7 +151,7 @@
 	CHECK(evidence.answersPerSecond() == Approx(10 * 20 / 4.0));
 }
 
-TEST_CASE_METHOD(fixture, "a node that starts again counts anew")
+TEST_CASE_METHOD(fixture, "the counts of a restarted node start at zero")
 {
 	target[0].answer(100, 0);
 	evidence.onReport(target[0].report(), policy);
@@ -160,7 +161,7 @@
 	CHECK(evidence.answersPerSecond() == Approx(120 / 4.0));
 }
 
-TEST_CASE_METHOD(fixture, "what was answered before a controller led is not dated to its first look")
+TEST_CASE_METHOD(fixture, "answers from before a controller became leader do not count as recent")
 {
 	evidence.clear();
 	for (auto& reporter : target)
@@ -168,15 +169,15 @@
 		reporter.answer(100, 90);
 	}
 	reportAll();
-	CHECK(judged() == standing_of_version::clear);
+	CHECK(health() == version_health::healthy);
 }
 
-TEST_CASE("as many endpoints may be ill by chance as the share of ill ones tells")
+TEST_CASE("the number of endpoints that may be faulty by chance depends on the share of faulty endpoints")
 {
-	CHECK(illByChance(1, 0.03) == 1);
-	CHECK(illByChance(3, 0.03) == 2);
-	CHECK(illByChance(20, 0.03) < 6);
-	CHECK(illByChance(20, 0.2) > 8);
+	CHECK(faultyByChance(1, 0.03) == 1);
+	CHECK(faultyByChance(3, 0.03) == 2);
+	CHECK(faultyByChance(20, 0.03) < 6);
+	CHECK(faultyByChance(20, 0.2) > 8);
 }
 
 }  // namespace driftlug::rollout
--- a/test/rollout/version_policy_test.cc
+++ b/test/rollout/version_policy_test.cc
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "rollout/run_figures.h"
+#include "rollout/run_statistics.h"
 #include "rollout/trial_group.h"
 
 namespace driftlug::rollout
@@ -32,50 +32,50 @@
 
 }  // namespace
 
-TEST_CASE("a version that no row names gets nothing, whatever the state")
+TEST_CASE("a version that the row does not name gets no requests in any state")
 {
 	const auto state = GENERATE(wire::RolloutState::STANDING, wire::RolloutState::RUNNING,
 								wire::RolloutState::COMPLETED, wire::RolloutState::ROLLED_BACK);
 	auto row = rowOf(state);
 	row.targetPermille = 500;
 	const auto policy = policyOf(row);
-	CHECK_FALSE(policy.takes("v3"));
-	CHECK_FALSE(policy.covers("v3"));
-	CHECK(policy.takes("v1"));
+	CHECK_FALSE(policy.acceptsRequests("v3"));
+	CHECK_FALSE(policy.mayGetRequests("v3"));
+	CHECK(policy.acceptsRequests("v1"));
 }
 
-TEST_CASE("a target gets requests only while its order runs and it has a share")
+TEST_CASE("a target version gets requests only while its rollout runs and it has a share")
 {
 	auto row = rowOf(wire::RolloutState::RUNNING);
-	CHECK_FALSE(policyOf(row).takes("v2"));
-	CHECK(policyOf(row).covers("v2"));
+	CHECK_FALSE(policyOf(row).acceptsRequests("v2"));
+	CHECK(policyOf(row).mayGetRequests("v2"));
 	row.targetPermille = 50;
-	CHECK(policyOf(row).takes("v2"));
+	CHECK(policyOf(row).acceptsRequests("v2"));
 	row.state = wire::RolloutState::ROLLED_BACK;
-	CHECK_FALSE(policyOf(row).takes("v2"));
-	CHECK_FALSE(policyOf(row).covers("v2"));
+	CHECK_FALSE(policyOf(row).acceptsRequests("v2"));
+	CHECK_FALSE(policyOf(row).mayGetRequests("v2"));
 }
 
-TEST_CASE("a standing version that retires takes nothing new")
+TEST_CASE("a retiring standing version accepts no new requests")
 {
 	auto row = rowOf(wire::RolloutState::RUNNING);
 	row.targetPermille = kWholePermille;
 	row.retiring = true;
-	CHECK_FALSE(policyOf(row).takes("v1"));
-	CHECK(policyOf(row).takes("v2"));
+	CHECK_FALSE(policyOf(row).acceptsRequests("v1"));
+	CHECK(policyOf(row).acceptsRequests("v2"));
 	row.state = wire::RolloutState::ROLLED_BACK;
-	CHECK(policyOf(row).takes("v1"));
+	CHECK(policyOf(row).acceptsRequests("v1"));
 }
 
-TEST_CASE("a back end whose version is not known yet takes requests only where no other version may be about")
+TEST_CASE("a back end of unknown version accepts requests only if no other version may be running")
 {
-	CHECK(policyOf(rowOf(wire::RolloutState::STANDING)).takes(""));
-	CHECK(policyOf(rowOf(wire::RolloutState::COMPLETED)).takes(""));
-	CHECK_FALSE(policyOf(rowOf(wire::RolloutState::RUNNING)).takes(""));
-	CHECK_FALSE(policyOf(rowOf(wire::RolloutState::ROLLED_BACK)).takes(""));
+	CHECK(policyOf(rowOf(wire::RolloutState::STANDING)).acceptsRequests(""));
+	CHECK(policyOf(rowOf(wire::RolloutState::COMPLETED)).acceptsRequests(""));
+	CHECK_FALSE(policyOf(rowOf(wire::RolloutState::RUNNING)).acceptsRequests(""));
+	CHECK_FALSE(policyOf(rowOf(wire::RolloutState::ROLLED_BACK)).acceptsRequests(""));
 }
 
-TEST_CASE("groups on trial follow each other through all endpoints, in whatever order these are known")
+TEST_CASE("trial groups rotate through all endpoints, in whatever order these are known")
 {
 	auto known = names(7);
 	std::set<std::string> tried;
@@ -91,13 +91,13 @@
 	CHECK(chooseTrialGroup(names(2), 0, 5).size() == 2);
 }
 
-TEST_CASE("figures of runs are counted by route, run times of warm back ends only")
+TEST_CASE("runs are counted by route, and run times only for warm back ends")
 {
-	run_figures figures;
-	figures.note(1, false, base::milliseconds(100), false);
-	figures.note(1, false, base::milliseconds(100), true);
-	figures.note(1, true, base::milliseconds(2000), false);
-	figures.note(2, false, base::milliseconds(10), false);
+	run_statistics figures;
+	figures.record(1, false, base::milliseconds(100), false);
+	figures.record(1, false, base::milliseconds(100), true);
+	figures.record(1, true, base::milliseconds(2000), false);
+	figures.record(2, false, base::milliseconds(10), false);
 	wire::VersionReport report;
 	figures.fill(&report);
 	REQUIRE(report.routes.size() == 2);
@@ -107,12 +107,12 @@
 	CHECK(static_cast<size_t>(report.routes[0].firstBucket) == bucketOf(base::milliseconds(100)));
 }
 
-TEST_CASE("the routes of a report are bounded")
+TEST_CASE("the number of routes in a report is limited")
 {
-	run_figures figures;
+	run_statistics figures;
 	for (int64_t route = 1; route <= 1000; ++route)
 	{
-		figures.note(route, false, base::milliseconds(10), false);
+		figures.record(route, false, base::milliseconds(10), false);
 	}
 	wire::VersionReport report;
 	figures.fill(&report);
