--- a/apps/controller_daemon.cc
+++ b/apps/controller_daemon.cc
@@ -141,9 +141,9 @@
     options.name = FLAGS_listen_host;
     options.self.name = FLAGS_listen_host;
     options.controllers = seedControllers(FLAGS_seeds);
-    options.founding = FLAGS_first_start;
+    options.mayBootstrap = FLAGS_first_start;
     options.membership.automatic = true;
-    options.membership.leastVoters = 2 * static_cast<size_t>(FLAGS_fault_tolerance) + 1;
+    options.membership.minVoters = 2 * static_cast<size_t>(FLAGS_fault_tolerance) + 1;
     options.membership.replaceAfter = base::milliseconds(FLAGS_replace_after_ms);
   }
   options.raft.heartbeatInterval = base::milliseconds(FLAGS_heartbeat_ms);
--- a/src/consensus/raft.cc
+++ b/src/consensus/raft.cc
@@ -39,7 +39,7 @@
   entries_.assign(state.entries.begin(), state.entries.end());
   durableIndex_ = lastIndex();
   recomputeMembers();
-  startElectionTimerEarly();
+  startInitialElectionTimer();
 }
 
 void Raft::bootstrap(const wire::Member& self) {
@@ -95,8 +95,8 @@
 bool Raft::recentlyActive(const std::string& memberId) const {
   if (memberId == id_) return true;
   const auto found = progress_.find(memberId);
-  if (found == progress_.end() || found->second.lastAnswer == base::TimePoint{}) return false;
-  return scheduler_.inputReadUntil() - found->second.lastAnswer < options_.electionTimeout;
+  if (found == progress_.end() || found->second.lastResponseAt == base::TimePoint{}) return false;
+  return scheduler_.inputReadUntil() - found->second.lastResponseAt < options_.electionTimeout;
 }
 
 absl::StatusOr<int64_t> Raft::propose(wire::LogEntry entry) {
@@ -146,12 +146,12 @@
 void Raft::confirmLeadership(ConfirmCallback done) {
   if (role_ != RaftRole::kLeader) return done(false);
   // The answer must belong to a round that begins after this call.
-  confirms_.push_back({round_ + 1, std::max(commitIndex_, termStartIndex_), std::move(done)});
-  if (confirmRoundSent_) return;
-  confirmRoundSent_ = true;
+  pendingConfirms_.push_back({round_ + 1, std::max(commitIndex_, termStartIndex_), std::move(done)});
+  if (confirmRoundScheduled_) return;
+  confirmRoundScheduled_ = true;
   scheduler_.schedule(base::Duration(0), [this, alive = alive_] {
     if (!*alive) return;
-    confirmRoundSent_ = false;
+    confirmRoundScheduled_ = false;
     if (role_ == RaftRole::kLeader) onHeartbeatTimer();
   });
 }
@@ -208,20 +208,20 @@
 /// In turns, so that a member that has much to apply, as after a start, goes on answering heartbeats.
 void Raft::applyCommitted() {
   size_t rows = 0;
-  while (appliedIndex_ < commitIndex_ && rows < options_.rowsPerTurn) {
+  while (appliedIndex_ < commitIndex_ && rows < options_.maxRowsPerApplyTurn) {
     ++appliedIndex_;
     const auto& entry = entryAt(appliedIndex_);
     rows += 1 + entry.edit.mutations.size();
     appliedWeight_ += weightOf(entry);
     listener_.apply(entry);
   }
-  if (appliedIndex_ < commitIndex_) applyLater();
+  if (appliedIndex_ < commitIndex_) scheduleApply();
   confirmRounds();
   listener_.onProgress();
   compact();
 }
 
-void Raft::applyLater() {
+void Raft::scheduleApply() {
   if (applyScheduled_) return;
   applyScheduled_ = true;
   scheduler_.schedule(base::Duration(0), [this, alive = alive_] {
@@ -232,7 +232,7 @@
 }
 
 size_t Raft::weightOf(const wire::LogEntry& entry) const {
-  return 1 + entry.edit.mutations.size() / options_.rowsPerEntry;
+  return 1 + entry.edit.mutations.size() / options_.rowsPerWeightUnit;
 }
 
 void Raft::compact() {
--- a/src/consensus/raft.h
+++ b/src/consensus/raft.h
@@ -27,7 +27,7 @@
   base::Duration electionTimeout = base::milliseconds(300);  ///< lowest; the highest is twice that
   size_t maxBatchEntries = 256;                              ///< entries in one append
   size_t maxBatchRows = 4096;                                ///< rows of the entries in one append, unless one has more
-  size_t rowsPerTurn = 1024;                                 ///< rows of entries applied before others have their turn
+  size_t maxRowsPerApplyTurn = 1024;                         ///< rows of entries applied before others have their turn
   size_t snapshotChunkBytes = 256 << 10;
   size_t compactAfterEntries = 4096;  ///< applied entries kept before a snapshot is taken, at least
   /// Bytes of the last snapshot for each of which another entry is kept, so that the cost of snapshots per entry
@@ -35,7 +35,7 @@
   size_t snapshotBytesPerEntry = 256;
   size_t keepEntries = 1024;  ///< entries kept behind a snapshot for slow followers
   /// Rows for which an entry counts as one more, so that the memory of the log does not depend on how rows are edited.
-  size_t rowsPerEntry = 4;
+  size_t rowsPerWeightUnit = 4;
   /// Whether followers are told of a commit at once, not with the next entry or heartbeat.
   bool announceCommits = false;
   // Switched off only in the simulator, to prove that a checker notices.
@@ -152,9 +152,9 @@
     int64_t nextIndex = 1;
     int64_t matchIndex = 0;
     int64_t confirmedRound = 0;
-    base::TimePoint lastAnswer{};
+    base::TimePoint lastResponseAt{};
     std::optional<int64_t> snapshotOffset;  // set while a snapshot is being sent
-    base::TimePoint lastChunk{};
+    base::TimePoint lastChunkSentAt{};
   };
 
   /// What an append says; members at the same place of the log get the same one.
@@ -175,7 +175,7 @@
 
   // Elections
   void resetElectionTimer();
-  void startElectionTimerEarly();
+  void startInitialElectionTimer();
   bool saveHardState();
   void onElectionTimeout();
   void startElection(bool preVote, bool transfer);
@@ -197,7 +197,7 @@
   void sendSnapshotChunk(const std::string& memberId, Progress* progress);
   void onAppendRequest(const std::string& from, wire::AppendRequest request);
   void answerAppend(const std::string& to, const wire::AppendRequest& request, bool success, int64_t matchIndex);
-  void takeEntries(const std::string& from, wire::AppendRequest request);
+  void acceptEntries(const std::string& from, wire::AppendRequest request);
   absl::Status appendNew(std::vector<wire::LogEntry> entries);
   void onAppendResponse(const std::string& from, const wire::AppendResponse& response);
   void onSnapshotChunk(const std::string& from, const wire::SnapshotChunk& chunk);
@@ -210,7 +210,7 @@
   void confirmRounds();
   void failConfirms();
   void applyCommitted();
-  void applyLater();
+  void scheduleApply();
   int64_t batchEnd(int64_t previousIndex) const;
   void compact();
   size_t weightOf(const wire::LogEntry& entry) const;
@@ -257,27 +257,27 @@
   RaftRole role_ = RaftRole::kFollower;
   std::string leaderId_;  // empty when unknown
   base::TimePoint lastLeaderContact_{};
-  bool hardStateSaved_ = true;   // whether the disk took the last term and vote
-  bool starting_ = true;         // since the start no leader was heard of and no election took part in
-  std::set<std::string> votes_;  // granted in the current (pre-)election
+  bool hardStateSaved_ = true;        // whether the disk took the last term and vote
+  bool awaitingFirstContact_ = true;  // since the start no leader was heard of and no election took part in
+  std::set<std::string> votes_;       // granted in the current (pre-)election
   bool preVoting_ = false;
   bool transferring_ = false;
   std::map<std::string, Progress> progress_;  // leader only: other members
   int64_t round_ = 0;                         // heartbeat rounds begun in this term
   int64_t confirmedRound_ = 0;
-  int64_t termStartIndex_ = 0;                       // the leader's first entry of its term
-  base::TimePoint quorumSeen_{};                     // when a quorum last answered
-  std::map<int64_t, base::TimePoint> roundBegunAt_;  // of rounds that no quorum has confirmed yet
-  std::optional<base::TimePoint> leaseFrom_;         // when the last confirmed round began
-  std::vector<PendingConfirm> confirms_;
-  bool confirmRoundSent_ = false;
-  bool commitAnnounced_ = false;  // announceCommit() is scheduled
-  AppendContent appendContent_;   // of appendFrame_
-  wire::FramePtr appendFrame_;    // the append that was sent last; null on followers
-
-  std::string incoming_;  // snapshot being received
-  int64_t incomingIndex_ = 0;
-  int64_t incomingTerm_ = 0;
+  int64_t termStartIndex_ = 0;                         // the leader's first entry of its term
+  base::TimePoint lastQuorumContact_{};                // when a quorum last answered
+  std::map<int64_t, base::TimePoint> roundStartedAt_;  // of rounds that no quorum has confirmed yet
+  std::optional<base::TimePoint> leaseStart_;          // when the last confirmed round began
+  std::vector<PendingConfirm> pendingConfirms_;
+  bool confirmRoundScheduled_ = false;
+  bool commitAnnouncementScheduled_ = false;  // announceCommit() is scheduled
+  AppendContent appendContent_;               // of appendFrame_
+  wire::FramePtr appendFrame_;                // the append that was sent last; null on followers
+
+  std::string incomingSnapshot_;  // snapshot being received
+  int64_t incomingSnapshotIndex_ = 0;
+  int64_t incomingSnapshotTerm_ = 0;
 
   base::Timer electionTimer_;
   base::Timer heartbeatTimer_;
--- a/src/consensus/raft_election.cc
+++ b/src/consensus/raft_election.cc
@@ -25,7 +25,7 @@
 /// are refused, and after a loss of all the first majority that is back need not wait out a timeout. Once it has taken
 /// part in an election it waits like any other, so that slow members do not overtake each other's elections without
 /// end.
-void Raft::startElectionTimerEarly() {
+void Raft::startInitialElectionTimer() {
   const auto interval = std::min(options_.electionTimeout, 2 * options_.heartbeatInterval);
   electionTimer_.start(interval + random_.duration(interval));
 }
@@ -35,8 +35,8 @@
 }
 
 void Raft::onElectionTimeout() {
-  if (starting_) {
-    startElectionTimerEarly();
+  if (awaitingFirstContact_) {
+    startInitialElectionTimer();
   } else {
     resetElectionTimer();
   }
@@ -73,7 +73,7 @@
   votes_.clear();
   const int64_t term = hardState_.term + 1;
   if (!preVote) {
-    starting_ = false;
+    awaitingFirstContact_ = false;
     role_ = RaftRole::kCandidate;
     leaderId_.clear();
     setTerm(term, id_);
@@ -86,7 +86,7 @@
   request.lastTerm = *termAt(lastIndex());
   request.preVote = preVote;
   request.transfer = transfer;
-  const auto ask = [this, request] {
+  const auto sendRequests = [this, request] {
     const bool outdated = request.preVote ? hardState_.term + 1 != request.term : hardState_.term != request.term;
     if (outdated || role_ == RaftRole::kLeader) return;
     for (const auto& member : members_) {
@@ -98,8 +98,8 @@
     own.preVote = request.preVote;
     onVoteResponse(id_, own);
   };
-  if (preVote) return ask();
-  afterSync(ask);
+  if (preVote) return sendRequests();
+  afterSync(sendRequests);
 }
 
 bool Raft::candidateIsUpToDate(const wire::VoteRequest& request) const {
@@ -122,7 +122,7 @@
     sendTo(from, response);
     return;
   }
-  starting_ = false;
+  awaitingFirstContact_ = false;
   // A member that was removed, or that was cut off, must not disturb a leader that has its quorum.
   if (leaderIsFresh && !request.transfer && request.term > hardState_.term) return;
   if (request.term > hardState_.term) becomeFollower(request.term, "");
@@ -176,9 +176,9 @@
   progress_.clear();
   round_ = 0;
   confirmedRound_ = 0;
-  roundBegunAt_.clear();
-  leaseFrom_.reset();
-  quorumSeen_ = scheduler_.now();
+  roundStartedAt_.clear();
+  leaseStart_.reset();
+  lastQuorumContact_ = scheduler_.now();
   for (const auto& member : members_) {
     if (member.id == id_) continue;
     Progress fresh;
--- a/src/consensus/raft_replication.cc
+++ b/src/consensus/raft_replication.cc
@@ -10,7 +10,7 @@
 void Raft::onHeartbeatTimer() {
   heartbeatTimer_.start(options_.heartbeatInterval);
   ++round_;
-  roundBegunAt_[round_] = scheduler_.now();
+  roundStartedAt_[round_] = scheduler_.now();
   checkQuorum();
   if (role_ == RaftRole::kLeader) broadcast();
   if (role_ == RaftRole::kLeader) confirmRounds();
@@ -36,13 +36,13 @@
 
 /// @return the last entry of an append that begins behind an index.
 int64_t Raft::batchEnd(int64_t previousIndex) const {
-  const auto most = std::min(lastIndex(), previousIndex + static_cast<int64_t>(options_.maxBatchEntries));
+  const auto lastAllowed = std::min(lastIndex(), previousIndex + static_cast<int64_t>(options_.maxBatchEntries));
   size_t rows = 0;
-  for (auto index = previousIndex + 1; index <= most; ++index) {
+  for (auto index = previousIndex + 1; index <= lastAllowed; ++index) {
     rows += entryAt(index).edit.mutations.size();
     if (rows > options_.maxBatchRows) return std::max(previousIndex + 1, index - 1);
   }
-  return most;
+  return lastAllowed;
 }
 
 /// To encode a large entry for each of many members would keep a leader on a slow machine silent for longer than they
@@ -73,7 +73,7 @@
     becomeFollower(request.term, from);
   }
   lastLeaderContact_ = scheduler_.now();
-  starting_ = false;
+  awaitingFirstContact_ = false;
   resetElectionTimer();
   if (store_.failed() || installing_) return;
   if (request.previousIndex < snapshotIndex_) return answerAppend(from, request, false, commitIndex_);
@@ -82,10 +82,10 @@
   if (*previousTerm != request.previousTerm) {
     return answerAppend(from, request, false, std::max(commitIndex_, request.previousIndex - 1));
   }
-  takeEntries(from, std::move(request));
+  acceptEntries(from, std::move(request));
 }
 
-void Raft::takeEntries(const std::string& from, wire::AppendRequest request) {
+void Raft::acceptEntries(const std::string& from, wire::AppendRequest request) {
   const int64_t match = request.previousIndex + static_cast<int64_t>(request.entries.size());
   const int64_t commit = std::min(request.commitIndex, match);
   const auto isNew = [this](const wire::LogEntry& entry) { return termAt(entry.index) != entry.term; };
@@ -138,7 +138,7 @@
   const auto found = progress_.find(from);
   if (found == progress_.end()) return;
   auto& progress = found->second;
-  progress.lastAnswer = scheduler_.now();
+  progress.lastResponseAt = scheduler_.now();
   progress.confirmedRound = std::max(progress.confirmedRound, response.round);
   if (!response.success) {
     progress.nextIndex = std::clamp<int64_t>(response.matchIndex + 1, 1, std::max<int64_t>(1, progress.nextIndex - 1));
@@ -184,11 +184,11 @@
 
 /// Commits of one turn of the loop are announced together.
 void Raft::announceCommit() {
-  if (commitAnnounced_) return;
-  commitAnnounced_ = true;
+  if (commitAnnouncementScheduled_) return;
+  commitAnnouncementScheduled_ = true;
   scheduler_.schedule(base::Duration(0), [this, alive = alive_] {
     if (!*alive) return;
-    commitAnnounced_ = false;
+    commitAnnouncementScheduled_ = false;
     if (role_ == RaftRole::kLeader) broadcast();
   });
 }
@@ -199,9 +199,9 @@
   for (const auto& member : members_) {
     if (recentlyActive(member.id)) active.insert(member.id);
   }
-  const auto heardUntil = scheduler_.inputReadUntil();
-  if (hasQuorum(active)) quorumSeen_ = heardUntil;
-  if (!options_.checkQuorum || heardUntil - quorumSeen_ < options_.electionTimeout * 2) return;
+  const auto readUntil = scheduler_.inputReadUntil();
+  if (hasQuorum(active)) lastQuorumContact_ = readUntil;
+  if (!options_.checkQuorum || readUntil - lastQuorumContact_ < options_.electionTimeout * 2) return;
   log_.warn("{} lost its quorum in term {} and steps down", id_, hardState_.term);
   becomeFollower(hardState_.term, "");
 }
@@ -215,40 +215,40 @@
   });
   const bool advanced = confirmed > confirmedRound_;
   confirmedRound_ = std::max(confirmedRound_, confirmed);
-  if (const auto begun = roundBegunAt_.find(confirmedRound_); begun != roundBegunAt_.end()) {
-    leaseFrom_ = begun->second;
-    roundBegunAt_.erase(roundBegunAt_.begin(), std::next(begun));
+  if (const auto started = roundStartedAt_.find(confirmedRound_); started != roundStartedAt_.end()) {
+    leaseStart_ = started->second;
+    roundStartedAt_.erase(roundStartedAt_.begin(), std::next(started));
   }
-  std::vector<ConfirmCallback> served;
-  std::erase_if(confirms_, [&](auto& pending) {
+  std::vector<ConfirmCallback> confirmedCallbacks;
+  std::erase_if(pendingConfirms_, [&](auto& pending) {
     if (pending.round > confirmedRound_ || pending.index > appliedIndex_) return false;
-    served.push_back(std::move(pending.done));
+    confirmedCallbacks.push_back(std::move(pending.done));
     return true;
   });
-  for (const auto& done : served) done(true);
+  for (const auto& done : confirmedCallbacks) done(true);
   if (advanced) listener_.onProgress();
 }
 
 bool Raft::holdsLease() const {
   /// Share of the time in which members vote for nobody else; clocks do not run quite alike.
   constexpr int kLeasePercent = 90;
-  if (role_ != RaftRole::kLeader || transferring_ || !leaseFrom_) return false;
-  return scheduler_.now() - *leaseFrom_ < options_.electionTimeout * kLeasePercent / 100;
+  if (role_ != RaftRole::kLeader || transferring_ || !leaseStart_) return false;
+  return scheduler_.now() - *leaseStart_ < options_.electionTimeout * kLeasePercent / 100;
 }
 
 void Raft::failConfirms() {
   std::vector<PendingConfirm> failed;
-  failed.swap(confirms_);
+  failed.swap(pendingConfirms_);
   for (const auto& pending : failed) pending.done(false);
 }
 
 void Raft::sendSnapshotChunk(const std::string& memberId, Progress* progress) {
   const auto now = scheduler_.now();
-  const bool waiting = progress->snapshotOffset && now - progress->lastChunk < options_.electionTimeout;
+  const bool waiting = progress->snapshotOffset && now - progress->lastChunkSentAt < options_.electionTimeout;
   if (waiting) return;
   if (encodedSnapshot_.empty()) encodedSnapshot_ = wire::encodeStruct(snapshot_);
   if (!progress->snapshotOffset) progress->snapshotOffset = 0;
-  progress->lastChunk = now;
+  progress->lastChunkSentAt = now;
   wire::SnapshotChunk chunk;
   chunk.term = hardState_.term;
   chunk.leader = id_;
@@ -266,29 +266,29 @@
     becomeFollower(chunk.term, from);
   }
   lastLeaderContact_ = scheduler_.now();
-  starting_ = false;
+  awaitingFirstContact_ = false;
   resetElectionTimer();
   if (store_.failed()) return;
-  if (chunk.lastIndex != incomingIndex_ || chunk.lastTerm != incomingTerm_) {
-    incoming_.clear();
-    incomingIndex_ = chunk.lastIndex;
-    incomingTerm_ = chunk.lastTerm;
+  if (chunk.lastIndex != incomingSnapshotIndex_ || chunk.lastTerm != incomingSnapshotTerm_) {
+    incomingSnapshot_.clear();
+    incomingSnapshotIndex_ = chunk.lastIndex;
+    incomingSnapshotTerm_ = chunk.lastTerm;
   }
   // A chunk that does not continue what is there is answered with the place to continue from.
-  if (chunk.offset == static_cast<int64_t>(incoming_.size())) incoming_ += chunk.data;
-  const bool complete = static_cast<int64_t>(incoming_.size()) >= chunk.totalBytes;
+  if (chunk.offset == static_cast<int64_t>(incomingSnapshot_.size())) incomingSnapshot_ += chunk.data;
+  const bool complete = static_cast<int64_t>(incomingSnapshot_.size()) >= chunk.totalBytes;
   if (complete && chunk.lastIndex > commitIndex_) return installSnapshot(from, chunk);
   wire::SnapshotChunkAck ack;
   ack.term = hardState_.term;
   ack.lastIndex = chunk.lastIndex;
-  ack.nextOffset = static_cast<int64_t>(incoming_.size());
+  ack.nextOffset = static_cast<int64_t>(incomingSnapshot_.size());
   sendTo(from, ack);
 }
 
 void Raft::installSnapshot(const std::string& from, const wire::SnapshotChunk& last) {
-  auto snapshot = wire::decodeStruct<wire::LogSnapshot>(incoming_);
-  incoming_.clear();
-  incomingIndex_ = 0;
+  auto snapshot = wire::decodeStruct<wire::LogSnapshot>(incomingSnapshot_);
+  incomingSnapshot_.clear();
+  incomingSnapshotIndex_ = 0;
   if (!snapshot.ok() || compacting_) return;
   compacting_ = true;
   installing_ = true;
@@ -341,9 +341,9 @@
   const auto found = progress_.find(from);
   if (role_ != RaftRole::kLeader || found == progress_.end()) return;
   auto& progress = found->second;
-  progress.lastAnswer = scheduler_.now();
+  progress.lastResponseAt = scheduler_.now();
   if (!progress.snapshotOffset) return;
-  progress.lastChunk = base::TimePoint{};
+  progress.lastChunkSentAt = base::TimePoint{};
   if (ack.lastIndex != snapshotIndex_) {
     progress.snapshotOffset = 0;
   } else if (ack.nextOffset >= static_cast<int64_t>(encodedSnapshot_.size())) {
--- a/src/controller/automatic_membership.cc
+++ b/src/controller/automatic_membership.cc
@@ -8,7 +8,7 @@
 namespace {
 
 /// While a cluster forms, its members change every few milliseconds; nobody needs each list.
-constexpr base::Duration kGatherMembers = base::milliseconds(100);
+constexpr base::Duration kMemberListDelay = base::milliseconds(100);
 
 }  // namespace
 
@@ -22,7 +22,7 @@
   if (raft_) updateLinks();
 }
 
-base::Address Controller::leaderPages() const {
+base::Address Controller::leaderHttpAddress() const {
   if (!raft_) return {};
   for (const auto& member : raft_->members()) {
     if (member.id == raft_->leaderId()) return {member.address, member.httpPort};
@@ -36,37 +36,37 @@
   return list;
 }
 
-void Controller::tellMembers(base::ConnectionId connection, const wire::Hello& peer) {
+void Controller::sendMemberList(base::ConnectionId connection, const wire::Hello& peer) {
   if (!options_.membership.automatic || raft_->members().empty()) return;
-  const bool stranger = peer.role == wire::Role::CONTROLLER && !isMember(peer.id);
-  if (stranger || peer.role == wire::Role::RELAY) network_.send(connection, wire::encodeFrame(memberList()));
+  const bool notMember = peer.role == wire::Role::CONTROLLER && !isMember(peer.id);
+  if (notMember || peer.role == wire::Role::RELAY) network_.send(connection, wire::encodeFrame(memberList()));
 }
 
-void Controller::tellMembersSoon() {
-  if (!tellTimer_.running()) tellTimer_.start(kGatherMembers);
+void Controller::scheduleMemberListBroadcast() {
+  if (!memberListTimer_.running()) memberListTimer_.start(kMemberListDelay);
 }
 
 /// Everybody tells: a relay that has not found the leader yet finds it through any other controller.
-void Controller::tellMembersToAll() {
-  const bool news = memberNews_.take(raft_->members());
+void Controller::broadcastMemberList() {
+  const bool addressesChanged = memberAddresses_.update(raft_->members());
   for (const auto& [connection, peer] : peers_) {
-    if (news || peer.role != wire::Role::RELAY) tellMembers(connection, peer);
+    if (addressesChanged || peer.role != wire::Role::RELAY) sendMemberList(connection, peer);
   }
 }
 
 void Controller::onMemberList(const wire::MemberList& list) {
   if (isMember(identity_)) return;
-  learned_.clear();
-  for (const auto& member : list.members) learned_[member.id] = member;
+  discoveredMembers_.clear();
+  for (const auto& member : list.members) discoveredMembers_[member.id] = member;
   updateLinks();
 }
 
-void Controller::admitStrangers() {
+void Controller::admitNewControllers() {
   // A controller that is no member and has connected wants to be one. Under the identity of a removed member it comes
   // back with its log as it left it, which is as good as a blank one.
   for (const auto& [connection, peer] : peers_) {
-    const bool stranger = peer.role == wire::Role::CONTROLLER && !peer.address.empty() && !isMember(peer.id);
-    if (!stranger) continue;
+    const bool notMember = peer.role == wire::Role::CONTROLLER && !peer.address.empty() && !isMember(peer.id);
+    if (!notMember) continue;
     ControllerAddress address;
     address.name = peer.address;
     address.frames = {peer.address, peer.framePort};
@@ -80,7 +80,7 @@
   }
 }
 
-void Controller::watchMembers() {
+void Controller::updateLastActive() {
   const auto now = scheduler_.now();
   for (const auto& member : raft_->members()) {
     const bool active = member.id == raft_->id() || raft_->recentlyActive(member.id);
@@ -88,86 +88,86 @@
   }
 }
 
-bool Controller::superseded(const wire::Member& member) const {
+bool Controller::identityReplaced(const wire::Member& member) const {
   if (member.id == raft_->id()) return false;
   // Another identity at its address: its disk is gone, and it never comes back as what it was.
   const auto* hello = links_.helloOf({member.address, member.framePort});
   return hello != nullptr && hello->id != member.id;
 }
 
-bool Controller::lost(const wire::Member& member) const {
-  if (superseded(member)) return true;
+bool Controller::isLost(const wire::Member& member) const {
+  if (identityReplaced(member)) return true;
   const auto seen = lastActive_.find(member.id);
   return seen != lastActive_.end() && scheduler_.now() - seen->second > options_.membership.replaceAfter;
 }
 
 /// As many as there are members in reach, but an odd number: then any majority of the members holds a majority of the
 /// voters, and one that stands by never decides whether a cut cluster goes on.
-size_t Controller::wantedVoters() const {
+size_t Controller::targetVoterCount() const {
   const auto& members = raft_->members();
   const auto inReach = static_cast<size_t>(std::count_if(members.begin(), members.end(), [&](const auto& member) {
-    return !superseded(member) && (member.id == raft_->id() || raft_->recentlyActive(member.id));
+    return !identityReplaced(member) && (member.id == raft_->id() || raft_->recentlyActive(member.id));
   }));
   const size_t odd = inReach % 2 == 1 ? inReach : inReach - 1;
-  return std::max(options_.membership.leastVoters, odd);
+  return std::max(options_.membership.minVoters, odd);
 }
 
-const wire::Member* Controller::nextVoter() const {
+const wire::Member* Controller::selectVoterToPromote() const {
   std::map<std::string, int> votersByZone;
   for (const auto& member : raft_->members()) {
-    if (member.voting && !lost(member)) ++votersByZone[member.zone];
+    if (member.voting && !isLost(member)) ++votersByZone[member.zone];
   }
   const wire::Member* best = nullptr;
   for (const auto& member : raft_->members()) {
-    const bool good = !member.voting && raft_->recentlyActive(member.id) && raft_->caughtUp(member.id);
-    if (!good || superseded(member)) continue;
+    const bool eligible = !member.voting && raft_->recentlyActive(member.id) && raft_->caughtUp(member.id);
+    if (!eligible || identityReplaced(member)) continue;
     if (best == nullptr || votersByZone[member.zone] < votersByZone[best->zone]) best = &member;
   }
   return best;
 }
 
-const wire::Member* Controller::memberToDrop() const {
+const wire::Member* Controller::selectMemberToRemove() const {
   size_t voters = 0;
-  size_t good = 0;
+  size_t healthyVoters = 0;
   const wire::Member* lostVoter = nullptr;
   for (const auto& member : raft_->members()) {
-    const bool gone = lost(member);
+    const bool memberLost = isLost(member);
     if (!member.voting) {
       const auto silent = scheduler_.now() - lastActive_.at(member.id);
-      if (superseded(member) || silent > options_.membership.forgetAfter) return &member;
+      if (identityReplaced(member) || silent > options_.membership.removeLearnerAfter) return &member;
       continue;
     }
     ++voters;
-    if (gone) lostVoter = &member;
-    if (!gone && (member.id == raft_->id() || raft_->recentlyActive(member.id))) ++good;
+    if (memberLost) lostVoter = &member;
+    if (!memberLost && (member.id == raft_->id() || raft_->recentlyActive(member.id))) ++healthyVoters;
   }
   // A voter leaves only once enough others stand in for it.
-  const size_t wanted = wantedVoters();
-  const bool replaced = lostVoter != nullptr && good >= wanted;
-  const bool wiped = lostVoter != nullptr && superseded(*lostVoter) && voters > wanted;
-  return replaced || wiped ? lostVoter : nullptr;
+  const size_t wanted = targetVoterCount();
+  const bool replaced = lostVoter != nullptr && healthyVoters >= wanted;
+  const bool replacedIdentity = lostVoter != nullptr && identityReplaced(*lostVoter) && voters > wanted;
+  return replaced || replacedIdentity ? lostVoter : nullptr;
 }
 
 void Controller::manageVoters() {
-  watchMembers();
+  updateLastActive();
   if (raft_->forming() || raft_->membershipChangePending()) return;
   auto members = raft_->members();
-  const auto change = [&](const wire::Member& subject) {
+  const auto entryOf = [&](const wire::Member& subject) {
     return std::find_if(members.begin(), members.end(), [&](const auto& member) { return member.id == subject.id; });
   };
-  if (const auto* leaving = memberToDrop(); leaving != nullptr) {
+  if (const auto* leaving = selectMemberToRemove(); leaving != nullptr) {
     log_.info("{} removes {}, which is lost", identity_, leaving->id);
-    members.erase(change(*leaving));
+    members.erase(entryOf(*leaving));
     (void)raft_->proposeMembers(members, false);
     return;
   }
-  size_t good = 0;
-  for (const auto& member : members) good += member.voting && !lost(member) ? 1 : 0;
-  if (good >= wantedVoters()) return;
-  const auto* next = nextVoter();
+  size_t healthyVoters = 0;
+  for (const auto& member : members) healthyVoters += member.voting && !isLost(member) ? 1 : 0;
+  if (healthyVoters >= targetVoterCount()) return;
+  const auto* next = selectVoterToPromote();
   if (next == nullptr) return;
   log_.info("{} makes {} a voter", identity_, next->id);
-  change(*next)->voting = true;
+  entryOf(*next)->voting = true;
   (void)raft_->proposeMembers(members, false);
 }
 
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -32,13 +32,13 @@
       rollouts_(*this, scheduler, options_.exposure),
       evacuations_(*this),
       quotas_(scheduler, [this](const std::string& tenant) { return limitOf(tenant); }),
-      tellTimer_(scheduler, [this] { tellMembersToAll(); }),
+      memberListTimer_(scheduler, [this] { broadcastMemberList(); }),
       housekeeping_(scheduler, [this] { onHousekeeping(); }),
       heartbeat_(scheduler, [this] {
         heartbeat_.start(options_.relayHeartbeat);
         if (announcedTerm_) relays_.heartbeat(state_.table().revision(), raft_->freshness());
       }) {
-  relays_.useFullPush(options_.fullPush);
+  relays_.setFullPush(options_.fullPush);
 }
 
 Controller::~Controller() { *alive_ = false; }
@@ -67,7 +67,7 @@
   raft_ = std::make_unique<consensus::Raft>(identity_, options_.raft, scheduler_, base::RandomSource(random_.bits()),
                                             store_, *this, *this);
   raft_->start(state);
-  announce();
+  broadcastHello();
   updateLinks();
   housekeeping_.start(kHousekeepingInterval);
   heartbeat_.start(options_.relayHeartbeat);
@@ -88,7 +88,7 @@
   return hello;
 }
 
-void Controller::announce() {
+void Controller::broadcastHello() {
   const auto hello = ownHello();
   network_.setHello(hello);
   // Others may add only a blank controller; those that are connected must not go by what was once true.
@@ -190,7 +190,7 @@
   peers_[connection] = peer;
   // The other side may have taken this controller's Hello before it last changed.
   if (peer.role == wire::Role::CONTROLLER && raft_) network_.send(connection, wire::encodeFrame(ownHello()));
-  if (raft_) tellMembers(connection, peer);
+  if (raft_) sendMemberList(connection, peer);
   if (peer.role != wire::Role::RELAY) return;
   relays_.open(connection, peer.id);
   if (raft_ && announcedTerm_) relays_.heartbeatTo(connection, state_.table().revision(), raft_->freshness());
@@ -218,25 +218,25 @@
   if (const auto* members = std::get_if<wire::MemberList>(&message)) return onMemberList(*members);
   const bool wasBlank = raft_->blank();
   raft_->onMessage(peer->second.id, std::move(message));
-  if (wasBlank && !raft_->blank()) announce();
+  if (wasBlank && !raft_->blank()) broadcastHello();
 }
 
 void Controller::onRelayMessage(base::ConnectionId connection, const wire::Message& message) {
   const auto& relayId = peers_[connection].id;
-  if (std::holds_alternative<wire::KeepAlive>(message)) return relays_.heard(connection, scheduler_.now());
+  if (std::holds_alternative<wire::KeepAlive>(message)) return relays_.recordActivity(connection, scheduler_.now());
   if (raft_->role() != RaftRole::kLeader) {
     wire::NotLeader notLeader;
     notLeader.leaderId = raft_->leaderId();
     network_.send(connection, wire::encodeFrame(notLeader));
     return;
   }
-  relays_.heard(connection, scheduler_.now());
+  relays_.recordActivity(connection, scheduler_.now());
   if (const auto* subscribe = std::get_if<wire::RelaySubscribe>(&message)) {
     relays_.subscribe(connection, relayId, *subscribe, state_.table());
     registerRelay(peers_[connection]);
     log_.info("relay {} subscribed from revision {}", relayId, subscribe->revision);
   } else if (const auto* report = std::get_if<wire::ConvergenceReport>(&message)) {
-    if (relays_.relayOn(connection).empty()) return;
+    if (relays_.relayIdOf(connection).empty()) return;
     convergence_.onReport(relayId, *report);
     convergenceTimes_.onReport();
     if (reportHook_) reportHook_();
@@ -247,7 +247,7 @@
   } else if (const auto* question = std::get_if<wire::QuotaAsk>(&message)) {
     onQuotaAsk(connection, *question);
   } else if (const auto* seen = std::get_if<wire::SeenVersions>(&message)) {
-    if (leads()) rollouts_.onSeen(*seen);
+    if (leads()) rollouts_.onSeenVersions(*seen);
   } else if (const auto* confirm = std::get_if<wire::ConfirmRequest>(&message)) {
     confirmLeadership([this, alive = std::weak_ptr<bool>(alive_), connection, token = confirm->token](bool confirmed) {
       if (alive.expired() || !confirmed) return;
@@ -279,8 +279,8 @@
   table::ChangedRows rows;
   auto outcome = state_.apply(entry.index, entry.edit, &rows);
   if (outcome.code == static_cast<int>(ErrorCode::kNone)) {
-    noteRollouts(entry.edit);
-    noteCommit(entry);
+    notifyRollouts(entry.edit);
+    recordCommit(entry);
   }
   if (tableObserver_ != nullptr && !rows.empty()) tableObserver_->onTableChange(rows);
   if (appliedHook_) appliedHook_(entry);
@@ -291,7 +291,7 @@
 }
 
 /// Only on the controller that took the edit: those that followed it are not measured.
-void Controller::noteCommit(const wire::LogEntry& entry) {
+void Controller::recordCommit(const wire::LogEntry& entry) {
   const auto edit = pending_.find(entry.index);
   if (edit == pending_.end()) return;
   convergenceTimes_.onCommit(entry.index);
@@ -300,7 +300,7 @@
             base::millisecondsOf(scheduler_.now() - edit->second.proposedAt));
 }
 
-void Controller::noteRollouts(const wire::EditCommand& edit) {
+void Controller::notifyRollouts(const wire::EditCommand& edit) {
   for (const auto& mutation : edit.mutations) {
     if (mutation.row.__isset.rolloutRow) rollouts_.onApplied(mutation.row.key.name);
   }
@@ -317,7 +317,7 @@
   if (entry.kind == wire::EntryKind::LEDGER) applyLedger(entry);
   if (entry.kind == wire::EntryKind::RELAY) {
     state_.applyRelay(entry.relay);
-    useRegisteredRelays();
+    updateRegisteredRelays();
   }
   if (entry.kind != wire::EntryKind::EDIT && appliedHook_) appliedHook_(entry);
   if (entry.kind == wire::EntryKind::MEMBERS) onMembers(entry);
@@ -342,7 +342,7 @@
     state_.restore(*snapshot);
     ledger_.restore(snapshot->ledger);
     if (tableObserver_ != nullptr) tableObserver_->onTableReplaced();
-    useRegisteredRelays();
+    updateRegisteredRelays();
     rollouts_.onRestored();
   } else {
     log_.error("snapshot can't be decoded: {}", base::errorText(snapshot.status()));
@@ -358,9 +358,9 @@
   quotas_.begin();
   if (role == RaftRole::kLeader) return;
   // An addition that this leader did not finish must not come back when it leads again.
-  joining_.clear();
+  pendingAdditions_.clear();
   failPending();
-  relays_.endAll(raft_->leaderId());
+  relays_.endSubscriptions(raft_->leaderId());
 }
 
 void Controller::onProgress() {
@@ -378,15 +378,15 @@
   if (raft_->role() != RaftRole::kLeader) return;
   if (raft_->forming() && !raft_->membershipChangePending()) completeFormation();
   if (options_.membership.automatic && !raft_->forming()) {
-    admitStrangers();
+    admitNewControllers();
     manageVoters();
   } else {
     promoteLearners();
   }
-  removeSilentRelays();
-  convergence_.forgetGone();
+  removeExpiredRelays();
+  convergence_.pruneGoneNodes();
   if (leads()) rollouts_.tick();
-  for (const auto connection : relays_.silentSince(scheduler_.inputReadUntil() - options_.relayTimeout)) {
+  for (const auto connection : relays_.connectionsInactiveSince(scheduler_.inputReadUntil() - options_.relayTimeout)) {
     network_.close(connection);
     onClose(connection);
   }
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -16,7 +16,7 @@
 #include "controller/convergence.h"
 #include "controller/convergence_times.h"
 #include "controller/evacuations.h"
-#include "controller/member_news.h"
+#include "controller/member_address_tracker.h"
 #include "controller/relay_sessions.h"
 #include "controller/rollouts.h"
 #include "controller/table_state.h"
@@ -37,10 +37,10 @@
 /// How the controllers of a fleet find each other and replace lost ones without an operator.
 struct MembershipOptions {
   bool automatic = false;  ///< off: members are those of the settings and what an operator adds or removes
-  size_t leastVoters = 3;  ///< 2f + 1, where f machines may be lost with their disks; see Controller::wantedVoters()
+  size_t minVoters = 3;  ///< 2f + 1, where f machines may be lost with their disks; see Controller::targetVoterCount()
   base::Duration replaceAfter =
       base::seconds(8);  ///< a voter that is silent for longer gives way to one that stands by
-  base::Duration forgetAfter = base::seconds(60);  ///< a learner that is silent for longer is removed
+  base::Duration removeLearnerAfter = base::seconds(60);  ///< a learner that is silent for longer is removed
 };
 
 /// Settings of one controller.
@@ -48,9 +48,9 @@
   std::string name;
   std::string zone;
   std::vector<ControllerAddress> controllers;  ///< all initial members; the first one forms the cluster
-  bool founding = true;    ///< whether `controllers` may form a cluster; else they are only asked for it
-  ControllerAddress self;  ///< where others reach this controller; needed with automatic membership
-  int relayPort = 0;       ///< where nodes reach the relay beside this controller; 0 when there is none
+  bool mayBootstrap = true;  ///< whether `controllers` may form a cluster; else they are only asked for it
+  ControllerAddress self;    ///< where others reach this controller; needed with automatic membership
+  int relayPort = 0;         ///< where nodes reach the relay beside this controller; 0 when there is none
   MembershipOptions membership;
   consensus::RaftOptions raft;
   base::Duration relayHeartbeat = base::seconds(1);
@@ -105,7 +105,7 @@
   void useSeeds(std::vector<ControllerAddress> seeds);
 
   /// @return the address of the leader's pages; port 0 when no leader is known.
-  base::Address leaderPages() const;
+  base::Address leaderHttpAddress() const;
 
   /// Sets the observer of the table, which outlives this object or removes itself.
   /// @param observer null for none
@@ -165,7 +165,7 @@
 
   void begin(storage::RecoveredState state);
   wire::Hello ownHello() const;
-  void announce();
+  void broadcastHello();
   void updateLinks();
   void onRelayMessage(base::ConnectionId connection, const wire::Message& message);
   void onQuotaAsk(base::ConnectionId connection, const wire::QuotaAsk& question);
@@ -177,28 +177,28 @@
   void answerPending(int64_t index, const wire::EditOutcome& outcome);
   void failPending();
   void applyEdit(const wire::LogEntry& entry);
-  void noteCommit(const wire::LogEntry& entry);
-  void noteRollouts(const wire::EditCommand& edit);
+  void recordCommit(const wire::LogEntry& entry);
+  void notifyRollouts(const wire::EditCommand& edit);
   void applyLedger(const wire::LogEntry& entry);
   void onLedgerRequest(base::ConnectionId connection, const wire::LedgerRequest& request);
   void onMembers(const wire::LogEntry& entry);
   bool isMember(const std::string& id) const;
   wire::MemberList memberList() const;
-  void tellMembers(base::ConnectionId connection, const wire::Hello& peer);
-  void tellMembersSoon();
-  void tellMembersToAll();
+  void sendMemberList(base::ConnectionId connection, const wire::Hello& peer);
+  void scheduleMemberListBroadcast();
+  void broadcastMemberList();
   void onMemberList(const wire::MemberList& list);
-  void admitStrangers();
+  void admitNewControllers();
   void manageVoters();
-  bool superseded(const wire::Member& member) const;
-  bool lost(const wire::Member& member) const;
-  void watchMembers();
-  size_t wantedVoters() const;
-  const wire::Member* nextVoter() const;
-  const wire::Member* memberToDrop() const;
+  bool identityReplaced(const wire::Member& member) const;
+  bool isLost(const wire::Member& member) const;
+  void updateLastActive();
+  size_t targetVoterCount() const;
+  const wire::Member* selectVoterToPromote() const;
+  const wire::Member* selectMemberToRemove() const;
   void registerRelay(const wire::Hello& hello);
-  void useRegisteredRelays();
-  void removeSilentRelays();
+  void updateRegisteredRelays();
+  void removeExpiredRelays();
   wire::Member memberFor(const ControllerAddress& address, const wire::Hello& hello) const;
   const ControllerAddress* ownAddress() const;
 
@@ -218,20 +218,20 @@
   Rollouts rollouts_;
   Evacuations evacuations_;
   quota::quota_grantor quotas_;
-  std::unique_ptr<consensus::Raft> raft_;                   // null until recovery ended
-  std::map<base::ConnectionId, wire::Hello> peers_;         // open connections
-  std::map<int64_t, PendingEdit> pending_;                  // by log index
-  std::map<int64_t, LedgerReplyCallback> pendingLedger_;    // by log index
-  std::map<std::string, ControllerAddress> joining_;        // added by an operator, not yet a member
-  std::map<std::string, wire::Member> learned_;             // controllers that others told of, by id
-  std::map<std::string, base::TimePoint> lastActive_;       // on the leader: when a member last answered
-  std::function<void(const wire::LogEntry&)> appliedHook_;  // may be empty
-  std::function<void()> reportHook_;                        // may be empty
-  table::TableObserver* tableObserver_ = nullptr;           // may stay null
+  std::unique_ptr<consensus::Raft> raft_;                      // null until recovery ended
+  std::map<base::ConnectionId, wire::Hello> peers_;            // open connections
+  std::map<int64_t, PendingEdit> pending_;                     // by log index
+  std::map<int64_t, LedgerReplyCallback> pendingLedger_;       // by log index
+  std::map<std::string, ControllerAddress> pendingAdditions_;  // added by an operator, not yet a member
+  std::map<std::string, wire::Member> discoveredMembers_;      // controllers that others told of, by id
+  std::map<std::string, base::TimePoint> lastActive_;          // on the leader: when a member last answered
+  std::function<void(const wire::LogEntry&)> appliedHook_;     // may be empty
+  std::function<void()> reportHook_;                           // may be empty
+  table::TableObserver* tableObserver_ = nullptr;              // may stay null
   bool pushScheduled_ = false;
   bool announcedTerm_ = false;  // relays were told of this term's leadership
-  MemberNews memberNews_;
-  base::Timer tellTimer_;  // runs while changes of the members are gathered
+  MemberAddressTracker memberAddresses_;
+  base::Timer memberListTimer_;  // runs while changes of the members are gathered
   base::Timer housekeeping_;
   base::Timer heartbeat_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/controller/controller_membership.cc
+++ b/src/controller/controller_membership.cc
@@ -11,7 +11,7 @@
 using consensus::RaftRole;
 
 void Controller::formCluster() {
-  if (!options_.founding) return;
+  if (!options_.mayBootstrap) return;
   const auto* own = ownAddress();
   if (own == nullptr || options_.controllers.front().name != options_.name) return;
   // Only when every initial member is there and none has ever been part of a cluster; otherwise this data folder
@@ -25,7 +25,7 @@
   member.voting = true;
   log_.info("{} forms a new cluster", identity_);
   raft_->bootstrap(member);
-  announce();
+  broadcastHello();
 }
 
 void Controller::completeFormation() {
@@ -47,11 +47,11 @@
 void Controller::promoteLearners() {
   if (raft_->membershipChangePending()) return;
   auto members = raft_->members();
-  for (const auto& [name, address] : joining_) {
+  for (const auto& [name, address] : pendingAdditions_) {
     const auto* hello = links_.helloOf(address.frames);
     if (hello == nullptr || !hello->blank) continue;
     members.push_back(memberFor(address, *hello));
-    if (raft_->proposeMembers(members, raft_->forming()).ok()) joining_.erase(name);
+    if (raft_->proposeMembers(members, raft_->forming()).ok()) pendingAdditions_.erase(name);
     return;
   }
   for (auto& member : members) {
@@ -68,7 +68,7 @@
   for (const auto& member : raft_->members()) {
     if (member.name == address.name) return makeError(ErrorCode::kNotAccepted, "a controller of that name is a member");
   }
-  joining_[address.name] = address;
+  pendingAdditions_[address.name] = address;
   updateLinks();
   return absl::OkStatus();
 }
@@ -83,20 +83,20 @@
   if (leaving->voting) {
     // All that remain must be there and caught up, unless the one that leaves is already lost.
     size_t remaining = 0;
-    size_t good = 0;
+    size_t healthy = 0;
     for (const auto& member : members) {
       if (!member.voting || member.id == leaving->id) continue;
       ++remaining;
       const bool current = member.id == raft_->id() || raft_->caughtUp(member.id);
-      if (raft_->recentlyActive(member.id) && current) ++good;
+      if (raft_->recentlyActive(member.id) && current) ++healthy;
     }
     if (remaining == 0) return makeError(ErrorCode::kNotAccepted, "the last voter can't be removed");
     const bool leavingActive = raft_->recentlyActive(leaving->id);
-    if (good * 2 <= remaining || (leavingActive && good < remaining)) {
+    if (healthy * 2 <= remaining || (leavingActive && healthy < remaining)) {
       return makeError(ErrorCode::kNotAccepted, "the remaining voters are not all there and caught up");
     }
   }
-  joining_.erase(name);
+  pendingAdditions_.erase(name);
   members.erase(leaving);
   return raft_->proposeMembers(members, false);
 }
@@ -122,7 +122,7 @@
 
 void Controller::onMembers(const wire::LogEntry& entry) {
   updateLinks();
-  tellMembersSoon();
+  scheduleMemberListBroadcast();
   for (const auto& member : entry.members) {
     log_.debug("{} counts {} as a {} since index {}", identity_, member.id, member.voting ? "voter" : "learner",
                entry.index);
@@ -137,16 +137,16 @@
   for (const auto& member : raft_->members()) {
     if (member.name != options_.name) addresses.insert({member.address, member.framePort});
   }
-  for (const auto& [name, address] : joining_) addresses.insert(address.frames);
+  for (const auto& [name, address] : pendingAdditions_) addresses.insert(address.frames);
   if (!isMember(identity_)) {
-    for (const auto& [id, member] : learned_) {
+    for (const auto& [id, member] : discoveredMembers_) {
       if (member.name != options_.name) addresses.insert({member.address, member.framePort});
     }
   }
   links_.setAddresses(addresses);
 }
 
-void Controller::useRegisteredRelays() {
+void Controller::updateRegisteredRelays() {
   std::set<std::string> relayIds;
   for (const auto& [id, record] : state_.relays()) relayIds.insert(id);
   convergence_.setRegistered(relayIds);
@@ -162,7 +162,7 @@
   (void)raft_->propose(entry);
 }
 
-void Controller::removeSilentRelays() {
+void Controller::removeExpiredRelays() {
   for (const auto& relayId : convergence_.silentRelays(options_.relayRegistration)) {
     wire::LogEntry entry;
     entry.kind = wire::EntryKind::RELAY;
--- a/src/controller/convergence.cc
+++ b/src/controller/convergence.cc
@@ -6,9 +6,9 @@
 namespace {
 
 /// After this time without a leader's word a relay has lost its nodes: they notice that it is stale, and leave.
-constexpr base::Duration kRelayGone = base::seconds(12);
+constexpr base::Duration kRelayExpiry = base::seconds(12);
 /// Time for which a node that is gone is still counted as such.
-constexpr base::Duration kGoneListed = base::seconds(600);
+constexpr base::Duration kGoneNodeRetention = base::seconds(600);
 
 }  // namespace
 
@@ -45,7 +45,7 @@
   detached_[nodeId] = time_.now();
 }
 
-void ConvergenceTracker::detachAllBut(const std::set<std::string>& kept, const std::string& relayId) {
+void ConvergenceTracker::detachAllExcept(const std::set<std::string>& kept, const std::string& relayId) {
   std::vector<std::string> lost;
   for (const auto& [nodeId, relays] : nodes_) {
     if (relays.count(relayId) > 0 && kept.count(nodeId) == 0) lost.push_back(nodeId);
@@ -60,11 +60,11 @@
     const auto lost = relayLost_.find(relayId);
     auto began = time_.now() - base::milliseconds(report.runningMs);
     if (newRelays_.count(relayId) > 0) began = startedAt_ - lease_;
-    relays_[relayId].knowsSince = lost == relayLost_.end() ? began : std::min(began, lost->second.knowsSince);
+    relays_[relayId].coverageStart = lost == relayLost_.end() ? began : std::min(began, lost->second.coverageStart);
     relayLost_.erase(relayId);
   }
   auto& relay = relays_[relayId];
-  if (report.full) detachAllBut({report.attached.begin(), report.attached.end()}, relayId);
+  if (report.full) detachAllExcept({report.attached.begin(), report.attached.end()}, relayId);
   for (const auto& nodeId : report.detached) detach(nodeId, relayId);
   for (const auto& nodeId : report.attached) attach(nodeId, relayId);
   relay.inForceRevision = report.inForceRevision;
@@ -75,12 +75,12 @@
 void ConvergenceTracker::onRelayLost(const std::string& relayId) {
   const auto relay = relays_.find(relayId);
   if (relay == relays_.end()) return;
-  relayLost_[relayId] = {time_.now(), relay->second.knowsSince};
+  relayLost_[relayId] = {time_.now(), relay->second.coverageStart};
   relays_.erase(relay);
-  detachAllBut({}, relayId);
+  detachAllExcept({}, relayId);
 }
 
-base::TimePoint ConvergenceTracker::silentSince(const std::string& relayId) const {
+base::TimePoint ConvergenceTracker::inactiveSince(const std::string& relayId) const {
   const auto lost = relayLost_.find(relayId);
   return lost == relayLost_.end() ? startedAt_ : lost->second.at;
 }
@@ -88,15 +88,15 @@
 bool ConvergenceTracker::allReported() const {
   return std::all_of(registered_.begin(), registered_.end(), [this](const auto& relayId) {
     const auto relay = relays_.find(relayId);
-    if (relay == relays_.end()) return time_.now() - silentSince(relayId) >= kRelayGone;
-    return time_.now() - relay->second.knowsSince >= lease_;
+    if (relay == relays_.end()) return time_.now() - inactiveSince(relayId) >= kRelayExpiry;
+    return time_.now() - relay->second.coverageStart >= lease_;
   });
 }
 
 std::vector<std::string> ConvergenceTracker::silentRelays(base::Duration duration) const {
   std::vector<std::string> silent;
   for (const auto& relayId : registered_) {
-    if (relays_.count(relayId) == 0 && time_.now() - silentSince(relayId) >= duration) silent.push_back(relayId);
+    if (relays_.count(relayId) == 0 && time_.now() - inactiveSince(relayId) >= duration) silent.push_back(relayId);
   }
   return silent;
 }
@@ -148,8 +148,8 @@
                      [this](const auto& lost) { return time_.now() - lost.second >= lease_; });
 }
 
-void ConvergenceTracker::forgetGone() {
-  std::erase_if(detached_, [this](const auto& lost) { return time_.now() - lost.second >= kGoneListed; });
+void ConvergenceTracker::pruneGoneNodes() {
+  std::erase_if(detached_, [this](const auto& lost) { return time_.now() - lost.second >= kGoneNodeRetention; });
 }
 
 }  // namespace driftlug::controller
--- a/src/controller/convergence.h
+++ b/src/controller/convergence.h
@@ -56,7 +56,7 @@
   bool inForceEverywhere(int64_t revision) const;
 
   /// Drops nodes that have been gone for long; called now and then.
-  void forgetGone();
+  void pruneGoneNodes();
 
   /// @return nodes that a relay holds a connection to.
   size_t attachedNodes() const { return nodes_.size(); }
@@ -66,21 +66,21 @@
 
  private:
   struct Relay {
-    base::TimePoint knowsSince{};  // before this time nodes may have been lost that it does not know of
+    base::TimePoint coverageStart{};  // before this time nodes may have been lost that it does not know of
     int64_t inForceRevision = 0;
     std::map<std::string, int64_t> lagging;
   };
 
   struct LostRelay {
     base::TimePoint at;
-    base::TimePoint knowsSince;
+    base::TimePoint coverageStart;
   };
 
   bool allReported() const;
-  base::TimePoint silentSince(const std::string& relayId) const;
+  base::TimePoint inactiveSince(const std::string& relayId) const;
   void attach(const std::string& nodeId, const std::string& relayId);
   void detach(const std::string& nodeId, const std::string& relayId);
-  void detachAllBut(const std::set<std::string>& kept, const std::string& relayId);
+  void detachAllExcept(const std::set<std::string>& kept, const std::string& relayId);
   int64_t revisionOf(const std::string& nodeId, const std::set<std::string>& relays) const;
 
   const base::TimeSource& time_;
--- a/src/controller/http_api.cc
+++ b/src/controller/http_api.cc
@@ -56,7 +56,9 @@
   return absl::SimpleAtoi(request.parameter(name), &value) ? value : fallback;
 }
 
-absl::Status badBody(const std::string& sentence) { return base::makeError(ErrorCode::kBadRequestBody, sentence); }
+absl::Status badBody(const std::string& description) {
+  return base::makeError(ErrorCode::kBadRequestBody, description);
+}
 
 absl::StatusOr<wire::Mutation> parseMutation(const json& item) {
   if (!item.is_object()) return badBody("each edit must be an object");
@@ -154,8 +156,8 @@
 
 }  // namespace
 
-HttpResponse errorResponse(ErrorCode code, const std::string& sentence) {
-  const json body = {{"error", base::errorName(code)}, {"message", sentence}};
+HttpResponse errorResponse(ErrorCode code, const std::string& description) {
+  const json body = {{"error", base::errorName(code)}, {"message", description}};
   return transport::jsonResponse(statusOf(code), base::jsonText(body) + "\n");
 }
 
@@ -163,9 +165,9 @@
     : controller_(controller),
       scheduler_(scheduler),
       waitTimer_(scheduler, [this] { onWaitTimer(); }),
-      rollouts_(controller, [this](const HttpRequest& request) { return notLeader(request); }) {}
+      rollouts_(controller, [this](const HttpRequest& request) { return notLeaderResponse(request); }) {}
 
-HttpResponse HttpApi::notLeader(const HttpRequest& request) const {
+HttpResponse HttpApi::notLeaderResponse(const HttpRequest& request) const {
   auto response = errorResponse(ErrorCode::kNotLeader, "another controller leads, or none does");
   const auto leader = controller_.leaderName();
   for (const auto& member : controller_.raft().members()) {
@@ -206,21 +208,21 @@
 
 void HttpApi::confirmedRead(const HttpRequest& request, const HttpRespond& respond, Read read) {
   if (!controller_.ready() || controller_.raft().role() != consensus::RaftRole::kLeader) {
-    return respond(notLeader(request));
+    return respond(notLeaderResponse(request));
   }
   controller_.confirmLeadership([this, request, respond, read = std::move(read)](bool confirmed) {
-    respond(confirmed ? read() : notLeader(request));
+    respond(confirmed ? read() : notLeaderResponse(request));
   });
 }
 
 void HttpApi::postEdit(const HttpRequest& request, const HttpRespond& respond) {
   if (!controller_.ready() || controller_.raft().role() != consensus::RaftRole::kLeader) {
-    return respond(notLeader(request));
+    return respond(notLeaderResponse(request));
   }
   auto edit = parseEdit(request.body, controller_.state().table().revision());
   if (!edit.ok()) return respond(errorResponse(ErrorCode::kBadRequestBody, base::errorText(edit.status())));
   controller_.submitEdit(std::move(*edit), [this, request, respond](const EditAnswer& answer) {
-    respond(answer.code == ErrorCode::kNotLeader ? notLeader(request) : editResponse(answer));
+    respond(answer.code == ErrorCode::kNotLeader ? notLeaderResponse(request) : editResponse(answer));
   });
 }
 
@@ -316,7 +318,7 @@
   if (!absl::SimpleAtoi(text.substr(0, text.find('/')), &revision)) {
     return respond(errorResponse(ErrorCode::kBadRequestBody, "the revision is no number"));
   }
-  if (controller_.raft().role() != consensus::RaftRole::kLeader) return respond(notLeader(request));
+  if (controller_.raft().role() != consensus::RaftRole::kLeader) return respond(notLeaderResponse(request));
   const int64_t waitMs = std::clamp<int64_t>(numberParameter(request, "wait_ms", 0), 0, kMaxWaitMs);
   if (waitMs == 0 || controller_.convergence().inForceEverywhere(revision)) return respond(convergence(revision));
   waiters_.push_back({revision, scheduler_.now() + base::milliseconds(waitMs), respond});
@@ -326,7 +328,7 @@
 void HttpApi::onConvergenceChanged() {
   const auto now = scheduler_.now();
   for (auto waiter = waiters_.begin(); waiter != waiters_.end();) {
-    if (now < waiter->until && !controller_.convergence().inForceEverywhere(waiter->revision)) {
+    if (now < waiter->deadline && !controller_.convergence().inForceEverywhere(waiter->revision)) {
       ++waiter;
       continue;
     }
@@ -344,7 +346,7 @@
 
 void HttpApi::controllers(const HttpRequest& request, const HttpRespond& respond) {
   if (request.method == "GET") return respond(status());
-  if (controller_.raft().role() != consensus::RaftRole::kLeader) return respond(notLeader(request));
+  if (controller_.raft().role() != consensus::RaftRole::kLeader) return respond(notLeaderResponse(request));
   absl::Status result;
   if (request.method == "POST") {
     const auto address = parseController(request.body);
--- a/src/controller/http_api.h
+++ b/src/controller/http_api.h
@@ -7,7 +7,7 @@
 
 #include "base/time.h"
 #include "controller/controller.h"
-#include "controller/rollout_pages.h"
+#include "controller/rollout_http_api.h"
 #include "transport/http.h"
 
 namespace driftlug::controller {
@@ -31,7 +31,7 @@
  private:
   struct Waiter {
     int64_t revision;
-    base::TimePoint until;
+    base::TimePoint deadline;
     HttpRespond respond;
   };
 
@@ -47,17 +47,17 @@
   transport::HttpResponse history(const transport::HttpRequest& request) const;
   transport::HttpResponse status() const;
   transport::HttpResponse convergence(int64_t revision) const;
-  transport::HttpResponse notLeader(const transport::HttpRequest& request) const;
+  transport::HttpResponse notLeaderResponse(const transport::HttpRequest& request) const;
   void onWaitTimer();
 
   Controller& controller_;
   base::Scheduler& scheduler_;
   std::list<Waiter> waiters_;
   base::Timer waitTimer_;
-  RolloutPages rollouts_;
+  RolloutHttpApi rollouts_;
 };
 
 /// @return a JSON error body with the HTTP status that fits the code.
-transport::HttpResponse errorResponse(base::ErrorCode code, const std::string& sentence);
+transport::HttpResponse errorResponse(base::ErrorCode code, const std::string& description);
 
 }  // namespace driftlug::controller
--- a/src/controller/relay_sessions.cc
+++ b/src/controller/relay_sessions.cc
@@ -15,13 +15,13 @@
   auto& session = sessions_[connection];
   session.relayId = relayId;
   session.subscribed = true;
-  session.takesUpdates = !request.sharesTable;
-  if (!session.takesUpdates) return;
+  session.receivesUpdates = !request.sharesTable;
+  if (!session.receivesUpdates) return;
   session.sentRevision = request.revision;
   const bool sameRevision = request.revision == table.revision();
   if (sameRevision && !(request.digest == table.digest())) session.sentRevision = 0;
   if (session.sentRevision >= table.revision()) return;
-  sendUpdate(connection, &session, updateFrom(session.sentRevision, table), table);
+  sendUpdate(connection, &session, cachedUpdate(session.sentRevision, table), table);
 }
 
 std::string RelaySessions::remove(base::ConnectionId connection) {
@@ -32,34 +32,34 @@
   return relayId;
 }
 
-void RelaySessions::endAll(const std::string& leaderId) {
+void RelaySessions::endSubscriptions(const std::string& leaderId) {
   wire::NotLeader notLeader;
   notLeader.leaderId = leaderId;
   const auto frame = wire::encodeFrame(notLeader);
-  kept_.clear();
+  encodedUpdates_.clear();
   for (auto& [connection, session] : sessions_) {
     if (session.subscribed) network_.send(connection, frame);
     session.subscribed = false;
   }
 }
 
-void RelaySessions::heard(base::ConnectionId connection, base::TimePoint now) {
+void RelaySessions::recordActivity(base::ConnectionId connection, base::TimePoint now) {
   const auto found = sessions_.find(connection);
-  if (found != sessions_.end()) found->second.lastHeard = now;
+  if (found != sessions_.end()) found->second.lastActivity = now;
 }
 
-std::vector<base::ConnectionId> RelaySessions::silentSince(base::TimePoint then) const {
+std::vector<base::ConnectionId> RelaySessions::connectionsInactiveSince(base::TimePoint then) const {
   std::vector<base::ConnectionId> silent;
   for (const auto& [connection, session] : sessions_) {
-    if (session.subscribed && session.lastHeard < then) silent.push_back(connection);
+    if (session.subscribed && session.lastActivity < then) silent.push_back(connection);
   }
   return silent;
 }
 
-wire::FramePtr RelaySessions::updateFrom(int64_t fromRevision, const table::Table& table) {
-  if (keptRevision_ != table.revision()) kept_.clear();
-  keptRevision_ = table.revision();
-  auto& frame = kept_[fromRevision];
+wire::FramePtr RelaySessions::cachedUpdate(int64_t fromRevision, const table::Table& table) {
+  if (encodedUpdatesRevision_ != table.revision()) encodedUpdates_.clear();
+  encodedUpdatesRevision_ = table.revision();
+  auto& frame = encodedUpdates_[fromRevision];
   if (!frame) frame = encodeUpdate(table, fromRevision);
   return frame;
 }
@@ -86,8 +86,8 @@
 
 void RelaySessions::push(const table::Table& table) {
   for (auto& [connection, session] : sessions_) {
-    if (!session.subscribed || !session.takesUpdates || session.sentRevision >= table.revision()) continue;
-    sendUpdate(connection, &session, updateFrom(session.sentRevision, table), table);
+    if (!session.subscribed || !session.receivesUpdates || session.sentRevision >= table.revision()) continue;
+    sendUpdate(connection, &session, cachedUpdate(session.sentRevision, table), table);
   }
 }
 
@@ -102,11 +102,11 @@
 }
 
 void RelaySessions::heartbeat(int64_t revision, const wire::Freshness& freshness) {
-  kept_.clear();
+  encodedUpdates_.clear();
   for (const auto& [connection, session] : sessions_) heartbeatTo(connection, revision, freshness);
 }
 
-std::string RelaySessions::relayOn(base::ConnectionId connection) const {
+std::string RelaySessions::relayIdOf(base::ConnectionId connection) const {
   const auto found = sessions_.find(connection);
   return found == sessions_.end() || !found->second.subscribed ? "" : found->second.relayId;
 }
--- a/src/controller/relay_sessions.h
+++ b/src/controller/relay_sessions.h
@@ -39,13 +39,13 @@
   std::string remove(base::ConnectionId connection);
 
   /// Ends all subscriptions, after leadership was lost.
-  void endAll(const std::string& leaderId);
+  void endSubscriptions(const std::string& leaderId);
 
   /// Notes that a relay is alive.
-  void heard(base::ConnectionId connection, base::TimePoint now);
+  void recordActivity(base::ConnectionId connection, base::TimePoint now);
 
   /// @return subscribed relays that were not heard since then.
-  std::vector<base::ConnectionId> silentSince(base::TimePoint then) const;
+  std::vector<base::ConnectionId> connectionsInactiveSince(base::TimePoint then) const;
 
   /// Sends rows changed since each relay's last update.
   void push(const table::Table& table);
@@ -57,35 +57,35 @@
   void heartbeat(int64_t revision, const wire::Freshness& freshness);
 
   /// @return the id of the relay subscribed on a connection, or empty.
-  std::string relayOn(base::ConnectionId connection) const;
+  std::string relayIdOf(base::ConnectionId connection) const;
 
   size_t size() const { return sessions_.size(); }
   const RelaySessionCounters& counters() const { return counters_; }
 
   /// Sends the whole table with each update instead of a delta; a baseline for experiments.
-  void useFullPush(bool enabled) { fullPush_ = enabled; }
+  void setFullPush(bool enabled) { fullPush_ = enabled; }
 
  private:
   struct Session {
     std::string relayId;
     bool subscribed = false;
-    bool takesUpdates = true;
+    bool receivesUpdates = true;
     int64_t sentRevision = 0;
-    base::TimePoint lastHeard{};
+    base::TimePoint lastActivity{};
   };
 
   /// @return the update from a revision to the table's, encoded at most once between two heartbeats.
-  wire::FramePtr updateFrom(int64_t fromRevision, const table::Table& table);
+  wire::FramePtr cachedUpdate(int64_t fromRevision, const table::Table& table);
   wire::FramePtr encodeUpdate(const table::Table& table, int64_t fromRevision) const;
   void sendUpdate(base::ConnectionId connection, Session* session, const wire::FramePtr& frame,
                   const table::Table& table);
 
   base::Network& network_;
   std::map<base::ConnectionId, Session> sessions_;
-  // Updates to keptRevision_ by the revision they begin at. When all relays come back at once, encoding the whole table
-  // for each would keep a small leader from its heartbeats until it is voted out.
-  std::map<int64_t, wire::FramePtr> kept_;
-  int64_t keptRevision_ = 0;
+  // Updates to encodedUpdatesRevision_ by the revision they begin at. When all relays come back at once, encoding the
+  // whole table for each would keep a small leader from its heartbeats until it is voted out.
+  std::map<int64_t, wire::FramePtr> encodedUpdates_;
+  int64_t encodedUpdatesRevision_ = 0;
   RelaySessionCounters counters_;
   bool fullPush_ = false;
 };
--- a/src/controller/rollout_pages.cc
+++ b/src/controller/rollout_http_api.cc
@@ -1,4 +1,4 @@
-#include "controller/rollout_pages.h"
+#include "controller/rollout_http_api.h"
 
 #include <absl/status/statusor.h>
 #include <absl/strings/match.h>
@@ -17,11 +17,11 @@
 using transport::HttpRequest;
 using transport::HttpResponse;
 
-constexpr char kAllPath[] = "/v1/rollouts";
-constexpr char kOnePath[] = "/v1/rollouts/";
+constexpr char kRolloutsPath[] = "/v1/rollouts";
+constexpr char kRolloutPathPrefix[] = "/v1/rollouts/";
 constexpr int kOk = 200;
 /// Far beyond any order.
-constexpr int64_t kLongestFinishByMs = int64_t{30} * 24 * 60 * 60 * 1000;
+constexpr int64_t kMaxFinishByMs = int64_t{30} * 24 * 60 * 60 * 1000;
 
 absl::StatusOr<RolloutOrder> parseOrder(const std::string& service, const std::string& body) {
   const auto bad = [](const char* what) { return base::makeError(ErrorCode::kBadRequestBody, what); };
@@ -35,14 +35,14 @@
   }
   const auto finishBy = document.find("finish_by_ms");
   if (finishBy == document.end() || !finishBy->is_number_integer() || 0 >= finishBy->get<int64_t>() ||
-      kLongestFinishByMs < finishBy->get<int64_t>()) {
+      kMaxFinishByMs < finishBy->get<int64_t>()) {
     return bad("finish_by_ms must be a time in milliseconds");
   }
   return RolloutOrder{service, version->get<std::string>(), base::milliseconds(finishBy->get<int64_t>())};
 }
 
 /// The row, and how the version looks while the order runs.
-json shown(const wire::Row& row, const Rollouts& rollouts) {
+json rolloutToJson(const wire::Row& row, const Rollouts& rollouts) {
   auto out = table::rowToJson(row, false);
   if (wire::RolloutState::RUNNING != row.rolloutRow.state) {
     return out;
@@ -57,17 +57,17 @@
 
 }  // namespace
 
-RolloutPages::RolloutPages(Controller& controller, Elsewhere elsewhere)
-    : controller_(controller), elsewhere_(std::move(elsewhere)) {}
+RolloutHttpApi::RolloutHttpApi(Controller& controller, RedirectResponder redirect)
+    : controller_(controller), redirect_(std::move(redirect)) {}
 
-bool RolloutPages::handle(const HttpRequest& request, const Respond& respond) {
+bool RolloutHttpApi::handle(const HttpRequest& request, const Respond& respond) {
   const auto& path = request.path;
-  if (kAllPath != path && !absl::StartsWith(path, kOnePath)) {
+  if (kRolloutsPath != path && !absl::StartsWith(path, kRolloutPathPrefix)) {
     return false;
   }
-  const auto service = kAllPath == path ? std::string() : path.substr(sizeof(kOnePath) - 1);
+  const auto service = kRolloutsPath == path ? std::string() : path.substr(sizeof(kRolloutPathPrefix) - 1);
   if (!controller_.leads()) {
-    respond(elsewhere_(request));
+    respond(redirect_(request));
   } else if ("GET" == request.method) {
     show(service, request, respond);
   } else if ("POST" == request.method && !service.empty()) {
@@ -80,7 +80,7 @@
   return true;
 }
 
-void RolloutPages::start(const std::string& service, const HttpRequest& request, const Respond& respond) {
+void RolloutHttpApi::start(const std::string& service, const HttpRequest& request, const Respond& respond) {
   const auto order = parseOrder(service, request.body);
   if (!order.ok()) {
     return respond(errorResponse(base::errorCodeOf(order.status()), base::errorText(order.status())));
@@ -90,45 +90,45 @@
   });
 }
 
-void RolloutPages::abort(const std::string& service, const HttpRequest& request, const Respond& respond) {
+void RolloutHttpApi::abort(const std::string& service, const HttpRequest& request, const Respond& respond) {
   controller_.rollouts().abort(service, [this, service, request, respond](const RolloutAnswer& decided) {
     answer(decided, service, request, respond);
   });
 }
 
-void RolloutPages::answer(const RolloutAnswer& answer, const std::string& service, const HttpRequest& request,
-                          const Respond& respond) const {
+void RolloutHttpApi::answer(const RolloutAnswer& answer, const std::string& service, const HttpRequest& request,
+                            const Respond& respond) const {
   if (ErrorCode::kNone == answer.code) {
-    return respond(one(service));
+    return respond(getRollout(service));
   }
   if (ErrorCode::kNotLeader == answer.code) {
-    return respond(elsewhere_(request));
+    return respond(redirect_(request));
   }
   respond(errorResponse(answer.code, answer.message));
 }
 
-void RolloutPages::show(const std::string& service, const HttpRequest& request, const Respond& respond) {
+void RolloutHttpApi::show(const std::string& service, const HttpRequest& request, const Respond& respond) {
   controller_.confirmLeadership([this, service, request, respond](bool confirmed) {
     if (!confirmed) {
-      return respond(elsewhere_(request));
+      return respond(redirect_(request));
     }
-    respond(service.empty() ? all() : one(service));
+    respond(service.empty() ? listRollouts() : getRollout(service));
   });
 }
 
-HttpResponse RolloutPages::one(const std::string& service) const {
+HttpResponse RolloutHttpApi::getRollout(const std::string& service) const {
   const auto row = controller_.rollouts().rowOf(service);
   if (!row) {
     return errorResponse(ErrorCode::kRowNotFound, "no version of this service is known");
   }
-  return transport::jsonResponse(kOk, base::jsonText(shown(*row, controller_.rollouts())) + "\n");
+  return transport::jsonResponse(kOk, base::jsonText(rolloutToJson(*row, controller_.rollouts())) + "\n");
 }
 
-HttpResponse RolloutPages::all() const {
+HttpResponse RolloutHttpApi::listRollouts() const {
   json list = json::array();
   for (const auto& [key, row] : controller_.state().table().rows()) {
     if (row->__isset.rolloutRow) {
-      list.push_back(shown(*row, controller_.rollouts()));
+      list.push_back(rolloutToJson(*row, controller_.rollouts()));
     }
   }
   return transport::jsonResponse(kOk, base::jsonText({{"rollouts", list}}) + "\n");
--- a/src/controller/rollout_pages.h
+++ b/src/controller/rollout_http_api.h
@@ -9,13 +9,13 @@
 
 namespace driftlug::controller {
 /// Starts, shows and takes back orders; on the leading controller alone, and read after a quorum confirmed that.
-class RolloutPages {
+class RolloutHttpApi {
  public:
   using Respond = std::function<void(transport::HttpResponse)>;
   /// The answer to a request that another controller should get.
-  using Elsewhere = std::function<transport::HttpResponse(const transport::HttpRequest&)>;
+  using RedirectResponder = std::function<transport::HttpResponse(const transport::HttpRequest&)>;
 
-  RolloutPages(Controller& controller, Elsewhere elsewhere);
+  RolloutHttpApi(Controller& controller, RedirectResponder redirect);
 
   /// @return False for a request to another page
   bool handle(const transport::HttpRequest& request, const Respond& respond);
@@ -26,11 +26,11 @@
   void show(const std::string& service, const transport::HttpRequest& request, const Respond& respond);
   void answer(const RolloutAnswer& answer, const std::string& service, const transport::HttpRequest& request,
               const Respond& respond) const;
-  transport::HttpResponse one(const std::string& service) const;
-  transport::HttpResponse all() const;
+  transport::HttpResponse getRollout(const std::string& service) const;
+  transport::HttpResponse listRollouts() const;
 
   Controller& controller_;
-  Elsewhere elsewhere_;
+  RedirectResponder redirect_;
 };
 
 }  // namespace driftlug::controller
--- a/src/controller/rollouts.cc
+++ b/src/controller/rollouts.cc
@@ -16,7 +16,7 @@
 constexpr char kAuthor[] = "rollout";
 /// An endpoint that has not reported for this time is gone: several reports are missing, and the lease of an endpoint
 /// whose node was lost is over.
-constexpr base::Duration kEndpointGoneAfter = base::milliseconds(2500);
+constexpr base::Duration kEndpointReportTimeout = base::milliseconds(2500);
 /// What comes again within this time of the end of an equal order is the same, sent again since its answer was lost.
 constexpr base::Duration kResendWindow = base::seconds(10);
 /// How often an order is decided anew when a step was taken meanwhile.
@@ -94,7 +94,7 @@
 }
 
 void Rollouts::onLeadership() {
-  leadsSince_ = scheduler_.now();
+  leaderSince_ = scheduler_.now();
   for (auto& [service, running] : running_) {
     running.evidence.clear();
     running.submitting = false;
@@ -112,25 +112,25 @@
   }
 }
 
-void Rollouts::onSeen(const wire::SeenVersions& seen) {
-  std::map<std::string, const wire::SeenVersion*> most;
+void Rollouts::onSeenVersions(const wire::SeenVersions& seen) {
+  std::map<std::string, const wire::SeenVersion*> mostSeen;
   for (const auto& version : seen.versions) {
-    auto& known = most[version.serviceName];
+    auto& known = mostSeen[version.serviceName];
     if (known == nullptr || version.endpoints > known->endpoints) known = &version;
   }
-  for (const auto& item : most) {
+  for (const auto& item : mostSeen) {
     const auto& service = item.first;
     const auto* version = item.second;
     const auto serviceKey = table::makeKey(wire::RowKind::SERVICE, service);
-    const bool news = !rowOf(service) && settling_.count(service) == 0;
-    if (version->version.empty() || !news || !controller_.state().table().find(serviceKey)) continue;
+    const bool isNew = !rowOf(service) && pendingInitialRows_.count(service) == 0;
+    if (version->version.empty() || !isNew || !controller_.state().table().find(serviceKey)) continue;
     wire::RolloutRow row;
     row.standing = version->version;
     row.state = RolloutState::STANDING;
     log_.info("service={} version={} stands: {} endpoints tell it, and there was no order", service, version->version,
               version->endpoints);
-    settling_.insert(service);
-    submit(service, row, 0, "standing", [this, service](ErrorCode) { settling_.erase(service); });
+    pendingInitialRows_.insert(service);
+    submit(service, row, 0, "standing", [this, service](ErrorCode) { pendingInitialRows_.erase(service); });
   }
 }
 
@@ -176,7 +176,7 @@
     return done(refused(ErrorCode::kRevisionConflict, absl::StrCat("an order for ", current.target, " is under way")));
   }
   if (current.state == RolloutState::COMPLETED && current.standing == order.target) return done({});
-  if (same && endedJustNow(order.service, current)) return done({});
+  if (same && recentlyRolledBack(order.service, current)) return done({});
   auto next = rollout::rollout_driver::begin(current, order.target, order.finishBy);
   if (current.standing == order.target) next.state = RolloutState::COMPLETED;  // it stands already
   const auto service = order.service;
@@ -196,7 +196,7 @@
   if (!controller_.leads()) return done(refused(ErrorCode::kNotLeader, "another controller leads, or none does"));
   const auto row = rowOf(service);
   const auto running = running_.find(service);
-  if (row && endedJustNow(service, row->rolloutRow)) return done({});
+  if (row && recentlyRolledBack(service, row->rolloutRow)) return done({});
   if (!row || running == running_.end()) return done(refused(ErrorCode::kRowNotFound, "no order is under way"));
   const auto elapsed = elapsedOf(row->rolloutRow, running->second);
   auto next = rollout::rollout_driver::rollBack(row->rolloutRow, elapsed, "an operator took it back");
@@ -206,7 +206,7 @@
   });
 }
 
-bool Rollouts::endedJustNow(const std::string& service, const wire::RolloutRow& row) const {
+bool Rollouts::recentlyRolledBack(const std::string& service, const wire::RolloutRow& row) const {
   const auto ended = rolledBackAt_.find(service);
   const bool recent = ended != rolledBackAt_.end() && scheduler_.now() - ended->second < kResendWindow;
   return row.state == RolloutState::ROLLED_BACK && recent;
@@ -222,17 +222,17 @@
   rollout::rollout_situation situation;
   situation.elapsed = elapsedOf(current, running);
   situation.stepAge = now - running.writtenAt;
-  situation.ledFor = now - leadsSince_;
+  situation.ledFor = now - leaderSince_;
   situation.longRun = running.evidence.longRun();
   situation.answersPerSecond = running.evidence.answersPerSecond();
   situation.verdict = running.evidence.judge(policyOf(current));
-  for (const auto& [name, report] : running.evidence.reportsOf(current.target, kEndpointGoneAfter)) {
+  for (const auto& [name, report] : running.evidence.reportsOf(current.target, kEndpointReportTimeout)) {
     ++situation.target.count;
     situation.target.slots += report.slots;
     situation.target.active += report.active;
   }
   situation.standingIdle = true;
-  for (const auto& [name, report] : running.evidence.reportsOf(current.standing, kEndpointGoneAfter)) {
+  for (const auto& [name, report] : running.evidence.reportsOf(current.standing, kEndpointReportTimeout)) {
     ++situation.standing.count;
     situation.standing.slots += report.slots;
     situation.standing.active += report.active;
--- a/src/controller/rollouts.h
+++ b/src/controller/rollouts.h
@@ -73,7 +73,7 @@
   void onReports(const wire::VersionReports& reports);
 
   /// What relays see of services without a row: the version that most endpoints tell stands.
-  void onSeen(const wire::SeenVersions& seen);
+  void onSeenVersions(const wire::SeenVersions& seen);
 
   /// The row of a service was committed, here as on every controller.
   void onApplied(const std::string& service);
@@ -108,7 +108,7 @@
   void submit(const std::string& service, wire::RolloutRow row, int64_t expectedRevision, const std::string& why,
               const std::function<void(base::ErrorCode)>& done);
   void step(const std::string& service, Running* running);
-  bool endedJustNow(const std::string& service, const wire::RolloutRow& row) const;
+  bool recentlyRolledBack(const std::string& service, const wire::RolloutRow& row) const;
   base::Duration elapsedOf(const wire::RolloutRow& row, const Running& running) const;
   rollout::rollout_situation situationOf(const wire::Row& row, const Running& running) const;
   void logDecision(const wire::RolloutRow& row, const std::string& service,
@@ -119,8 +119,8 @@
   rollout::rollout_driver driver_;
   std::map<std::string, Running> running_;               // by service
   std::map<std::string, base::TimePoint> rolledBackAt_;  // by service, of what was decided while this one led
-  std::set<std::string> settling_;                       // services whose first row is on its way
-  base::TimePoint leadsSince_{};
+  std::set<std::string> pendingInitialRows_;             // services whose first row is on its way
+  base::TimePoint leaderSince_{};
   RolloutCounters counters_;
   base::Logger log_{"rollout"};
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/controller/table_state.cc
+++ b/src/controller/table_state.cc
@@ -37,7 +37,7 @@
 const wire::EditOutcome* TableState::findOutcome(const std::string& requestId) const {
   const auto found = outcomeByRequest_.find(requestId);
   if (found == outcomeByRequest_.end()) return nullptr;
-  return &outcomes_[static_cast<size_t>(found->second - dropped_)];
+  return &outcomes_[static_cast<size_t>(found->second - droppedOutcomes_)];
 }
 
 const wire::EditOutcome& TableState::apply(int64_t index, const wire::EditCommand& edit, table::ChangedRows* rows) {
@@ -100,7 +100,7 @@
 }
 
 void TableState::remember(wire::EditOutcome outcome) {
-  outcomeByRequest_[outcome.requestId] = dropped_ + static_cast<int64_t>(outcomes_.size());
+  outcomeByRequest_[outcome.requestId] = droppedOutcomes_ + static_cast<int64_t>(outcomes_.size());
   outcomes_.push_back(std::move(outcome));
   outcomeDetails_ += detailsOf(outcomes_.back());
   dropOldOutcomes();
@@ -113,7 +113,7 @@
     outcomeByRequest_.erase(oldest.requestId);
     outcomeDetails_ -= detailsOf(oldest);
     outcomes_.pop_front();
-    ++dropped_;
+    ++droppedOutcomes_;
   }
 }
 
--- a/src/controller/table_state.h
+++ b/src/controller/table_state.h
@@ -78,7 +78,7 @@
   std::deque<wire::EditOutcome> outcomes_;                     // oldest first, kOutcomeWindow at most
   std::unordered_map<std::string, int64_t> outcomeByRequest_;  // position in outcomes_ plus dropped_
   size_t outcomeDetails_ = 0;                                  // of outcomes_
-  int64_t dropped_ = 0;                                        // outcomes dropped at the front
+  int64_t droppedOutcomes_ = 0;                                // outcomes dropped at the front
   int64_t windowFloor_ = 0;
   std::deque<wire::HistoryRecord> history_;
   size_t historyKeys_ = 0;                           // of history_
--- a/test/consensus/own_stall_test.cc
+++ b/test/consensus/process_stall_test.cc
@@ -9,7 +9,7 @@
 
 /// @return whether a frame of a kind was sent to anybody.
 template <typename T>
-bool sentAny(const FrameKeeper& transport) {
+bool sentAny(const RecordingTransport& transport) {
   for (const auto& [member, frames] : transport.sent) {
     for (const auto& frame : frames) {
       if (wire::kindOf(*frame) == wire::kindOf<T>()) return true;
@@ -22,18 +22,18 @@
 struct StalledLeader : LeaderFixture {
   StalledLeader() {
     for (const auto* voter : {"a", "b"}) {
-      answer();
+      respondAsFollowers();
       auto members = raft->members();
       for (auto& member : members) member.voting = member.voting || member.id == voter;
       REQUIRE(raft->proposeMembers(members, false).ok());
       settle();
-      answer();
+      respondAsFollowers();
     }
     runFor(base::milliseconds(100), true);
     REQUIRE(raft->role() == RaftRole::kLeader);
   }
 
-  void answer() {
+  void respondAsFollowers() {
     wire::AppendResponse response;
     response.term = raft->term();
     response.success = true;
@@ -43,9 +43,9 @@
     }
   }
 
-  void runFor(base::Duration duration, bool answered) {
+  void runFor(base::Duration duration, bool followersAlive) {
     MemberFixture::runFor(duration, [&] {
-      if (answered) answer();
+      if (followersAlive) respondAsFollowers();
     });
   }
 };
@@ -72,9 +72,9 @@
     process.run(process.incarnation(), [this, request] { raft->onMessage("leader", request); });
   }
 
-  void runFor(base::Duration duration, bool heard) {
+  void runFor(base::Duration duration, bool leaderAlive) {
     MemberFixture::runFor(duration, [&] {
-      if (heard) heartbeat({}, 1);
+      if (leaderAlive) heartbeat({}, 1);
     });
   }
 };
--- a/test/consensus/raft_fixture.h
+++ b/test/consensus/raft_fixture.h
@@ -14,14 +14,14 @@
 namespace driftlug::consensus {
 
 /// Keeps the frames that go to each member.
-class FrameKeeper : public RaftTransport {
+class RecordingTransport : public RaftTransport {
  public:
   void sendTo(const std::string& memberId, const wire::FramePtr& frame) override { sent[memberId].push_back(frame); }
 
   std::map<std::string, std::vector<wire::FramePtr>> sent;
 };
 
-class IgnoringListener : public RaftListener {
+class NullListener : public RaftListener {
  public:
   void apply(const wire::LogEntry&) override {}
   std::string takeSnapshot() override { return ""; }
@@ -66,8 +66,8 @@
   simulation::Process process;
   test::MemoryDisk disk;
   storage::LogStore store;
-  FrameKeeper transport;
-  IgnoringListener listener;
+  RecordingTransport transport;
+  NullListener listener;
   std::unique_ptr<Raft> raft;
 };
 
--- a/test/controller/automatic_membership_test.cc
+++ b/test/controller/automatic_membership_test.cc
@@ -14,13 +14,13 @@
 
 /// Four machines in four zones, of which three are everybody's seeds.
 struct Fixture {
-  explicit Fixture(int machines = 4, size_t leastVoters = 3, const simulation::NetworkOptions& options = {})
-      : network(queue, base::RandomSource(7), options), leastVoters(leastVoters) {
+  explicit Fixture(int machines = 4, size_t minVoters = 3, const simulation::NetworkOptions& options = {})
+      : network(queue, base::RandomSource(7), options), minVoters(minVoters) {
     constexpr int kZones = 4;
     for (int i = 1; i <= machines; ++i) {
       add("10.0.0." + std::to_string(i), "zone-" + std::to_string((i - 1) % kZones + 1));
     }
-    for (const auto& host : hosts) host->start(seeds, true, leastVoters);
+    for (const auto& host : hosts) host->start(seeds, true, minVoters);
     runFor(base::seconds(3));
   }
 
@@ -79,7 +79,7 @@
 
   EventQueue queue;
   SimulatedNetwork network;
-  size_t leastVoters;
+  size_t minVoters;
   std::vector<std::string> seeds{"10.0.0.1", "10.0.0.2", "10.0.0.3"};
   std::vector<std::unique_ptr<Host>> hosts;
 };
@@ -89,7 +89,7 @@
   SevenMachines() : Fixture(7, 5) {}
 
   /// Cuts the hosts from `first` on off from those before it, or joins them again.
-  void cutFrom(size_t first, bool cut) {
+  void setPartition(size_t first, bool cut) {
     for (size_t i = 0; i < first; ++i) {
       for (size_t j = first; j < hosts.size(); ++j) {
         network.setCut(hosts[i]->ip(), hosts[j]->ip(), cut);
@@ -118,7 +118,7 @@
   REQUIRE(leader() != nullptr);
   const auto before = leader()->controller().raft().term();
   for (const auto& host : hosts) host->losePower();
-  for (const auto& host : hosts) host->start(seeds, false, leastVoters);
+  for (const auto& host : hosts) host->start(seeds, false, minVoters);
   runFor(base::seconds(3));
   REQUIRE(leader() != nullptr);
   CHECK(leader()->controller().raft().term() <= before + 3);
@@ -137,7 +137,7 @@
   for (const auto& host : hosts) host->losePower();
   first->loseDisk();
   second->loseDisk();
-  for (const auto& host : hosts) host->start(seeds, false, leastVoters);
+  for (const auto& host : hosts) host->start(seeds, false, minVoters);
   runFor(base::seconds(5));
   REQUIRE(leader() != nullptr);
   CHECK(holds("accepted"));
@@ -147,11 +147,11 @@
 
 TEST_CASE_METHOD(SevenMachines, "any majority of the controllers goes on by itself") {
   for (const size_t first : {size_t{3}, size_t{4}}) {
-    cutFrom(first, true);
+    setPartition(first, true);
     runFor(base::seconds(3));
     REQUIRE(leader() != nullptr);
     CHECK(edit("while-cut-" + std::to_string(first)));
-    cutFrom(first, false);
+    setPartition(first, false);
     runFor(base::seconds(3));
     REQUIRE(leader() != nullptr);
   }
--- a/test/controller/controller_host.h
+++ b/test/controller/controller_host.h
@@ -32,15 +32,15 @@
         random_(seed),
         disk_(std::make_unique<SimulatedDisk>(process_, base::RandomSource(seed), simulation::DiskOptions{})) {}
 
-  void start(const std::vector<std::string>& seeds, bool founding, size_t leastVoters = 3) {
+  void start(const std::vector<std::string>& seeds, bool mayBootstrap, size_t minVoters = 3) {
     process_.start();
     sockets_ = std::make_unique<ProcessNetwork>(network_, process_);
     ControllerOptions options;
     options.name = process_.name();
     options.zone = process_.placement().zone;
-    options.founding = founding;
+    options.mayBootstrap = mayBootstrap;
     options.membership.automatic = true;
-    options.membership.leastVoters = leastVoters;
+    options.membership.minVoters = minVoters;
     options.membership.replaceAfter = base::seconds(5);
     options.self = {process_.name(), {process_.name(), kPort}, kHttpPort};
     for (const auto& seed : seeds) options.controllers.push_back({seed, {seed, kPort}, kHttpPort});
--- a/test/controller/member_news_test.cc
+++ b/test/controller/member_address_tracker_test.cc
@@ -1,4 +1,4 @@
-#include "controller/member_news.h"
+#include "controller/member_address_tracker.h"
 
 #include <catch2/catch.hpp>
 
@@ -21,26 +21,26 @@
 
 /// Forms a cluster as controllers do, each member admitted and then promoted.
 /// @return how often relays are told
-int toldWhileForming(int members) {
-  MemberNews news;
+int notificationsWhileForming(int members) {
+  MemberAddressTracker tracker;
   std::vector<wire::Member> list;
-  int told = 0;
+  int notifications = 0;
   for (int i = 1; i <= members; ++i) {
     list.push_back(memberAt(i));
-    told += news.take(list) ? 1 : 0;
+    notifications += tracker.update(list) ? 1 : 0;
   }
   for (auto& member : list) {
     member.voting = true;
-    told += news.take(list) ? 1 : 0;
+    notifications += tracker.update(list) ? 1 : 0;
   }
-  return told;
+  return notifications;
 }
 
 }  // namespace
 
 TEST_CASE("relays are told of members that came or went, not of those that vote now") {
-  CHECK(toldWhileForming(5) == 5);
-  CHECK(toldWhileForming(40) == 40);
+  CHECK(notificationsWhileForming(5) == 5);
+  CHECK(notificationsWhileForming(40) == 40);
 }
 
 }  // namespace driftlug::controller
--- a/test/controller/relay_sessions_test.cc
+++ b/test/controller/relay_sessions_test.cc
@@ -6,7 +6,7 @@
 namespace {
 
 /// Keeps the very frames that are sent.
-class FrameKeeper : public base::Network {
+class RecordingNetwork : public base::Network {
  public:
   void setHello(const wire::Hello&) override {}
   base::ConnectionId connect(const base::Address&) override { return 0; }
@@ -28,7 +28,7 @@
 }  // namespace
 
 TEST_CASE("relays that come back together are sent one and the same frame") {
-  FrameKeeper network;
+  RecordingNetwork network;
   RelaySessions sessions(network);
   table::Table table;
   putNote(&table, "first", 1);
@@ -45,7 +45,7 @@
 }
 
 TEST_CASE("a kept frame is given back with the next heartbeat") {
-  FrameKeeper network;
+  RecordingNetwork network;
   RelaySessions sessions(network);
   table::Table table;
   putNote(&table, "first", 1);
--- a/test/controller/rollout_pages_test.cc
+++ b/test/controller/rollout_http_api_test.cc
@@ -1,4 +1,4 @@
-#include "controller/rollout_pages.h"
+#include "controller/rollout_http_api.h"
 
 #include <catch2/catch.hpp>
 #include <memory>
@@ -43,7 +43,7 @@
     seen.endpoints = 4;
     wire::SeenVersions all;
     all.versions = {seen};
-    host.controller().rollouts().onSeen(all);
+    host.controller().rollouts().onSeenVersions(all);
     runFor(base::milliseconds(300));
   }
 
--- a/test/platform/rollout_api_test.cc
+++ b/test/platform/rollout_api_test.cc
@@ -27,7 +27,7 @@
     seen.endpoints = 4;
     wire::SeenVersions all;
     all.versions = {seen};
-    hosts[leader()]->controller().rollouts().onSeen(all);
+    hosts[leader()]->controller().rollouts().onSeenVersions(all);
     runFor(base::milliseconds(500));
   }
 
--- a/test/slow_fleet/core_machine.cc
+++ b/test/slow_fleet/core_machine.cc
@@ -46,11 +46,11 @@
 	controller::ControllerOptions options;
 	options.name = m_controllerProcess.name();
 	options.zone = m_controllerProcess.placement().zone;
-	options.founding = _founding;
+	options.mayBootstrap = _founding;
 	options.self = {options.name, m_controllerProcess.address(), kHttpPort};
 	options.relayPort = kRelayPort;
 	options.membership.automatic = true;
-	options.membership.leastVoters = kLeastVoters;
+	options.membership.minVoters = kLeastVoters;
 	options.raft.heartbeatInterval = base::milliseconds(100);
 	options.raft.electionTimeout = base::milliseconds(400);
 	options.raft.announceCommits = true;
