--- a/src/controller/automatic_membership.cc
+++ b/src/controller/automatic_membership.cc
@@ -1,5 +1,5 @@
-/// Membership without an operator: controllers find the cluster through any other, join as learners, and take the
-/// place of voters that are lost.
+/// Automatic membership: controllers discover the cluster through any other controller, join as learners and replace
+/// lost voters.
 #include <algorithm>
 
 #include "controller/controller.h"
@@ -7,7 +7,7 @@
 namespace driftlug::controller {
 namespace {
 
-/// While a cluster forms, its members change every few milliseconds; nobody needs each list.
+/// Batches member list updates: while a cluster forms, its members change every few milliseconds.
 constexpr base::Duration kMemberListDelay = base::milliseconds(100);
 
 }  // namespace
@@ -46,7 +46,7 @@
   if (!memberListTimer_.running()) memberListTimer_.start(kMemberListDelay);
 }
 
-/// Everybody tells: a relay that has not found the leader yet finds it through any other controller.
+/// Every controller broadcasts, so that a relay can discover the leader through any of them.
 void Controller::broadcastMemberList() {
   const bool addressesChanged = memberAddresses_.update(raft_->members());
   for (const auto& [connection, peer] : peers_) {
@@ -62,8 +62,8 @@
 }
 
 void Controller::admitNewControllers() {
-  // A controller that is no member and has connected wants to be one. Under the identity of a removed member it comes
-  // back with its log as it left it, which is as good as a blank one.
+  // A connected controller that is not a member is added as a learner. It may have the identity of a removed member;
+  // its old log is then as safe as a blank one.
   for (const auto& [connection, peer] : peers_) {
     const bool notMember = peer.role == wire::Role::CONTROLLER && !peer.address.empty() && !isMember(peer.id);
     if (!notMember) continue;
@@ -74,7 +74,7 @@
     if (raft_->membershipChangePending()) return;
     auto members = raft_->members();
     members.push_back(memberFor(address, peer));
-    log_.info("{} takes {} in as a learner", identity_, peer.id);
+    log_.info("{} adds {} as a learner", identity_, peer.id);
     (void)raft_->proposeMembers(members, raft_->forming());
     return;
   }
@@ -90,7 +90,7 @@
 
 bool Controller::identityReplaced(const wire::Member& member) const {
   if (member.id == raft_->id()) return false;
-  // Another identity at its address: its disk is gone, and it never comes back as what it was.
+  // Another identity at the same address means that the disk was lost and this identity cannot come back.
   const auto* hello = links_.helloOf({member.address, member.framePort});
   return hello != nullptr && hello->id != member.id;
 }
@@ -101,8 +101,8 @@
   return seen != lastActive_.end() && scheduler_.now() - seen->second > options_.membership.replaceAfter;
 }
 
-/// As many as there are members in reach, but an odd number: then any majority of the members holds a majority of the
-/// voters, and one that stands by never decides whether a cut cluster goes on.
+/// The largest odd number of reachable members, but at least minVoters. With at most one non-voter, any majority of the
+/// members contains a majority of the voters, so a learner never decides whether a partitioned cluster keeps a quorum.
 size_t Controller::targetVoterCount() const {
   const auto& members = raft_->members();
   const auto inReach = static_cast<size_t>(std::count_if(members.begin(), members.end(), [&](const auto& member) {
@@ -141,7 +141,7 @@
     if (memberLost) lostVoter = &member;
     if (!memberLost && (member.id == raft_->id() || raft_->recentlyActive(member.id))) ++healthyVoters;
   }
-  // A voter leaves only once enough others stand in for it.
+  // A lost voter is removed only once enough healthy voters remain.
   const size_t wanted = targetVoterCount();
   const bool replaced = lostVoter != nullptr && healthyVoters >= wanted;
   const bool replacedIdentity = lostVoter != nullptr && identityReplaced(*lostVoter) && voters > wanted;
@@ -156,7 +156,7 @@
     return std::find_if(members.begin(), members.end(), [&](const auto& member) { return member.id == subject.id; });
   };
   if (const auto* leaving = selectMemberToRemove(); leaving != nullptr) {
-    log_.info("{} removes {}, which is lost", identity_, leaving->id);
+    log_.info("{} removes lost member {}", identity_, leaving->id);
     members.erase(entryOf(*leaving));
     (void)raft_->proposeMembers(members, false);
     return;
@@ -166,7 +166,7 @@
   if (healthyVoters >= targetVoterCount()) return;
   const auto* next = selectVoterToPromote();
   if (next == nullptr) return;
-  log_.info("{} makes {} a voter", identity_, next->id);
+  log_.info("{} promotes {} to voter", identity_, next->id);
   entryOf(*next)->voting = true;
   (void)raft_->proposeMembers(members, false);
 }
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -91,7 +91,7 @@
 void Controller::broadcastHello() {
   const auto hello = ownHello();
   network_.setHello(hello);
-  // Others may add only a blank controller; those that are connected must not go by what was once true.
+  // Only a blank controller may be added as a member, so connected peers need the current `blank` flag.
   for (const auto& [connection, peer] : peers_) {
     if (peer.role == wire::Role::CONTROLLER) network_.send(connection, wire::encodeFrame(hello));
   }
@@ -116,7 +116,7 @@
     answer.code = static_cast<ErrorCode>(known->code);
     answer.outcome = *known;
     if (known->fingerprint != fingerprintOf(edit)) answer.code = ErrorCode::kRequestIdReused;
-    // The remembered outcome may be newer than what a quorum agrees on if this leader was cut off.
+    // If this leader was partitioned away, its stored outcome may differ from what a quorum has committed.
     return confirmLeadership([answer, done](bool confirmed) {
       EditAnswer final = answer;
       if (!confirmed) final.code = ErrorCode::kOutcomeUnknown;
@@ -188,7 +188,7 @@
 void Controller::onOpen(base::ConnectionId connection, const wire::Hello& peer) {
   links_.onOpen(connection, peer);
   peers_[connection] = peer;
-  // The other side may have taken this controller's Hello before it last changed.
+  // The peer may have received an older version of this controller's Hello.
   if (peer.role == wire::Role::CONTROLLER && raft_) network_.send(connection, wire::encodeFrame(ownHello()));
   if (raft_) sendMemberList(connection, peer);
   if (peer.role != wire::Role::RELAY) return;
@@ -259,8 +259,8 @@
   }
 }
 
-/// Permits are given only by a leader that a quorum has heard within the time in which no other can be elected, so that
-/// two never give them at once.
+/// Only a leader that holds its lease grants quota: while the lease is valid no other leader can be elected, so two
+/// controllers never grant at the same time.
 void Controller::onQuotaAsk(base::ConnectionId connection, const wire::QuotaAsk& question) {
   if (!leads() || !raft_->holdsLease()) return;
   network_.send(connection, wire::encodeFrame(quotas_.decide(question)));
@@ -290,12 +290,12 @@
   answerPending(entry.index, outcome);
 }
 
-/// Only on the controller that took the edit: those that followed it are not measured.
+/// Only the controller that proposed the edit measures its commit and convergence time.
 void Controller::recordCommit(const wire::LogEntry& entry) {
   const auto edit = pending_.find(entry.index);
   if (edit == pending_.end()) return;
   convergenceTimes_.onCommit(entry.index);
-  log_.info("revision {} is committed, {} rows changed, {} rows, {} ms behind its proposal", entry.index,
+  log_.info("revision {} committed: {} rows changed, {} rows in the table, {} ms after its proposal", entry.index,
             entry.edit.mutations.size(), state_.table().rows().size(),
             base::millisecondsOf(scheduler_.now() - edit->second.proposedAt));
 }
@@ -357,14 +357,14 @@
   rollouts_.onLeadership();
   quotas_.begin();
   if (role == RaftRole::kLeader) return;
-  // An addition that this leader did not finish must not come back when it leads again.
+  // Pending additions must not be resumed when this controller becomes leader again.
   pendingAdditions_.clear();
   failPending();
   relays_.endSubscriptions(raft_->leaderId());
 }
 
 void Controller::onProgress() {
-  // Relays follow a leader only once it has a quorum behind it and has applied what earlier leaders committed.
+  // Relays are notified of a new leader only after a quorum confirmed it and it applied all entries of earlier terms.
   if (announcedTerm_ || raft_->role() != RaftRole::kLeader || raft_->freshness().round == 0) return;
   if (!raft_->appliedOwnTerm()) return;
   announcedTerm_ = true;
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -1,4 +1,4 @@
-/// The controller: accepts edits into the replicated log and feeds relays.
+/// The controller: replicates edits through the Raft log and sends table updates to relays.
 #pragma once
 
 #include <functional>
@@ -27,97 +27,96 @@
 
 namespace driftlug::controller {
 
-/// A controller as the settings name it.
+/// Name and addresses of a controller from the settings.
 struct ControllerAddress {
   std::string name;
   base::Address frames;
   int httpPort = 0;
 };
 
-/// How the controllers of a fleet find each other and replace lost ones without an operator.
+/// Settings of automatic cluster membership: discovery of controllers and replacement of lost voters.
 struct MembershipOptions {
-  bool automatic = false;  ///< off: members are those of the settings and what an operator adds or removes
-  size_t minVoters = 3;  ///< 2f + 1, where f machines may be lost with their disks; see Controller::targetVoterCount()
-  base::Duration replaceAfter =
-      base::seconds(8);  ///< a voter that is silent for longer gives way to one that stands by
-  base::Duration removeLearnerAfter = base::seconds(60);  ///< a learner that is silent for longer is removed
+  bool automatic = false;  ///< if false, only the settings and operator requests change the members
+  size_t minVoters = 3;    ///< 2f + 1 to tolerate the loss of f machines with their disks; see targetVoterCount()
+  base::Duration replaceAfter = base::seconds(8);         ///< inactivity after which a learner replaces a voter
+  base::Duration removeLearnerAfter = base::seconds(60);  ///< inactivity after which a learner is removed
 };
 
 /// Settings of one controller.
 struct ControllerOptions {
   std::string name;
   std::string zone;
-  std::vector<ControllerAddress> controllers;  ///< all initial members; the first one forms the cluster
-  bool mayBootstrap = true;  ///< whether `controllers` may form a cluster; else they are only asked for it
-  ControllerAddress self;    ///< where others reach this controller; needed with automatic membership
-  int relayPort = 0;         ///< where nodes reach the relay beside this controller; 0 when there is none
+  std::vector<ControllerAddress> controllers;  ///< initial members or seeds; the first one bootstraps the cluster
+  bool mayBootstrap = true;                    ///< if false, `controllers` are only seeds for discovery
+  ControllerAddress self;                      ///< own advertised address; required with automatic membership
+  int relayPort = 0;                           ///< port of the relay on the same machine; 0 if there is none
   MembershipOptions membership;
   consensus::RaftOptions raft;
   base::Duration relayHeartbeat = base::seconds(1);
-  base::Duration relayTimeout = base::seconds(3);  ///< a relay that is silent for longer is dropped
+  base::Duration relayTimeout = base::seconds(3);  ///< inactivity after which a relay connection is closed
   base::Duration nodeLease = base::seconds(8);
-  base::Duration relayRegistration = base::seconds(3600);  ///< a relay that is silent for longer is forgotten
-  bool fullPush = false;                                   ///< baseline for experiments
-  rollout::exposure_limit exposure;                        ///< of versions on trial
-  TableState::Checks checks;                               ///< parts off only in the simulator
+  base::Duration relayRegistration = base::seconds(3600);  ///< inactivity after which a relay is unregistered
+  bool fullPush = false;             ///< sends the whole table with each update; baseline for experiments
+  rollout::exposure_limit exposure;  ///< limits the traffic of versions under rollout
+  TableState::Checks checks;         ///< disabled in part only in the simulator
 };
 
-/// Answer to an edit.
+/// Result of an edit.
 struct EditAnswer {
   base::ErrorCode code = base::ErrorCode::kNone;
-  wire::EditOutcome outcome;  ///< set when the edit was decided
-  std::string leaderName;     ///< set with kNotLeader when known
+  wire::EditOutcome outcome;  ///< set if the edit was accepted or rejected
+  std::string leaderName;     ///< set with kNotLeader if the leader is known
 };
 
 using LedgerReplyCallback = std::function<void(const ledger::LedgerOutcome&)>;
 using EditCallback = std::function<void(const EditAnswer&)>;
 
-/// One controller process without its sockets and files.
+/// One controller process; network and disk are accessed only through interfaces.
 ///
-/// Invariants: an edit is answered as accepted only after it was committed and applied; only the leader answers
-/// edits and feeds relays.
+/// Invariants: an edit is reported as accepted only after it was committed and applied; only the leader decides edits
+/// and sends updates to relays.
 class Controller : public base::ConnectionHandler, public consensus::RaftTransport, public consensus::RaftListener {
  public:
   Controller(ControllerOptions options, base::Scheduler& scheduler, base::RandomSource random, base::Network& network,
              storage::Disk& disk);
   ~Controller() override;
 
-  /// Opens the data folder and begins; `ready` is called with the result of recovery.
+  /// Opens the data folder, recovers the state and starts; `ready` receives the result of the recovery.
   void start(std::function<void(absl::Status)> ready);
 
-  /// Decides an edit. The callback gets kNone, kInvalidEdit, kRevisionConflict, kRequestIdExpired,
+  /// Submits an edit. The callback receives kNone, kInvalidEdit, kRevisionConflict, kRequestIdExpired,
   /// kRequestIdReused, kNotLeader, kNotAccepted, kStorageFull or kOutcomeUnknown.
   void submitEdit(wire::EditCommand edit, EditCallback done);
 
-  /// Decides a ledger command; `done` is not called when leadership is lost meanwhile, the sender asks again.
+  /// Submits a ledger command. If leadership is lost before it is applied, `done` is not called and the sender retries.
   void submitLedger(wire::LedgerCommand command, LedgerReplyCallback done);
 
-  /// Calls back with true once this controller is known to have led after the call.
+  /// Calls back with true once a quorum has confirmed that this controller was still the leader after the call.
   void confirmLeadership(consensus::Raft::ConfirmCallback done);
 
   /// Adds the controller listening at an address as a learner; it votes once it has caught up.
   absl::Status addController(const ControllerAddress& address);
 
-  /// Removes a controller; refused when the remaining voters could not lose one more or are not caught up.
+  /// Removes a controller. Rejected if too few of the remaining voters are active and caught up.
   absl::Status removeController(const std::string& name);
 
-  /// Asks other controllers for the cluster from now on, as after a change of the settings.
+  /// Replaces the seeds used for discovery, e.g. after a change of the settings.
   void useSeeds(std::vector<ControllerAddress> seeds);
 
-  /// @return the address of the leader's pages; port 0 when no leader is known.
+  /// @return the leader's HTTP address; port 0 if no leader is known.
   base::Address leaderHttpAddress() const;
 
-  /// Sets the observer of the table, which outlives this object or removes itself.
-  /// @param observer null for none
+  /// Sets the table observer, which must outlive this object or unset itself first.
+  /// @param observer null to unset
   void observeTable(table::TableObserver* observer) { tableObserver_ = observer; }
 
-  /// Called for each committed entry once it is applied.
+  /// Sets a hook that is called after each committed entry is applied.
   void onApplied(std::function<void(const wire::LogEntry&)> hook) { appliedHook_ = std::move(hook); }
 
-  /// Called after each report of a relay.
+  /// Sets a hook that is called after each convergence report of a relay.
   void onConvergenceReport(std::function<void()> hook) { reportHook_ = std::move(hook); }
 
-  /// Prepares a planned stop: hands leadership over.
+  /// Prepares a planned stop by transferring leadership.
   void prepareStop();
 
   const TableState& state() const { return state_; }
@@ -133,12 +132,12 @@
   const quota::quota_grantor& quotas() const { return quotas_; }
   const std::string& name() const { return options_.name; }
 
-  /// @return the loop that this controller runs on.
+  /// @return the event loop that this controller runs on.
   base::Scheduler& scheduler() { return scheduler_; }
   std::string leaderName() const;
   bool ready() const { return raft_ != nullptr && !raft_->leaderId().empty(); }
 
-  /// @return whether this controller leads and has applied all that was committed before.
+  /// @return whether this controller is the leader and has applied everything committed before its term.
   bool leads() const { return raft_ && raft_->role() == consensus::RaftRole::kLeader && raft_->appliedOwnTerm(); }
 
   // base::ConnectionHandler
@@ -208,7 +207,7 @@
   base::Network& network_;
   base::Logger log_{"control"};
   storage::LogStore store_;
-  std::string identity_;  // bound to the data folder
+  std::string identity_;  // Raft member id, stored in the data folder
   TableState state_;
   ledger::LedgerState ledger_;
   membership::PeerLinks links_;
@@ -218,20 +217,20 @@
   Rollouts rollouts_;
   Evacuations evacuations_;
   quota::quota_grantor quotas_;
-  std::unique_ptr<consensus::Raft> raft_;                      // null until recovery ended
+  std::unique_ptr<consensus::Raft> raft_;                      // null until recovery has finished
   std::map<base::ConnectionId, wire::Hello> peers_;            // open connections
   std::map<int64_t, PendingEdit> pending_;                     // by log index
   std::map<int64_t, LedgerReplyCallback> pendingLedger_;       // by log index
-  std::map<std::string, ControllerAddress> pendingAdditions_;  // added by an operator, not yet a member
-  std::map<std::string, wire::Member> discoveredMembers_;      // controllers that others told of, by id
-  std::map<std::string, base::TimePoint> lastActive_;          // on the leader: when a member last answered
+  std::map<std::string, ControllerAddress> pendingAdditions_;  // added by an operator, not yet members
+  std::map<std::string, wire::Member> discoveredMembers_;      // members learned from other controllers, by id
+  std::map<std::string, base::TimePoint> lastActive_;          // leader only: when each member last responded
   std::function<void(const wire::LogEntry&)> appliedHook_;     // may be empty
   std::function<void()> reportHook_;                           // may be empty
   table::TableObserver* tableObserver_ = nullptr;              // may stay null
   bool pushScheduled_ = false;
-  bool announcedTerm_ = false;  // relays were told of this term's leadership
+  bool announcedTerm_ = false;  // whether relays were notified of this term's leader
   MemberAddressTracker memberAddresses_;
-  base::Timer memberListTimer_;  // runs while changes of the members are gathered
+  base::Timer memberListTimer_;  // runs while a member list broadcast is pending
   base::Timer housekeeping_;
   base::Timer heartbeat_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/controller/controller_membership.cc
+++ b/src/controller/controller_membership.cc
@@ -1,4 +1,4 @@
-/// Who belongs to the cluster: its formation, the joining and removal of controllers, and the registered relays.
+/// Cluster formation, addition and removal of controllers, and registration of relays.
 #include <algorithm>
 
 #include "base/error.h"
@@ -14,8 +14,8 @@
   if (!options_.mayBootstrap) return;
   const auto* own = ownAddress();
   if (own == nullptr || options_.controllers.front().name != options_.name) return;
-  // Only when every initial member is there and none has ever been part of a cluster; otherwise this data folder
-  // was lost, and the controller waits to be added under its new identity.
+  // Bootstraps only if every initial member is connected and none has ever been part of a cluster. Otherwise this data
+  // folder was lost, and the controller waits to be added under its new identity.
   for (const auto& controller : options_.controllers) {
     if (controller.name == options_.name) continue;
     const auto* hello = links_.helloOf(controller.frames);
@@ -81,7 +81,7 @@
       std::find_if(members.begin(), members.end(), [&](const auto& member) { return member.name == name; });
   if (leaving == members.end()) return makeError(ErrorCode::kRowNotFound, "no controller of that name");
   if (leaving->voting) {
-    // All that remain must be there and caught up, unless the one that leaves is already lost.
+    // All remaining voters must be active and caught up; if the removed one is inactive, a majority of them suffices.
     size_t remaining = 0;
     size_t healthy = 0;
     for (const auto& member : members) {
@@ -93,7 +93,7 @@
     if (remaining == 0) return makeError(ErrorCode::kNotAccepted, "the last voter can't be removed");
     const bool leavingActive = raft_->recentlyActive(leaving->id);
     if (healthy * 2 <= remaining || (leavingActive && healthy < remaining)) {
-      return makeError(ErrorCode::kNotAccepted, "the remaining voters are not all there and caught up");
+      return makeError(ErrorCode::kNotAccepted, "not enough of the remaining voters are active and caught up");
     }
   }
   pendingAdditions_.erase(name);
@@ -124,7 +124,7 @@
   updateLinks();
   scheduleMemberListBroadcast();
   for (const auto& member : entry.members) {
-    log_.debug("{} counts {} as a {} since index {}", identity_, member.id, member.voting ? "voter" : "learner",
+    log_.debug("{}: member {} is a {} since index {}", identity_, member.id, member.voting ? "voter" : "learner",
                entry.index);
   }
 }
--- a/src/controller/convergence.cc
+++ b/src/controller/convergence.cc
@@ -5,9 +5,10 @@
 namespace driftlug::controller {
 namespace {
 
-/// After this time without a leader's word a relay has lost its nodes: they notice that it is stale, and leave.
+/// A relay without contact to a leader for this long has lost its nodes: they detect that it is stale and reconnect
+/// to another.
 constexpr base::Duration kRelayExpiry = base::seconds(12);
-/// Time for which a node that is gone is still counted as such.
+/// Time for which a detached node is still listed as gone.
 constexpr base::Duration kGoneNodeRetention = base::seconds(600);
 
 }  // namespace
@@ -36,7 +37,7 @@
 void ConvergenceTracker::detach(const std::string& nodeId, const std::string& relayId) {
   const auto node = nodes_.find(nodeId);
   if (node == nodes_.end()) {
-    // Lost before this controller led; it may still serve an older version while it looks for another relay.
+    // Detached before this controller became leader. The node may still use an older revision while it reconnects.
     detached_.emplace(nodeId, time_.now());
     return;
   }
@@ -55,8 +56,8 @@
 
 void ConvergenceTracker::onReport(const std::string& relayId, const wire::ConvergenceReport& report) {
   if (relays_.count(relayId) == 0) {
-    // A relay that started a moment ago knows nothing of nodes that its predecessor lost. Where this leader saw the
-    // predecessor go, it knows them itself.
+    // A relay that has just started does not know the nodes that its predecessor process lost. If this leader saw the
+    // predecessor's connection close, it has recorded these nodes itself.
     const auto lost = relayLost_.find(relayId);
     auto began = time_.now() - base::milliseconds(report.runningMs);
     if (newRelays_.count(relayId) > 0) began = startedAt_ - lease_;
@@ -102,7 +103,7 @@
 }
 
 int64_t ConvergenceTracker::revisionOf(const std::string& nodeId, const std::set<std::string>& relays) const {
-  // While two relays hold a connection to a node, one of them is stale; the lower word counts.
+  // If two relays report a connection to a node, one of them is stale: use the lower revision.
   int64_t revision = INT64_MAX;
   for (const auto& relayId : relays) {
     const auto relay = relays_.find(relayId);
--- a/src/controller/convergence.h
+++ b/src/controller/convergence.h
@@ -1,4 +1,4 @@
-/// Convergence: which nodes have which revision in force, from the reports of relays.
+/// Convergence: tracks which nodes have which revision in force, from the reports of relays.
 #pragma once
 
 #include <map>
@@ -18,55 +18,55 @@
   bool attached = false;  ///< whether a relay holds a connection to it now
 };
 
-/// What is known of one revision.
+/// Convergence state of one revision.
 struct ConvergenceView {
   int64_t revision = 0;
   size_t inForce = 0;
   std::vector<LaggingNode> lagging;
-  size_t gone = 0;        ///< nodes without a relay for longer than the lease; they don't count
-  bool complete = false;  ///< whether all registered relays reported, or were silent until their nodes left them
+  size_t gone = 0;        ///< nodes detached from all relays for longer than the lease; not required for convergence
+  bool complete = false;  ///< whether every registered relay has reported, or was inactive until its nodes left it
   bool everywhere() const { return complete && lagging.empty(); }
 };
 
-/// Soft state of the leading controller, rebuilt from full reports after a change of leader.
+/// Convergence of all nodes; soft state of the leader, rebuilt from full reports after a change of leader.
 ///
-/// Invariant: a node counts as in force only by a relay's word that covers the revision; a node whose relay was
+/// Invariant: a node counts as in force only if a relay reported the revision for it; a node whose relay connection was
 /// lost counts as lagging until another relay reports it or its lease ends.
 class ConvergenceTracker {
  public:
   ConvergenceTracker(const base::TimeSource& time, base::Duration lease) : time_(time), lease_(lease) {}
 
-  /// Forgets everything, and waits for relays to report anew.
+  /// Clears the state; all registered relays must report again.
   void reset();
 
-  /// Sets the relays that must report before anything is known to be everywhere. One that is new while this
-  /// controller leads has no predecessor whose nodes could be missing.
+  /// Sets the relays that must report before a revision can be in force everywhere. A relay that is registered for the
+  /// first time while this controller leads has no predecessor process whose nodes it could be missing.
   void setRegistered(const std::set<std::string>& relayIds);
 
-  /// A relay's report arrived.
+  /// Applies a relay's report.
   void onReport(const std::string& relayId, const wire::ConvergenceReport& report);
 
-  /// A relay's connection closed.
+  /// Handles the close of a relay's connection: its nodes count as detached.
   void onRelayLost(const std::string& relayId);
 
-  /// @return the state of a revision.
+  /// @return the convergence state of a revision.
   ConvergenceView view(int64_t revision) const;
 
-  /// @return whether view(revision) would be everywhere(), without looking at every node.
+  /// @return whether view(revision).everywhere() is true, without iterating over all nodes.
   bool inForceEverywhere(int64_t revision) const;
 
-  /// Drops nodes that have been gone for long; called now and then.
+  /// Drops nodes that have been detached for a long time; called periodically.
   void pruneGoneNodes();
 
-  /// @return nodes that a relay holds a connection to.
+  /// @return the number of nodes that at least one relay holds a connection to.
   size_t attachedNodes() const { return nodes_.size(); }
 
-  /// @return registered relays that have not reported to this leader, or were lost, for longer than a duration.
+  /// @return registered relays without a connection that has reported to this leader for at least a duration.
   std::vector<std::string> silentRelays(base::Duration duration) const;
 
  private:
   struct Relay {
-    base::TimePoint coverageStart{};  // before this time nodes may have been lost that it does not know of
+    base::TimePoint coverageStart{};  // nodes detached before this time may be unknown to the relay
     int64_t inForceRevision = 0;
     std::map<std::string, int64_t> lagging;
   };
@@ -90,8 +90,8 @@
   std::set<std::string> newRelays_;             // registered for the first time since startedAt_
   std::map<std::string, LostRelay> relayLost_;  // relays whose connection closed in this term
   std::map<std::string, Relay> relays_;
-  std::map<std::string, std::set<std::string>> nodes_;  // attached nodes, with the relays that say so
-  std::map<std::string, base::TimePoint> detached_;     // nodes that no relay holds any more, with when that began
+  std::map<std::string, std::set<std::string>> nodes_;  // attached nodes, with the relays that report them
+  std::map<std::string, base::TimePoint> detached_;     // nodes without a relay, with the time of detachment
 };
 
 }  // namespace driftlug::controller
--- a/src/controller/convergence_times.cc
+++ b/src/controller/convergence_times.cc
@@ -3,7 +3,7 @@
 namespace driftlug::controller {
 namespace {
 
-/// While a relay is silent nothing is known to be everywhere, and revisions pile up.
+/// Bounds the pending revisions while an inactive relay prevents convergence.
 constexpr size_t kMaxPending = 1024;
 
 }  // namespace
@@ -16,7 +16,7 @@
 void ConvergenceTimes::onReport() {
   while (!pending_.empty() && tracker_.inForceEverywhere(pending_.front().revision)) {
     const auto took = time_.now() - pending_.front().committedAt;
-    log_.info("revision {} is in force on all nodes, {} ms behind its commit", pending_.front().revision,
+    log_.info("revision {} is in force on all nodes, {} ms after its commit", pending_.front().revision,
               base::millisecondsOf(took));
     histogram_.record(took);
     pending_.pop_front();
--- a/src/controller/convergence_times.h
+++ b/src/controller/convergence_times.h
@@ -1,4 +1,4 @@
-/// How long committed revisions took to be in force on all nodes.
+/// Measures the time from the commit of a revision until it is in force on all nodes.
 #pragma once
 
 #include <deque>
@@ -10,21 +10,21 @@
 
 namespace driftlug::controller {
 
-/// Soft state of the leading controller; revisions that an earlier leader committed are not measured.
+/// Convergence times; soft state of the leader. Revisions committed by an earlier leader are not measured.
 class ConvergenceTimes {
  public:
   ConvergenceTimes(const base::TimeSource& time, const ConvergenceTracker& tracker) : time_(time), tracker_(tracker) {}
 
-  /// Forgets revisions under way, after a change of leader.
+  /// Drops the pending revisions; called after a change of leader.
   void reset() { pending_.clear(); }
 
-  /// A revision was committed.
+  /// Starts the measurement of a committed revision.
   void onCommit(int64_t revision);
 
-  /// A relay has reported.
+  /// Records the revisions that have converged; called after each relay report.
   void onReport();
 
-  /// @return from a commit to its being in force on all nodes.
+  /// @return the times from commit until in force on all nodes.
   const base::LatencyHistogram& histogram() const { return histogram_; }
 
  private:
--- a/src/controller/evacuations.cc
+++ b/src/controller/evacuations.cc
@@ -44,7 +44,7 @@
   if (!controller_.leads()) {
     return done(base::ErrorCode::kNotLeader);
   }
-  // What stands already may be the word of a leader that was cut off; only a quorum makes it certain.
+  // The local table of a leader that was partitioned away may be outdated; a quorum must confirm leadership first.
   controller_.confirmLeadership([this, alive = std::weak_ptr<bool>(alive_), zone, evacuated, done](bool confirmed) {
     if (alive.expired()) {
       return;
@@ -63,7 +63,7 @@
 void Evacuations::submit(const std::string& zone, bool evacuated, const Callback& done) {
   const auto revision = controller_.state().table().revision();
   wire::EditCommand edit;
-  // Orders follow each other for good reason, so each has a name of its own: that of the table that it changes.
+  // Includes the table revision, so that repeated evacuations and restores of a zone are distinct requests.
   edit.requestId = absl::StrCat(evacuated ? "evacuate-" : "restore-", zone, "-", revision);
   edit.author = kAuthor;
   edit.baseRevision = revision;
--- a/src/controller/evacuations.h
+++ b/src/controller/evacuations.h
@@ -1,4 +1,4 @@
-/// Orders to empty a zone, and to take it back.
+/// Evacuation of zones and their restoration.
 #pragma once
 
 #include <functional>
@@ -12,24 +12,24 @@
 namespace driftlug::controller {
 class Controller;
 
-/// Writes the rows of evacuated zones: while a zone's row stands, its back ends take no requests.
+/// Writes the rows of evacuated zones: while a zone's row exists, its back ends receive no requests.
 ///
-/// Invariants: an order is answered as accepted only when the table holds what it asks for, durably on a quorum; one
-/// that is sent again changes nothing.
+/// Invariants: a request is reported as accepted only when its effect is durable on a quorum; a repeated request
+/// changes nothing.
 class Evacuations {
  public:
-  /// Called with kNone, kInvalidEdit for what can't be a zone, kNotLeader, kNotAccepted or kOutcomeUnknown.
+  /// Receives kNone, kInvalidEdit for an invalid zone name, kNotLeader, kNotAccepted or kOutcomeUnknown.
   using Callback = std::function<void(base::ErrorCode)>;
 
   explicit Evacuations(Controller& controller);
 
-  /// Empties a zone.
+  /// Evacuates a zone.
   void evacuate(const std::string& zone, Callback done);
 
-  /// Takes a zone back.
+  /// Restores an evacuated zone.
   void restore(const std::string& zone, Callback done);
 
-  /// @return The zones that are empty by order.
+  /// @return the evacuated zones.
   std::vector<std::string> zones() const;
 
  private:
--- a/src/controller/http_api.h
+++ b/src/controller/http_api.h
@@ -1,4 +1,4 @@
-/// The operators' interface of a controller: HTTP and JSON. Documented in docs/operators/api.md.
+/// The operators' HTTP and JSON interface of a controller. Documented in docs/operators/api.md.
 #pragma once
 
 #include <functional>
@@ -12,20 +12,21 @@
 
 namespace driftlug::controller {
 
-/// Sends the answer to one request; called once.
+/// Sends the response to one request; called once.
 using HttpRespond = std::function<void(transport::HttpResponse)>;
 
-/// Turns HTTP requests into calls of a Controller. Only the leader answers; others redirect to it.
+/// Translates HTTP requests into calls of a Controller. Only the leader serves requests, apart from the status; other
+/// controllers redirect to it.
 ///
 /// Reads are answered only after a quorum confirmed that this controller still leads.
 class HttpApi {
  public:
   HttpApi(Controller& controller, base::Scheduler& scheduler);
 
-  /// Answers a request, now or later.
+  /// Handles a request; responds immediately or later.
   void handle(const transport::HttpRequest& request, HttpRespond respond);
 
-  /// Convergence may have moved; waiting requests are looked at again.
+  /// Responds to the requests that wait for a revision that has now converged or that have timed out.
   void onConvergenceChanged();
 
  private:
@@ -57,7 +58,7 @@
   RolloutHttpApi rollouts_;
 };
 
-/// @return a JSON error body with the HTTP status that fits the code.
+/// @return a JSON error response with the HTTP status that matches the code.
 transport::HttpResponse errorResponse(base::ErrorCode code, const std::string& description);
 
 }  // namespace driftlug::controller
--- a/src/controller/member_address_tracker.h
+++ b/src/controller/member_address_tracker.h
@@ -1,4 +1,4 @@
-/// Whether a change of the members is news to those that only need to find them.
+/// Detects membership changes that affect the addresses of members.
 #pragma once
 
 #include <set>
@@ -12,12 +12,12 @@
 
 namespace driftlug::controller {
 
-/// Relays connect to every controller, so they need the addresses of all, whoever of them votes. While a cluster forms,
-/// each member is admitted and then promoted by an entry of its own; telling every relay of each, from every
-/// controller, costs the fourth power of their number in bytes.
+/// Relays connect to every controller, so they need all addresses but not the voting rights. While a cluster forms, one
+/// log entry adds each member and another promotes it; notifying every relay of each entry, from every controller,
+/// would cost bytes proportional to the fourth power of the number of members.
 class MemberAddressTracker {
  public:
-  /// @return whether others are found elsewhere than when this last said so
+  /// @return whether the ids, addresses, ports or zones differ from those of the previous call
   bool update(std::span<const wire::Member> members);
 
  private:
--- a/src/controller/relay_sessions.cc
+++ b/src/controller/relay_sessions.cc
@@ -70,7 +70,7 @@
   head.fromRevision = head.full ? 0 : fromRevision;
   head.toRevision = table.revision();
   head.digest = table.digest();
-  // A full update carries the tombstones too: a relay that has just started needs them for the deltas of its nodes.
+  // A full update includes the tombstones: a relay that has just started needs them for the deltas to its nodes.
   const auto changed = table.changedSince(head.fromRevision);
   return wire::encodeTableUpdate(head, std::vector<const wire::Row*>(changed.begin(), changed.end()));
 }
--- a/src/controller/relay_sessions.h
+++ b/src/controller/relay_sessions.h
@@ -1,4 +1,4 @@
-/// Relays that read from this controller: what each was sent, and pushes of new revisions.
+/// Sessions of the relays connected to this controller: tracks what each was sent and pushes new revisions.
 #pragma once
 
 #include <map>
@@ -11,7 +11,7 @@
 
 namespace driftlug::controller {
 
-/// Counters of the bytes and messages sent to relays.
+/// Counters of the messages and bytes sent to relays.
 struct RelaySessionCounters {
   int64_t updates = 0;
   int64_t updateBytes = 0;
@@ -20,34 +20,34 @@
   int64_t heartbeatBytes = 0;
 };
 
-/// Sends each subscribed relay the rows it lacks; equal updates are encoded once.
+/// Sends each subscribed relay the rows it lacks; identical updates are encoded once.
 ///
 /// Invariant: a relay is sent only committed rows, and each revision range once per connection.
 class RelaySessions {
  public:
   explicit RelaySessions(base::Network& network) : network_(network) {}
 
-  /// A relay's connection opened.
+  /// Adds the session of a relay's new connection.
   void open(base::ConnectionId connection, const std::string& relayId);
 
-  /// A relay subscribed from a revision; it is brought up to date at once.
+  /// Handles a subscription from a revision; immediately sends the update to the current revision.
   void subscribe(base::ConnectionId connection, const std::string& relayId, const wire::RelaySubscribe& request,
                  const table::Table& table);
 
-  /// Forgets a connection.
-  /// @return the relay's id, or empty when none was subscribed there
+  /// Removes a connection.
+  /// @return the relay's id, or empty if no relay was subscribed on it
   std::string remove(base::ConnectionId connection);
 
-  /// Ends all subscriptions, after leadership was lost.
+  /// Ends all subscriptions after leadership was lost, and sends relays the id of the new leader, if known.
   void endSubscriptions(const std::string& leaderId);
 
-  /// Notes that a relay is alive.
+  /// Updates the time of a relay's last activity.
   void recordActivity(base::ConnectionId connection, base::TimePoint now);
 
-  /// @return subscribed relays that were not heard since then.
+  /// @return connections of subscribed relays without activity since a time.
   std::vector<base::ConnectionId> connectionsInactiveSince(base::TimePoint then) const;
 
-  /// Sends rows changed since each relay's last update.
+  /// Sends each relay the rows that changed since its last update.
   void push(const table::Table& table);
 
   /// Sends the revision and freshness to one relay.
@@ -62,7 +62,7 @@
   size_t size() const { return sessions_.size(); }
   const RelaySessionCounters& counters() const { return counters_; }
 
-  /// Sends the whole table with each update instead of a delta; a baseline for experiments.
+  /// If enabled, each update contains the whole table instead of a delta; baseline for experiments.
   void setFullPush(bool enabled) { fullPush_ = enabled; }
 
  private:
@@ -74,7 +74,7 @@
     base::TimePoint lastActivity{};
   };
 
-  /// @return the update from a revision to the table's, encoded at most once between two heartbeats.
+  /// @return the update from a revision to that of the table, encoded at most once between two heartbeats.
   wire::FramePtr cachedUpdate(int64_t fromRevision, const table::Table& table);
   wire::FramePtr encodeUpdate(const table::Table& table, int64_t fromRevision) const;
   void sendUpdate(base::ConnectionId connection, Session* session, const wire::FramePtr& frame,
@@ -82,8 +82,8 @@
 
   base::Network& network_;
   std::map<base::ConnectionId, Session> sessions_;
-  // Updates to encodedUpdatesRevision_ by the revision they begin at. When all relays come back at once, encoding the
-  // whole table for each would keep a small leader from its heartbeats until it is voted out.
+  // Updates to encodedUpdatesRevision_, by start revision. When all relays reconnect at once, encoding the whole table
+  // for each of them would delay a leader on a small machine past the election timeout.
   std::map<int64_t, wire::FramePtr> encodedUpdates_;
   int64_t encodedUpdatesRevision_ = 0;
   RelaySessionCounters counters_;
--- a/src/controller/rollout_http_api.cc
+++ b/src/controller/rollout_http_api.cc
@@ -20,18 +20,18 @@
 constexpr char kRolloutsPath[] = "/v1/rollouts";
 constexpr char kRolloutPathPrefix[] = "/v1/rollouts/";
 constexpr int kOk = 200;
-/// Far beyond any order.
+/// Rejects implausible values; far above any real rollout time.
 constexpr int64_t kMaxFinishByMs = int64_t{30} * 24 * 60 * 60 * 1000;
 
 absl::StatusOr<RolloutOrder> parseOrder(const std::string& service, const std::string& body) {
   const auto bad = [](const char* what) { return base::makeError(ErrorCode::kBadRequestBody, what); };
   const auto document = json::parse(body, nullptr, false);
   if (!document.is_object()) {
-    return bad("the body is no JSON object");
+    return bad("the body is not a JSON object");
   }
   const auto version = document.find("version");
   if (version == document.end() || !version->is_string() || version->get<std::string>().empty()) {
-    return bad("version must be text");
+    return bad("version must be a non-empty string");
   }
   const auto finishBy = document.find("finish_by_ms");
   if (finishBy == document.end() || !finishBy->is_number_integer() || 0 >= finishBy->get<int64_t>() ||
@@ -41,7 +41,7 @@
   return RolloutOrder{service, version->get<std::string>(), base::milliseconds(finishBy->get<int64_t>())};
 }
 
-/// The row, and how the version looks while the order runs.
+/// @return the row as JSON, with the current verdict on the version while the rollout runs.
 json rolloutToJson(const wire::Row& row, const Rollouts& rollouts) {
   auto out = table::rowToJson(row, false);
   if (wire::RolloutState::RUNNING != row.rolloutRow.state) {
--- a/src/controller/rollout_http_api.h
+++ b/src/controller/rollout_http_api.h
@@ -1,4 +1,4 @@
-/// The operators' pages for orders to move a service to another version. Documented in docs/operators/rollouts.md.
+/// The operators' HTTP interface for rollouts of service versions. Documented in docs/operators/rollouts.md.
 #pragma once
 
 #include <functional>
@@ -8,16 +8,17 @@
 #include "transport/http.h"
 
 namespace driftlug::controller {
-/// Starts, shows and takes back orders; on the leading controller alone, and read after a quorum confirmed that.
+/// Starts, shows and aborts rollouts. Only the leader serves these requests, and reads are answered only after a quorum
+/// confirmed its leadership.
 class RolloutHttpApi {
  public:
   using Respond = std::function<void(transport::HttpResponse)>;
-  /// The answer to a request that another controller should get.
+  /// Creates the response that redirects a request to the leader.
   using RedirectResponder = std::function<transport::HttpResponse(const transport::HttpRequest&)>;
 
   RolloutHttpApi(Controller& controller, RedirectResponder redirect);
 
-  /// @return False for a request to another page
+  /// @return false if the path is not a rollout path
   bool handle(const transport::HttpRequest& request, const Respond& respond);
 
  private:
--- a/src/controller/rollouts.cc
+++ b/src/controller/rollouts.cc
@@ -14,12 +14,12 @@
 using wire::RolloutState;
 
 constexpr char kAuthor[] = "rollout";
-/// An endpoint that has not reported for this time is gone: several reports are missing, and the lease of an endpoint
-/// whose node was lost is over.
+/// Time without a report after which an endpoint counts as gone: several reports are missing by then, and the lease of
+/// an endpoint whose node was lost has expired.
 constexpr base::Duration kEndpointReportTimeout = base::milliseconds(2500);
-/// What comes again within this time of the end of an equal order is the same, sent again since its answer was lost.
+/// Time after the end of an order within which an identical request is treated as a retry after a lost response.
 constexpr base::Duration kResendWindow = base::seconds(10);
-/// How often an order is decided anew when a step was taken meanwhile.
+/// Number of retries of an order whose row was changed concurrently.
 constexpr int kMaxConflicts = 3;
 
 table::RowKey keyOf(const std::string& service) { return table::makeKey(wire::RowKind::ROLLOUT, service); }
@@ -80,7 +80,7 @@
   const auto row = rowOf(service);
   if (!row) return;
   track(*row);
-  // What is applied anew at a start was decided long ago.
+  // Entries replayed at startup were decided long ago.
   if (row->rolloutRow.state == RolloutState::ROLLED_BACK && controller_.leads()) {
     rolledBackAt_[service] = scheduler_.now();
   }
@@ -127,8 +127,8 @@
     wire::RolloutRow row;
     row.standing = version->version;
     row.state = RolloutState::STANDING;
-    log_.info("service={} version={} stands: {} endpoints tell it, and there was no order", service, version->version,
-              version->endpoints);
+    log_.info("service={} version={} becomes the standing version: reported by {} endpoints, no earlier order", service,
+              version->version, version->endpoints);
     pendingInitialRows_.insert(service);
     submit(service, row, 0, "standing", [this, service](ErrorCode) { pendingInitialRows_.erase(service); });
   }
@@ -142,8 +142,8 @@
   mutation.row.rolloutRow = std::move(row);
   mutation.expectedRevision = expectedRevision;
   wire::EditCommand edit;
-  // Each step follows one revision of the row, so its name differs from those of all others; a term is part of it,
-  // since a leader that comes back to the same row may decide otherwise.
+  // Each step is based on one revision of the row, which makes its request id unique. The term is included because a
+  // controller that is elected again may decide differently for the same row revision.
   edit.requestId = absl::StrCat("rollout-", service, "-", expectedRevision, "-", controller_.raft().term(), "-", why);
   edit.author = kAuthor;
   edit.baseRevision = controller_.state().table().revision();
@@ -154,7 +154,7 @@
 }
 
 void Rollouts::order(const RolloutOrder& order, RolloutCallback done) {
-  if (!controller_.leads()) return done(refused(ErrorCode::kNotLeader, "another controller leads, or none does"));
+  if (!controller_.leads()) return done(refused(ErrorCode::kNotLeader, "this controller is not the leader"));
   controller_.confirmLeadership([this, alive = std::weak_ptr<bool>(alive_), order, done](bool confirmed) {
     if (alive.expired()) return;
     if (!confirmed) return done(refused(ErrorCode::kOutcomeUnknown, "send the order again"));
@@ -168,7 +168,7 @@
     return done(refused(ErrorCode::kInvalidEdit, "there is no such service"));
   }
   const auto row = rowOf(order.service);
-  if (!row) return done(refused(ErrorCode::kNotAccepted, "no endpoint of the service has told its version yet"));
+  if (!row) return done(refused(ErrorCode::kNotAccepted, "no endpoint of the service has reported its version yet"));
   const auto& current = row->rolloutRow;
   const bool same = current.target == order.target;
   if (current.state == RolloutState::RUNNING) {
@@ -178,7 +178,7 @@
   if (current.state == RolloutState::COMPLETED && current.standing == order.target) return done({});
   if (same && recentlyRolledBack(order.service, current)) return done({});
   auto next = rollout::rollout_driver::begin(current, order.target, order.finishBy);
-  if (current.standing == order.target) next.state = RolloutState::COMPLETED;  // it stands already
+  if (current.standing == order.target) next.state = RolloutState::COMPLETED;  // already the standing version
   const auto service = order.service;
   submit(service, next, row->revision, absl::StrCat("order-", order.target),
          [this, order, done, conflictsLeft, service](ErrorCode code) {
@@ -193,7 +193,7 @@
 }
 
 void Rollouts::abort(const std::string& service, RolloutCallback done) {
-  if (!controller_.leads()) return done(refused(ErrorCode::kNotLeader, "another controller leads, or none does"));
+  if (!controller_.leads()) return done(refused(ErrorCode::kNotLeader, "this controller is not the leader"));
   const auto row = rowOf(service);
   const auto running = running_.find(service);
   if (row && recentlyRolledBack(service, row->rolloutRow)) return done({});
@@ -201,8 +201,9 @@
   const auto elapsed = elapsedOf(row->rolloutRow, running->second);
   auto next = rollout::rollout_driver::rollBack(row->rolloutRow, elapsed, "an operator took it back");
   submit(service, std::move(next), row->revision, "abort", [this, service, done](ErrorCode code) {
-    if (code == ErrorCode::kNone) log_.info("service={} order taken back by an operator", service);
-    done({code, code == ErrorCode::kNone ? "" : "a step was taken meanwhile, or nobody agreed; try again"});
+    if (code == ErrorCode::kNone) log_.info("service={} order rolled back by an operator", service);
+    done({code,
+          code == ErrorCode::kNone ? "" : "the rollout changed concurrently, or no quorum was reached; try again"});
   });
 }
 
@@ -247,7 +248,7 @@
   std::vector<std::string> services;
   for (const auto& [service, running] : running_) services.push_back(service);
   for (const auto& service : services) {
-    // A step that is answered at once may end an order.
+    // A step that completes synchronously may end an order and remove its entry.
     if (const auto found = running_.find(service); found != running_.end()) step(service, &found->second);
   }
 }
--- a/src/controller/rollouts.h
+++ b/src/controller/rollouts.h
@@ -1,4 +1,4 @@
-/// Orders to move a service to another version, as the leading controller carries them out.
+/// Rollout orders, which move a service to another version; carried out by the leader.
 #pragma once
 
 #include <functional>
@@ -18,22 +18,22 @@
 
 class Controller;
 
-/// An order of an operator.
+/// An operator's order to move a service to a target version.
 struct RolloutOrder {
   std::string service;
   std::string target;
   base::Duration finishBy{0};
 };
 
-/// Answer to an order.
+/// Result of an order or abort request.
 struct RolloutAnswer {
   base::ErrorCode code = base::ErrorCode::kNone;
-  std::string message;  ///< why it was refused; empty when it was accepted
+  std::string message;  ///< reason of the rejection; empty if the request was accepted
 };
 
 using RolloutCallback = std::function<void(const RolloutAnswer&)>;
 
-/// Counts of what became of orders while this controller led.
+/// Counters of the orders, steps and reports that this controller handled as leader.
 struct RolloutCounters {
   int64_t begun = 0;
   int64_t completed = 0;
@@ -42,61 +42,63 @@
   int64_t reports = 0;
 };
 
-/// Writes the rows of orders, one edit a step, each guarded by the revision of the row that it follows; so two leaders,
-/// or an operator beside them, never undo each other's steps. All else is soft state of the leader.
+/// Writes the rollout rows, with one edit per step. Each edit expects the revision of the row that it is based on, so
+/// that concurrent leaders or operators never overwrite each other's steps. All other state is soft state of the
+/// leader.
 ///
-/// Invariants: an order is answered as accepted only when its row is committed; a service has one order under way at
-/// the most; only rows that are RUNNING cost anything.
+/// Invariants: an order is reported as accepted only when its row is committed; a service has at most one running
+/// order; only rows in state RUNNING cause any work.
 class Rollouts {
  public:
   Rollouts(Controller& controller, base::Scheduler& scheduler, const rollout::exposure_limit& exposure);
   ~Rollouts();
 
-  /// Takes an order. The callback gets kNone, also for the order that is under way or was completed last; kInvalidEdit,
-  /// kRevisionConflict when another one is under way, kNotLeader, kNotAccepted or kOutcomeUnknown.
+  /// Starts an order. The callback receives kNone, also if the same order is running or was the last to complete;
+  /// kRevisionConflict if another order is running; kInvalidEdit, kNotLeader, kNotAccepted or kOutcomeUnknown.
   void order(const RolloutOrder& order, RolloutCallback done);
 
-  /// Takes the order under way back. The callback gets kNone, also when it was rolled back just now, kRowNotFound when
-  /// none is, or as with order().
+  /// Rolls the running order back. The callback receives kNone, also if the order was rolled back recently;
+  /// kRowNotFound if none is running; otherwise the codes of order().
   void abort(const std::string& service, RolloutCallback done);
 
-  /// @return the row of a service, or null.
+  /// @return the rollout row of a service, or null.
   std::shared_ptr<const wire::Row> rowOf(const std::string& service) const;
 
-  /// @return how the version on trial looks; only on the leader.
+  /// @return the verdict on the target version of the running order; only meaningful on the leader.
   rollout::version_verdict verdictOf(const std::string& service) const;
 
-  /// @return the time since an order that is under way was accepted; 0 for others.
+  /// @return the time since the running order of a service was accepted; 0 if none is running.
   base::Duration elapsed(const std::string& service) const;
 
-  /// What nodes tell of endpoints.
+  /// Applies the nodes' reports on endpoints of services with a running order.
   void onReports(const wire::VersionReports& reports);
 
-  /// What relays see of services without a row: the version that most endpoints tell stands.
+  /// Handles the versions that relays observe for services without a rollout row: the version with the most endpoints
+  /// becomes the standing version.
   void onSeenVersions(const wire::SeenVersions& seen);
 
-  /// The row of a service was committed, here as on every controller.
+  /// Handles a committed rollout row; called on every controller.
   void onApplied(const std::string& service);
 
-  /// The table was replaced as a whole.
+  /// Rebuilds the state after the table was replaced by a snapshot.
   void onRestored();
 
-  /// This controller began to lead, or does no more.
+  /// Handles a change of leadership.
   void onLeadership();
 
-  /// Takes the steps that are due; called some times a second.
+  /// Takes the steps that are due; called several times a second.
   void tick();
 
   const RolloutCounters& counters() const { return counters_; }
 
-  /// @return services with an order under way.
+  /// @return the number of services with a running order.
   size_t running() const { return running_.size(); }
 
  private:
-  /// An order under way.
+  /// A running order.
   struct Running {
     int64_t revision = 0;         // of its row
-    base::TimePoint writtenAt{};  // when its row was committed, as seen here
+    base::TimePoint writtenAt{};  // when this controller applied the row
     bool submitting = false;
     rollout::version_evidence evidence;
 
@@ -118,8 +120,8 @@
   base::Scheduler& scheduler_;
   rollout::rollout_driver driver_;
   std::map<std::string, Running> running_;               // by service
-  std::map<std::string, base::TimePoint> rolledBackAt_;  // by service, of what was decided while this one led
-  std::set<std::string> pendingInitialRows_;             // services whose first row is on its way
+  std::map<std::string, base::TimePoint> rolledBackAt_;  // by service; only rollbacks applied as leader
+  std::set<std::string> pendingInitialRows_;             // services whose initial row is being submitted
   base::TimePoint leaderSince_{};
   RolloutCounters counters_;
   base::Logger log_{"rollout"};
--- a/src/controller/table_state.h
+++ b/src/controller/table_state.h
@@ -14,26 +14,26 @@
 
 namespace driftlug::controller {
 
-/// Edits whose outcomes are remembered; an edit based on an older revision is refused.
+/// Maximum number of edit outcomes kept; an edit whose base revision precedes this window is rejected.
 constexpr size_t kOutcomeWindow = 10'000;
-/// Rows and problems that they may tell of together.
+/// Maximum total number of rows and problems in the kept outcomes.
 constexpr size_t kMaxOutcomeDetails = 100'000;
-/// Accepted edits that history shows.
+/// Maximum number of accepted edits kept in the history.
 constexpr size_t kHistoryLength = 10'000;
-/// Keys of rows that they may name together.
+/// Maximum total number of row keys in the history.
 constexpr size_t kMaxHistoryKeys = 100'000;
 
-/// Applies committed edits; equal on every controller after equal entries.
+/// Applies committed edits. Deterministic: all controllers have the same state after the same entries.
 ///
-/// Invariants: an edit is applied whole or not at all; a request id has one outcome inside the window; the
-/// table's revision is the index of the last accepted edit.
+/// Invariants: an edit is applied completely or not at all; a request id has one outcome inside the window; the
+/// table's revision is the log index of the last accepted edit.
 class TableState {
  public:
-  /// Parts of the decision that the simulator can switch off, to prove that a checker notices.
+  /// Checks that the simulator can disable to verify that its invariant checkers detect the fault.
   struct Checks {
-    bool rows = true;       ///< refuse edits that leave the table invalid
-    bool revisions = true;  ///< refuse edits whose expected revision is not the row's
-    bool resends = true;    ///< give a resent edit its first outcome
+    bool rows = true;       ///< reject edits that would make the table invalid
+    bool revisions = true;  ///< reject edits whose expected revision differs from the row's
+    bool resends = true;    ///< return the first outcome for a resent edit
   };
 
   explicit TableState(const Checks& checks) : checks_(checks) {}
@@ -41,7 +41,7 @@
 
   /// Applies the edit of one log entry.
   /// @param index the entry's log index, which becomes the revision of changed rows
-  /// @param rows set to the rows that changed, none when the edit was refused
+  /// @param rows set to the changed rows; empty if the edit was rejected
   const wire::EditOutcome& apply(int64_t index, const wire::EditCommand& edit, table::ChangedRows* rows);
 
   /// Registers or removes a relay.
@@ -50,19 +50,19 @@
   /// @return all registered relays, by id.
   const std::map<std::string, wire::RelayRecord>& relays() const { return relays_; }
 
-  /// @return the remembered outcome of a request id, or null.
+  /// @return the kept outcome of a request id, or null.
   const wire::EditOutcome* findOutcome(const std::string& requestId) const;
 
-  /// @return lowest base revision that an edit may name.
+  /// @return the lowest base revision that an edit may have.
   int64_t windowFloor() const { return windowFloor_; }
 
   const table::Table& table() const { return table_; }
   const std::deque<wire::HistoryRecord>& history() const { return history_; }
 
-  /// @return the whole state.
+  /// @return a snapshot of the whole state.
   wire::TableSnapshot takeSnapshot() const;
 
-  /// Replaces the state.
+  /// Replaces the state with a snapshot.
   void restore(const wire::TableSnapshot& snapshot);
 
  private:
@@ -75,17 +75,17 @@
 
   Checks checks_;
   table::Table table_;
-  std::deque<wire::EditOutcome> outcomes_;                     // oldest first, kOutcomeWindow at most
+  std::deque<wire::EditOutcome> outcomes_;                     // oldest first, at most kOutcomeWindow
   std::unordered_map<std::string, int64_t> outcomeByRequest_;  // position in outcomes_ plus dropped_
   size_t outcomeDetails_ = 0;                                  // of outcomes_
-  int64_t droppedOutcomes_ = 0;                                // outcomes dropped at the front
+  int64_t droppedOutcomes_ = 0;                                // number of outcomes dropped from the front
   int64_t windowFloor_ = 0;
   std::deque<wire::HistoryRecord> history_;
   size_t historyKeys_ = 0;                           // of history_
   std::map<std::string, wire::RelayRecord> relays_;  // by id
 };
 
-/// @return a hash over what an edit changes, to notice a request id that is used for another edit.
+/// @return a hash of the edit's mutations, used to detect a request id that is reused for another edit.
 int64_t fingerprintOf(const wire::EditCommand& edit);
 
 }  // namespace driftlug::controller
