--- a/src/controller/member_address_tracker.h
+++ b/src/controller/member_address_tracker.h
@@ -12,8 +12,8 @@
 
 namespace driftlug::controller {
 
-/// Relays connect to every controller, so they need all addresses but not the voting rights. While a cluster forms, one
-/// log entry adds each member and another promotes it; notifying every relay of each entry, from every controller,
+/// Relays connect to every controller, so they need the addresses of all, whoever of them votes. While a cluster forms,
+/// one log entry adds each member and another promotes it; notifying every relay of each entry, from every controller,
 /// would cost bytes proportional to the fourth power of the number of members.
 class MemberAddressTracker {
  public:
