--- a/src/consensus/raft.cc
+++ b/src/consensus/raft.cc
@@ -121,8 +121,9 @@
 
 absl::Status Raft::proposeMembers(std::vector<wire::Member> members, bool forming) {
   if (role_ != RaftRole::kLeader) return makeError(ErrorCode::kNotLeader, "this member does not lead");
-  // Before its own term has an entry committed, a leader may not know of a change that an earlier one committed.
-  if (!appliedOwnTerm()) return makeError(ErrorCode::kNotAccepted, "this leader has just begun");
+  // Until an entry of its own term is applied, a leader may not know of a membership change committed by an earlier
+  // leader.
+  if (!appliedOwnTerm()) return makeError(ErrorCode::kNotAccepted, "this leader has just been elected");
   if (membershipChangePending()) return makeError(ErrorCode::kNotAccepted, "another membership change is in progress");
   std::set<std::string> before;
   std::set<std::string> after;
@@ -145,7 +146,7 @@
 
 void Raft::confirmLeadership(ConfirmCallback done) {
   if (role_ != RaftRole::kLeader) return done(false);
-  // The answer must belong to a round that begins after this call.
+  // Only a round that starts after this call confirms leadership.
   pendingConfirms_.push_back({round_ + 1, std::max(commitIndex_, termStartIndex_), std::move(done)});
   if (confirmRoundScheduled_) return;
   confirmRoundScheduled_ = true;
@@ -163,7 +164,7 @@
     });
     return;
   }
-  // What depends on a term or a vote that the disk did not take is not said: a restart would forget it.
+  // Nothing that depends on an unwritten term or vote may be sent: a restart would lose the term and the vote.
   if (!hardStateSaved_ && !saveHardState()) return;
   store_.sync([this, alive = alive_, then = std::move(then)](const absl::Status& status) {
     if (!*alive) return;
@@ -205,7 +206,7 @@
   recomputeMembers();
 }
 
-/// In turns, so that a member that has much to apply, as after a start, goes on answering heartbeats.
+/// Applies in batches, so that a member with many entries to apply, e.g. after a start, still responds to heartbeats.
 void Raft::applyCommitted() {
   size_t rows = 0;
   while (appliedIndex_ < commitIndex_ && rows < options_.maxRowsPerApplyTurn) {
--- a/src/consensus/raft.h
+++ b/src/consensus/raft.h
@@ -1,8 +1,8 @@
-/// A replicated log after Raft: elections with pre-vote and check-quorum, pipelined appends, learners,
+/// A replicated log based on Raft: elections with pre-vote and check-quorum, pipelined appends, learners,
 /// single-step membership changes, leadership transfer, chunked snapshots and quorum-confirmed reads.
 ///
-/// The class does no I/O of its own: it sees time, disk and network only through interfaces, so the daemons and
-/// the simulator run the same object.
+/// The class does no I/O of its own: it accesses time, disk and network only through interfaces, so the daemons and
+/// the simulator run the same code.
 #pragma once
 
 #include <deque>
@@ -24,21 +24,22 @@
 /// Tunable times and sizes.
 struct RaftOptions {
   base::Duration heartbeatInterval = base::milliseconds(50);
-  base::Duration electionTimeout = base::milliseconds(300);  ///< lowest; the highest is twice that
-  size_t maxBatchEntries = 256;                              ///< entries in one append
-  size_t maxBatchRows = 4096;                                ///< rows of the entries in one append, unless one has more
-  size_t maxRowsPerApplyTurn = 1024;                         ///< rows of entries applied before others have their turn
+  base::Duration electionTimeout = base::milliseconds(300);  ///< minimum; each timeout is randomized up to twice this
+  size_t maxBatchEntries = 256;                              ///< maximum entries in one append
+  size_t maxBatchRows = 4096;         ///< maximum rows in one append; a single entry may exceed it
+  size_t maxRowsPerApplyTurn = 1024;  ///< maximum rows applied before the event loop runs other tasks
   size_t snapshotChunkBytes = 256 << 10;
-  size_t compactAfterEntries = 4096;  ///< applied entries kept before a snapshot is taken, at least
-  /// Bytes of the last snapshot for each of which another entry is kept, so that the cost of snapshots per entry
-  /// does not grow with the state.
+  size_t compactAfterEntries = 4096;  ///< minimum applied entries before a snapshot is taken
+  /// The next snapshot is taken only after one applied entry per this many bytes of the last snapshot, so that the cost
+  /// of snapshots per entry does not grow with the state.
   size_t snapshotBytesPerEntry = 256;
-  size_t keepEntries = 1024;  ///< entries kept behind a snapshot for slow followers
-  /// Rows for which an entry counts as one more, so that the memory of the log does not depend on how rows are edited.
+  size_t keepEntries = 1024;  ///< added to the threshold above, so that slow followers need snapshots less often
+  /// Rows that count as one more entry for compaction, so that the log's memory use does not depend on the rows per
+  /// edit.
   size_t rowsPerWeightUnit = 4;
-  /// Whether followers are told of a commit at once, not with the next entry or heartbeat.
+  /// Sends a new commit index to followers immediately instead of with the next entry or heartbeat.
   bool announceCommits = false;
-  // Switched off only in the simulator, to prove that a checker notices.
+  // Disabled only in the simulator to verify that its invariant checkers detect the fault.
   bool checkQuorum = true;
   bool syncBeforeAcknowledge = true;
   bool quorumCommit = true;
@@ -46,68 +47,68 @@
 
 enum class RaftRole { kFollower, kCandidate, kLeader };
 
-/// Sends messages to other members, encoded, so that one that goes to many is encoded once; delivery is not certain.
+/// Sends encoded messages to other members; a message for several members is encoded once. Delivery is not guaranteed.
 class RaftTransport {
  public:
   virtual ~RaftTransport() = default;
   virtual void sendTo(const std::string& memberId, const wire::FramePtr& frame) = 0;
 };
 
-/// The state machine that the log drives.
+/// The replicated state machine.
 class RaftListener {
  public:
   virtual ~RaftListener() = default;
 
-  /// A committed entry, in index order, each exactly once since the last restore.
+  /// Applies a committed entry; called in index order, exactly once per entry since the last restore.
   virtual void apply(const wire::LogEntry& entry) = 0;
 
   /// @return the encoded state after the last applied entry.
   virtual std::string takeSnapshot() = 0;
 
-  /// Replaces the whole state.
+  /// Replaces the whole state with an encoded snapshot.
   virtual void restore(const std::string& state) = 0;
 
-  /// This member began or stopped to lead, or learned of another leader.
+  /// Called when this member becomes leader or stops leading, and when its known leader changes.
   virtual void onLeadership(RaftRole role) = 0;
 
-  /// A heartbeat round was confirmed by a quorum, or entries were committed.
+  /// Called when a quorum has confirmed a heartbeat round or entries were applied.
   virtual void onProgress() = 0;
 };
 
 /// One member of the replicated log.
 ///
-/// Invariants: term and vote are synced before any answer that depends on them; an entry is acknowledged only
-/// when synced; the commit index never decreases; committed entries never change.
+/// Invariants: term and vote are synced before any response that depends on them; an entry is acknowledged only
+/// after it was synced; the commit index never decreases; committed entries never change.
 class Raft {
  public:
-  /// Outcome of a proposal that was taken into the leader's log.
+  /// Receives whether a quorum confirmed this member's leadership.
   using ConfirmCallback = std::function<void(bool confirmed)>;
 
   Raft(std::string id, RaftOptions options, base::Scheduler& scheduler, base::RandomSource random,
        storage::LogStore& store, RaftTransport& transport, RaftListener& listener);
   ~Raft();
 
-  /// Takes over recovered state and begins as a follower.
+  /// Loads the recovered state and starts as a follower.
   void start(const storage::RecoveredState& state);
 
   /// Makes this blank member the only voter of a new cluster.
   void bootstrap(const wire::Member& self);
 
-  /// A message from another member.
+  /// Handles a message from another member.
   void onMessage(const std::string& from, wire::Message message);
 
-  /// Adds an entry to the leader's log.
+  /// Appends an entry to the leader's log.
   /// @return its index, or kNotLeader / kStorageFull / kStorageFailed
   absl::StatusOr<int64_t> propose(wire::LogEntry entry);
 
-  /// Calls back once a quorum has confirmed that this member still led after the call, and the state machine has
-  /// applied everything committed before it; false when leadership was lost.
+  /// Calls back with true once a quorum has confirmed that this member was still the leader after the call and the
+  /// state machine has applied everything committed before it; with false if leadership was lost.
   void confirmLeadership(ConfirmCallback done);
 
-  /// Proposes new members; refused while another change is in progress or when more than one voter would change.
+  /// Proposes new members; rejected while another change is in progress or if more than one voter would change.
   absl::Status proposeMembers(std::vector<wire::Member> members, bool forming);
 
-  /// Hands leadership to the most advanced voter; ends as a follower when that works out.
+  /// Asks the most up-to-date active voter to start an election; this member becomes a follower once it wins.
   void transferLeadership();
 
   RaftRole role() const { return role_; }
@@ -122,19 +123,20 @@
   bool forming() const { return forming_; }
   bool membershipChangePending() const { return membersIndex_ > commitIndex_; }
 
-  /// @return the last heartbeat round that a quorum confirmed, with its term.
+  /// @return the last heartbeat round confirmed by a quorum, with its term.
   wire::Freshness freshness() const;
 
-  /// @return whether the member is caught up with the leader's log to within one batch.
+  /// @return whether the member has acknowledged all entries up to the leader's commit index; false for this member.
   bool caughtUp(const std::string& memberId) const;
 
-  /// @return whether a follower answered within the election timeout; only meaningful on the leader.
+  /// @return whether a member responded within the election timeout; only meaningful on the leader.
   bool recentlyActive(const std::string& memberId) const;
 
-  /// @return whether a quorum has answered this leader within the time in which its members vote for nobody else.
+  /// @return whether this leader holds a lease: a quorum responded so recently that its members cannot vote for another
+  /// candidate yet.
   bool holdsLease() const;
 
-  /// @return whether the disk failed for good.
+  /// @return whether the disk failed permanently.
   bool storageFailed() const { return store_.failed(); }
 
   /// @return whether everything committed before this leader's term has been applied.
@@ -143,11 +145,11 @@
   /// @return whether this member was never part of a cluster.
   bool blank() const { return blank_; }
 
-  /// @return term of an entry; nullopt when it was compacted away or does not exist.
+  /// @return the term of an entry; nullopt if it was compacted or does not exist.
   std::optional<int64_t> termAt(int64_t index) const;
 
  private:
-  /// What the leader knows of one other member.
+  /// Replication progress of one other member, tracked by the leader.
   struct Progress {
     int64_t nextIndex = 1;
     int64_t matchIndex = 0;
@@ -157,7 +159,7 @@
     base::TimePoint lastChunkSentAt{};
   };
 
-  /// What an append says; members at the same place of the log get the same one.
+  /// Identifies the content of an append; members with the same log position receive the same frame.
   struct AppendContent {
     int64_t term = 0;
     int64_t round = 0;
@@ -233,7 +235,7 @@
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // false once destroyed; guards callbacks
 
   wire::HardState hardState_;           // written to the store at each change
-  std::deque<wire::LogEntry> entries_;  // behind snapshotIndex_
+  std::deque<wire::LogEntry> entries_;  // from snapshotIndex_ + 1 on
   int64_t snapshotIndex_ = 0;
   int64_t snapshotTerm_ = 0;
   wire::LogSnapshot snapshot_;   // newest snapshot, sent to members that are too far behind
@@ -242,38 +244,38 @@
   bool installing_ = false;      // the snapshot being written came from the leader
   int64_t commitIndex_ = 0;
   int64_t appliedIndex_ = 0;
-  size_t appliedWeight_ = 0;  // of the applied entries behind snapshotIndex_
+  size_t appliedWeight_ = 0;  // of the applied entries after snapshotIndex_
   bool applyScheduled_ = false;
   int64_t durableIndex_ = 0;  // highest own entry known to be synced
-  int64_t logEpoch_ = 0;      // changes whenever entries are cut from the end
+  int64_t logEpoch_ = 0;      // incremented whenever entries are truncated
 
   std::vector<wire::Member> members_;  // newest in the log, committed or not
   std::vector<wire::Member> snapshotMembers_;
   bool snapshotForming_ = false;
-  int64_t membersIndex_ = 0;  // entry that members_ came from
+  int64_t membersIndex_ = 0;  // index of the entry that members_ is from
   bool forming_ = false;
   bool blank_ = true;
 
   RaftRole role_ = RaftRole::kFollower;
   std::string leaderId_;  // empty when unknown
   base::TimePoint lastLeaderContact_{};
-  bool hardStateSaved_ = true;        // whether the disk took the last term and vote
-  bool awaitingFirstContact_ = true;  // since the start no leader was heard of and no election took part in
+  bool hardStateSaved_ = true;        // whether the last term and vote were written to disk
+  bool awaitingFirstContact_ = true;  // no leader contact and no election since start
   std::set<std::string> votes_;       // granted in the current (pre-)election
   bool preVoting_ = false;
   bool transferring_ = false;
   std::map<std::string, Progress> progress_;  // leader only: other members
-  int64_t round_ = 0;                         // heartbeat rounds begun in this term
+  int64_t round_ = 0;                         // heartbeat rounds started in this term
   int64_t confirmedRound_ = 0;
   int64_t termStartIndex_ = 0;                         // the leader's first entry of its term
-  base::TimePoint lastQuorumContact_{};                // when a quorum last answered
-  std::map<int64_t, base::TimePoint> roundStartedAt_;  // of rounds that no quorum has confirmed yet
-  std::optional<base::TimePoint> leaseStart_;          // when the last confirmed round began
+  base::TimePoint lastQuorumContact_{};                // when a quorum was last active
+  std::map<int64_t, base::TimePoint> roundStartedAt_;  // of unconfirmed rounds
+  std::optional<base::TimePoint> leaseStart_;          // start of the last confirmed round
   std::vector<PendingConfirm> pendingConfirms_;
   bool confirmRoundScheduled_ = false;
   bool commitAnnouncementScheduled_ = false;  // announceCommit() is scheduled
   AppendContent appendContent_;               // of appendFrame_
-  wire::FramePtr appendFrame_;                // the append that was sent last; null on followers
+  wire::FramePtr appendFrame_;                // the last append sent; null on followers
 
   std::string incomingSnapshot_;  // snapshot being received
   int64_t incomingSnapshotIndex_ = 0;
--- a/src/consensus/raft_election.cc
+++ b/src/consensus/raft_election.cc
@@ -21,10 +21,10 @@
   return present * 2 > voters;
 }
 
-/// A member that has just started knows of no leader. It asks early and again soon: where there is a leader pre-votes
-/// are refused, and after a loss of all the first majority that is back need not wait out a timeout. Once it has taken
-/// part in an election it waits like any other, so that slow members do not overtake each other's elections without
-/// end.
+/// A member that has just started does not know the leader, so it starts pre-votes early and in short intervals. If
+/// there is a leader, they are rejected; after a restart of all members, the first majority does not have to wait for a
+/// full timeout. After its first election a member uses the normal timeout, so that slow members do not keep
+/// interrupting each other's elections.
 void Raft::startInitialElectionTimer() {
   const auto interval = std::min(options_.electionTimeout, 2 * options_.heartbeatInterval);
   electionTimer_.start(interval + random_.duration(interval));
@@ -46,15 +46,15 @@
   }
   if (!isVoter(id_) || store_.failed()) return;
   if (!leaderId_.empty()) {
-    // After a stall the leader's heartbeats may still be unread.
+    // After a stall of this process, the leader's heartbeats may not have been read yet.
     if (scheduler_.inputReadUntil() - lastLeaderContact_ < options_.electionTimeout) return;
-    log_.info("{} heard nothing of {}, leader of term {}, for {} ms", id_, leaderId_, hardState_.term,
+    log_.info("{} received nothing from {}, leader of term {}, for {} ms", id_, leaderId_, hardState_.term,
               base::millisecondsOf(scheduler_.now() - lastLeaderContact_));
   }
   startElection(true, false);
 }
 
-/// @return whether the term and the vote are written; a full disk refuses them and writes on later.
+/// @return whether the term and the vote were written; a full disk may reject them and accept later writes.
 bool Raft::saveHardState() {
   hardStateSaved_ = store_.saveHardState(hardState_).ok();
   if (!hardStateSaved_) log_.error("term {} could not be written", hardState_.term);
@@ -117,13 +117,13 @@
   response.term = request.preVote ? request.term : std::max(request.term, hardState_.term);
   if (request.preVote) {
     response.granted = !leaderIsFresh && request.term > hardState_.term && candidateIsUpToDate(request);
-    // A refusal carries the own term only: the term that was asked for has not begun, and must not by a refusal.
+    // A rejection carries this member's own term: a pre-vote must not start the requested term.
     if (!response.granted) response.term = hardState_.term;
     sendTo(from, response);
     return;
   }
   awaitingFirstContact_ = false;
-  // A member that was removed, or that was cut off, must not disturb a leader that has its quorum.
+  // A member that was removed or partitioned away must not disrupt a leader that has a quorum.
   if (leaderIsFresh && !request.transfer && request.term > hardState_.term) return;
   if (request.term > hardState_.term) becomeFollower(request.term, "");
   const bool free = hardState_.votedFor.empty() || hardState_.votedFor == request.candidate;
--- a/src/consensus/raft_replication.cc
+++ b/src/consensus/raft_replication.cc
@@ -34,7 +34,7 @@
   transport_.sendTo(memberId, encodeAppend(content, *previousTerm));
 }
 
-/// @return the last entry of an append that begins behind an index.
+/// @return the index of the last entry in an append that starts after an index.
 int64_t Raft::batchEnd(int64_t previousIndex) const {
   const auto lastAllowed = std::min(lastIndex(), previousIndex + static_cast<int64_t>(options_.maxBatchEntries));
   size_t rows = 0;
@@ -45,8 +45,8 @@
   return lastAllowed;
 }
 
-/// To encode a large entry for each of many members would keep a leader on a slow machine silent for longer than they
-/// wait for it.
+/// Reuses the last frame if the content is the same: encoding a large entry separately for many members could delay
+/// a leader on a slow machine past their election timeout.
 wire::FramePtr Raft::encodeAppend(const AppendContent& content, int64_t previousTerm) {
   if (appendFrame_ && content == appendContent_) return appendFrame_;
   wire::AppendRequest request;
@@ -111,7 +111,7 @@
   applyCommitted();
 }
 
-/// Entries that differ from those at their places take these, and all behind them.
+/// Appends entries; truncates the log first if it has conflicting entries at these indexes.
 absl::Status Raft::appendNew(std::vector<wire::LogEntry> entries) {
   if (entries.front().index <= lastIndex()) truncateFrom(entries.front().index);
   if (auto status = store_.append(entries); !status.ok()) return status;
@@ -175,14 +175,14 @@
   if (options_.announceCommits) announceCommit();
   applyCommitted();
   if (role_ != RaftRole::kLeader) return;
-  // A leader that was removed steps down once the others know that.
+  // A removed leader steps down after it has sent the commit of its removal to the others.
   if (!isVoter(id_) && membersIndex_ <= commitIndex_) {
     broadcast();
     becomeFollower(hardState_.term, "");
   }
 }
 
-/// Commits of one turn of the loop are announced together.
+/// Combines all commits of one event loop iteration into one broadcast.
 void Raft::announceCommit() {
   if (commitAnnouncementScheduled_) return;
   commitAnnouncementScheduled_ = true;
@@ -230,7 +230,7 @@
 }
 
 bool Raft::holdsLease() const {
-  /// Share of the time in which members vote for nobody else; clocks do not run quite alike.
+  /// Part of the election timeout that the lease lasts; the rest is a margin for clock drift.
   constexpr int kLeasePercent = 90;
   if (role_ != RaftRole::kLeader || transferring_ || !leaseStart_) return false;
   return scheduler_.now() - *leaseStart_ < options_.electionTimeout * kLeasePercent / 100;
@@ -274,7 +274,7 @@
     incomingSnapshotIndex_ = chunk.lastIndex;
     incomingSnapshotTerm_ = chunk.lastTerm;
   }
-  // A chunk that does not continue what is there is answered with the place to continue from.
+  // A chunk at another offset is dropped; the acknowledgement carries the offset to continue from.
   if (chunk.offset == static_cast<int64_t>(incomingSnapshot_.size())) incomingSnapshot_ += chunk.data;
   const bool complete = static_cast<int64_t>(incomingSnapshot_.size()) >= chunk.totalBytes;
   if (complete && chunk.lastIndex > commitIndex_) return installSnapshot(from, chunk);
