--- a/test/consensus/process_stall_test.cc
+++ b/test/consensus/process_stall_test.cc
@@ -5,9 +5,9 @@
 namespace driftlug::consensus {
 namespace {
 
-constexpr base::Duration kStall = base::milliseconds(900);  // longer than a leader goes without a quorum
+constexpr base::Duration kStall = base::milliseconds(900);  // longer than the quorum check timeout of a leader
 
-/// @return whether a frame of a kind was sent to anybody.
+/// @return whether a message of type T was sent to any member.
 template <typename T>
 bool sentAny(const RecordingTransport& transport) {
   for (const auto& [member, frames] : transport.sent) {
@@ -18,7 +18,7 @@
   return false;
 }
 
-/// A leader with two voters, whose process stands still for a while.
+/// A leader with two more voters, whose process is frozen for a while.
 struct StalledLeader : LeaderFixture {
   StalledLeader() {
     for (const auto* voter : {"a", "b"}) {
@@ -50,7 +50,7 @@
   }
 };
 
-/// A voter that hears its leader's heartbeats.
+/// A voter that receives heartbeats from its leader.
 struct StalledFollower : MemberFixture {
   StalledFollower() : MemberFixture("follower") {
     wire::LogEntry members;
@@ -99,7 +99,7 @@
 }
 
 TEST_CASE_METHOD(StalledFollower,
-                 "a follower that stood still asks for no votes while its leader's word waits to be read") {
+                 "a follower that stood still asks for no votes while its leader's heartbeats are unread") {
   runFor(base::milliseconds(500), true);
   process.setFrozen(true);
   runFor(kStall, true);
--- a/test/consensus/raft_fixture.h
+++ b/test/consensus/raft_fixture.h
@@ -1,4 +1,4 @@
-/// One member of a replicated log; the test plays the others.
+/// Fixtures with one member of a replicated log; the test acts as the other members.
 #pragma once
 
 #include <catch2/catch.hpp>
@@ -13,7 +13,7 @@
 
 namespace driftlug::consensus {
 
-/// Keeps the frames that go to each member.
+/// Records the frames sent to each member.
 class RecordingTransport : public RaftTransport {
  public:
   void sendTo(const std::string& memberId, const wire::FramePtr& frame) override { sent[memberId].push_back(frame); }
@@ -38,7 +38,7 @@
   return member;
 }
 
-/// One member with an empty log.
+/// A member with an empty log.
 struct MemberFixture {
   explicit MemberFixture(const std::string& id, const RaftOptions& options = {})
       : process(queue, id, {"zone", "region"}, {"10.0.0.1", 1}), store(disk) {
@@ -49,7 +49,7 @@
     raft->start(*state);
   }
 
-  /// Lets time pass.
+  /// Advances the simulated time.
   /// @param poll called every 50 ms
   template <typename Poll>
   void runFor(base::Duration duration, Poll poll) {
@@ -71,7 +71,7 @@
   std::unique_ptr<Raft> raft;
 };
 
-/// A leader of its own, with learners.
+/// A leader that is the only voter, with three learners.
 struct LeaderFixture : MemberFixture {
   explicit LeaderFixture(const RaftOptions& options = {}) : MemberFixture("leader", options) {
     raft->bootstrap(memberOf("leader", true));
--- a/test/consensus/raft_replication_test.cc
+++ b/test/consensus/raft_replication_test.cc
@@ -14,7 +14,7 @@
   CHECK(transport.sent.at("c").front() == first);
 }
 
-TEST_CASE_METHOD(LeaderFixture, "what is sent later says something else, and is encoded anew") {
+TEST_CASE_METHOD(LeaderFixture, "an append with other content is encoded again") {
   wire::LogEntry entry;
   entry.kind = wire::EntryKind::NOOP;
   REQUIRE(raft->propose(entry).ok());
@@ -38,7 +38,7 @@
     entry.edit.mutations.resize(kRows);
     REQUIRE(raft->propose(entry).ok());
   }
-  // A member that has lost what was sent asks from an earlier place.
+  // A member that lost the appends sent so far rejects and requests an earlier index.
   transport.sent.clear();
   wire::AppendResponse behind;
   behind.term = raft->term();
@@ -49,7 +49,7 @@
   CHECK(std::get<wire::AppendRequest>(*message).entries.size() == 1);
 }
 
-TEST_CASE("followers are told of a commit at once where they serve from what they apply") {
+TEST_CASE("with announceCommits, followers receive a new commit index immediately") {
   RaftOptions options;
   options.announceCommits = true;
   LeaderFixture leader(options);
--- a/test/controller/automatic_membership_test.cc
+++ b/test/controller/automatic_membership_test.cc
@@ -12,7 +12,7 @@
 using simulation::SimulatedNetwork;
 using test::Host;
 
-/// Four machines in four zones, of which three are everybody's seeds.
+/// Four machines in four zones; the first three are the seeds of all.
 struct Fixture {
   explicit Fixture(int machines = 4, size_t minVoters = 3, const simulation::NetworkOptions& options = {})
       : network(queue, base::RandomSource(7), options), minVoters(minVoters) {
@@ -55,7 +55,8 @@
     return std::any_of(members.begin(), members.end(), [&](const auto& m) { return m.voting && m.address == ip; });
   }
 
-  /// Writes a note, and tells whether it was accepted.
+  /// Writes a note row.
+  /// @return whether the edit was accepted
   bool edit(const std::string& name) {
     wire::EditCommand command;
     command.requestId = name;
@@ -84,11 +85,11 @@
   std::vector<std::unique_ptr<Host>> hosts;
 };
 
-/// Seven machines, two of which may be lost at once with their disks.
+/// Seven machines that tolerate the loss of two with their disks.
 struct SevenMachines : Fixture {
   SevenMachines() : Fixture(7, 5) {}
 
-  /// Cuts the hosts from `first` on off from those before it, or joins them again.
+  /// Partitions the hosts from `first` on from those before it, or heals the partition.
   void setPartition(size_t first, bool cut) {
     for (size_t i = 0; i < first; ++i) {
       for (size_t j = first; j < hosts.size(); ++j) {
@@ -99,7 +100,7 @@
   }
 };
 
-/// Eleven machines whose messages take long, as where processors are small and all that starts is busy.
+/// Eleven machines with a message delay of 80 ms, as on small processors that are busy while all processes start.
 struct ElevenSlowMachines : Fixture {
   ElevenSlowMachines() : Fixture(11, 5, slow()) {}
 
@@ -125,7 +126,7 @@
   CHECK(edit("after"));
 }
 
-TEST_CASE_METHOD(SevenMachines, "as many controllers vote as are there, when their number is odd") {
+TEST_CASE_METHOD(SevenMachines, "all controllers are voters if their number is odd") {
   REQUIRE(leader() != nullptr);
   CHECK(voters() == 7);
 }
@@ -145,7 +146,7 @@
   CHECK(edit("after"));
 }
 
-TEST_CASE_METHOD(SevenMachines, "any majority of the controllers goes on by itself") {
+TEST_CASE_METHOD(SevenMachines, "any majority of the controllers keeps accepting edits") {
   for (const size_t first : {size_t{3}, size_t{4}}) {
     setPartition(first, true);
     runFor(base::seconds(3));
@@ -157,7 +158,8 @@
   }
 }
 
-TEST_CASE_METHOD(Fixture, "the seeds found a cluster in which all of them vote, and a further controller stands by") {
+TEST_CASE_METHOD(Fixture,
+                 "the seeds form a cluster in which all of them vote, and a further controller stays a learner") {
   REQUIRE(leader() != nullptr);
   CHECK(voters() == 3);
   CHECK(leader()->controller().raft().members().size() == 4);
@@ -184,7 +186,7 @@
   runFor(base::seconds(4));
   CHECK(voters() == 3);
   REQUIRE(edit("after"));
-  // Now a second one may go.
+  // The cluster now tolerates the loss of a second one.
   Host* second = hosts[2].get() == leader() ? hosts[1].get() : hosts[2].get();
   second->losePower();
   runFor(base::seconds(2));
@@ -203,7 +205,7 @@
   CHECK(holds("after"));
 }
 
-TEST_CASE_METHOD(Fixture, "a newcomer whose only living seed is no member any more finds the cluster through it") {
+TEST_CASE_METHOD(Fixture, "a new controller discovers the cluster through a single seed") {
   leader()->losePower();
   runFor(base::seconds(8));
   REQUIRE(voters() == 3);
--- a/test/controller/controller_host.h
+++ b/test/controller/controller_host.h
@@ -1,4 +1,4 @@
-/// A machine of the simulator that runs one controller which knows only seeds.
+/// Test host for a controller in the simulator.
 #pragma once
 
 #include <catch2/catch.hpp>
@@ -23,7 +23,7 @@
 constexpr int kPort = 7000;
 constexpr int kHttpPort = 8000;
 
-/// One machine that runs a controller which knows only seeds.
+/// A simulated machine with one controller that discovers the cluster through seeds.
 class Host {
  public:
   Host(EventQueue& queue, SimulatedNetwork& network, const std::string& ip, const std::string& zone, uint64_t seed)
--- a/test/controller/convergence_test.cc
+++ b/test/controller/convergence_test.cc
@@ -19,7 +19,7 @@
   return report;
 }
 
-/// A tracker whose relays were registered before it began to lead.
+/// A tracker whose relays were registered before its controller became leader.
 struct Fixture {
   Fixture() : tracker(time, kLease) {
     tracker.setRegistered({"relay-1", "relay-2"});
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(Fixture, "silence of registered relays is not agreement") {
+TEST_CASE_METHOD(Fixture, "a revision is not in force everywhere before all registered relays have reported") {
   CHECK(!tracker.inForceEverywhere(5));
   tracker.onReport("relay-1", report(5, {"node-1"}, true));
   CHECK(!tracker.inForceEverywhere(5));
@@ -92,7 +92,7 @@
   CHECK(tracker.inForceEverywhere(5));
 }
 
-TEST_CASE_METHOD(Fixture, "a relay that started a moment ago does not vouch for its predecessor's nodes") {
+TEST_CASE_METHOD(Fixture, "a relay that has just started does not cover the nodes of its predecessor process") {
   auto young = report(5, {}, true);
   young.runningMs = 100;
   tracker.onReport("relay-1", young);
--- a/test/controller/member_address_tracker_test.cc
+++ b/test/controller/member_address_tracker_test.cc
@@ -19,8 +19,8 @@
   return member;
 }
 
-/// Forms a cluster as controllers do, each member admitted and then promoted.
-/// @return how often relays are told
+/// Forms a cluster as controllers do: adds each member, then promotes each to voter.
+/// @return how often relays are notified
 int notificationsWhileForming(int members) {
   MemberAddressTracker tracker;
   std::vector<wire::Member> list;
@@ -38,7 +38,7 @@
 
 }  // namespace
 
-TEST_CASE("relays are told of members that came or went, not of those that vote now") {
+TEST_CASE("relays are notified when members are added, not when they are promoted") {
   CHECK(notificationsWhileForming(5) == 5);
   CHECK(notificationsWhileForming(40) == 40);
 }
--- a/test/controller/relay_sessions_test.cc
+++ b/test/controller/relay_sessions_test.cc
@@ -5,7 +5,7 @@
 namespace driftlug::controller {
 namespace {
 
-/// Keeps the very frames that are sent.
+/// Records the frames that are sent.
 class RecordingNetwork : public base::Network {
  public:
   void setHello(const wire::Hello&) override {}
@@ -44,7 +44,7 @@
   CHECK(network.frames.back()->size() > network.frames.front()->size());
 }
 
-TEST_CASE("a kept frame is given back with the next heartbeat") {
+TEST_CASE("a cached frame is released with the next heartbeat") {
   RecordingNetwork network;
   RelaySessions sessions(network);
   table::Table table;
--- a/test/controller/rollout_http_api_test.cc
+++ b/test/controller/rollout_http_api_test.cc
@@ -17,7 +17,7 @@
 
 constexpr char kPath[] = "/v1/rollouts/s-1";
 
-/// A controller that leads, with version v1 of a service standing.
+/// A leader with a service whose standing version is v1.
 struct LeaderFixture {
   LeaderFixture()
       : network(queue, base::RandomSource(7), {}),
@@ -95,7 +95,7 @@
   CHECK(ask("DELETE", kPath).status == 200);
   CHECK(shown()["state"] == "rolled_back");
   CHECK(shown()["reason"] == "an operator took it back");
-  // The answer was lost, and it comes again.
+  // A repeated request, as after a lost response, succeeds.
   CHECK(ask("DELETE", kPath).status == 200);
 }
 
@@ -107,7 +107,7 @@
   CHECK(list[0]["state"] == "running");
 }
 
-TEST_CASE_METHOD(LeaderFixture, "what can't be an order is refused") {
+TEST_CASE_METHOD(LeaderFixture, "invalid rollout orders are rejected") {
   CHECK(ask("POST", kPath, "[]").status == 400);
   CHECK(ask("POST", kPath, "{\"version\": 3, \"finish_by_ms\": 1000}").status == 400);
   CHECK(ask("POST", kPath, "{\"version\": \"v2\"}").status == 400);
@@ -122,7 +122,7 @@
   CHECK(shown()["target"] == "v2");
 }
 
-TEST_CASE("a line of an order tells how far it is and what speaks against it") {
+TEST_CASE("a rollout line shows the progress and the evidence against the version") {
   const json standing = {{"name", "claims"}, {"state", "standing"}, {"standing", "v1"}};
   CHECK(apps::rolloutLine(standing) == "claims                   standing v1");
   json order = {{"name", "claims"},      {"state", "running"},     {"target", "v2"},         {"elapsed_ms", 4200},
--- a/test/controller/table_state_test.cc
+++ b/test/controller/table_state_test.cc
@@ -49,7 +49,7 @@
   CHECK(namedKeys(restored) <= controller::kMaxHistoryKeys);
 }
 
-TEST_CASE("outcomes of large refused edits are bounded by the rows that they tell of") {
+TEST_CASE("outcomes of large rejected edits are bounded by the number of rows in them") {
   constexpr int64_t kNone = 0;
   controller::TableState state;
   CHECK(applyTo(&state, 1, kNone).code == 0);
@@ -60,7 +60,7 @@
   for (const auto& outcome : state.takeSnapshot().outcomes) rows += outcome.currentRows.size();
   CHECK(rows <= controller::kMaxOutcomeDetails);
   CHECK(state.findOutcome("edit-" + std::to_string(kEdits)) != nullptr);
-  // An edit from before the window is refused, as its outcome may be among those that were dropped.
+  // An edit based on a revision before the window is rejected, as its outcome may have been dropped.
   CHECK(state.windowFloor() > 1);
   CHECK(state.findOutcome("edit-1") == nullptr);
 }
