--- a/src/controller/rollouts.cc
+++ b/src/controller/rollouts.cc
@@ -17,7 +17,7 @@
 /// Time without a report after which an endpoint counts as gone: several reports are missing by then, and the lease of
 /// an endpoint whose node was lost has expired.
 constexpr base::Duration kEndpointReportTimeout = base::milliseconds(2500);
-/// Time after the end of an order within which an identical request is treated as a retry after a lost response.
+/// Time after a rollback within which an identical order or an abort is treated as a retry after a lost response.
 constexpr base::Duration kResendWindow = base::seconds(10);
 /// Number of retries of an order whose row was changed concurrently.
 constexpr int kMaxConflicts = 3;
--- a/src/controller/table_state.h
+++ b/src/controller/table_state.h
@@ -76,7 +76,7 @@
   Checks checks_;
   table::Table table_;
   std::deque<wire::EditOutcome> outcomes_;                     // oldest first, at most kOutcomeWindow
-  std::unordered_map<std::string, int64_t> outcomeByRequest_;  // position in outcomes_ plus dropped_
+  std::unordered_map<std::string, int64_t> outcomeByRequest_;  // position in outcomes_ plus droppedOutcomes_
   size_t outcomeDetails_ = 0;                                  // of outcomes_
   int64_t droppedOutcomes_ = 0;                                // number of outcomes dropped from the front
   int64_t windowFloor_ = 0;
