--- a/src/controller/evacuations.cc
+++ b/src/controller/evacuations.cc
@@ -24,9 +24,9 @@
 
 Evacuations::Evacuations(Controller& controller) : controller_(controller) {}
 
-void Evacuations::evacuate(const std::string& zone, Callback done) { order(zone, true, done); }
+void Evacuations::evacuate(const std::string& zone, Callback done) { setEvacuated(zone, true, done); }
 
-void Evacuations::restore(const std::string& zone, Callback done) { order(zone, false, done); }
+void Evacuations::restore(const std::string& zone, Callback done) { setEvacuated(zone, false, done); }
 
 std::vector<std::string> Evacuations::zones() const {
   std::vector<std::string> result;
@@ -40,7 +40,7 @@
   return result;
 }
 
-void Evacuations::order(const std::string& zone, bool evacuated, const Callback& done) {
+void Evacuations::setEvacuated(const std::string& zone, bool evacuated, const Callback& done) {
   if (!controller_.leads()) {
     return done(base::ErrorCode::kNotLeader);
   }
@@ -52,8 +52,8 @@
     if (!confirmed) {
       return done(base::ErrorCode::kOutcomeUnknown);
     }
-    const bool stands = nullptr != controller_.state().table().find(keyOf(zone));
-    if (stands == evacuated) {
+    const bool currentlyEvacuated = nullptr != controller_.state().table().find(keyOf(zone));
+    if (currentlyEvacuated == evacuated) {
       return done(base::ErrorCode::kNone);
     }
     submit(zone, evacuated, done);
--- a/src/controller/evacuations.h
+++ b/src/controller/evacuations.h
@@ -33,7 +33,7 @@
   std::vector<std::string> zones() const;
 
  private:
-  void order(const std::string& zone, bool evacuated, const Callback& done);
+  void setEvacuated(const std::string& zone, bool evacuated, const Callback& done);
   void submit(const std::string& zone, bool evacuated, const Callback& done);
 
   Controller& controller_;
--- a/test/consensus/process_stall_test.cc
+++ b/test/consensus/process_stall_test.cc
@@ -5,7 +5,7 @@
 namespace driftlug::consensus {
 namespace {
 
-constexpr base::Duration kStall = base::milliseconds(900);  // longer than the quorum check timeout of a leader
+constexpr base::Duration kStallDuration = base::milliseconds(900);  // longer than the quorum check timeout of a leader
 
 /// @return whether a message of type T was sent to any member.
 template <typename T>
@@ -83,7 +83,7 @@
 
 TEST_CASE_METHOD(StalledLeader, "a leader that stood still does not step down while its followers answer") {
   process.setFrozen(true);
-  runFor(kStall, true);
+  runFor(kStallDuration, true);
   process.setFrozen(false);
   CHECK(raft->role() == RaftRole::kLeader);
   runFor(base::seconds(2), true);
@@ -92,7 +92,7 @@
 
 TEST_CASE_METHOD(StalledLeader, "a leader that stood still steps down when its followers are gone") {
   process.setFrozen(true);
-  runFor(kStall, false);
+  runFor(kStallDuration, false);
   process.setFrozen(false);
   runFor(base::seconds(2), false);
   CHECK(raft->role() == RaftRole::kFollower);
@@ -102,7 +102,7 @@
                  "a follower that stood still asks for no votes while its leader's heartbeats are unread") {
   runFor(base::milliseconds(500), true);
   process.setFrozen(true);
-  runFor(kStall, true);
+  runFor(kStallDuration, true);
   process.setFrozen(false);
   runFor(base::seconds(1), true);
   CHECK_FALSE(sentAny<wire::VoteRequest>(transport));
@@ -111,7 +111,7 @@
 TEST_CASE_METHOD(StalledFollower, "a follower that stood still asks for votes when its leader is gone") {
   runFor(base::milliseconds(500), true);
   process.setFrozen(true);
-  runFor(kStall, false);
+  runFor(kStallDuration, false);
   process.setFrozen(false);
   runFor(base::seconds(2), false);
   CHECK(sentAny<wire::VoteRequest>(transport));
--- a/test/controller/convergence_test.cc
+++ b/test/controller/convergence_test.cc
@@ -93,9 +93,9 @@
 }
 
 TEST_CASE_METHOD(Fixture, "a relay that has just started does not cover the nodes of its predecessor process") {
-  auto young = report(5, {}, true);
-  young.runningMs = 100;
-  tracker.onReport("relay-1", young);
+  auto justStarted = report(5, {}, true);
+  justStarted.runningMs = 100;
+  tracker.onReport("relay-1", justStarted);
   tracker.onReport("relay-2", report(5, {}, true));
   CHECK(!tracker.inForceEverywhere(5));
   time.advance(kLease);
@@ -104,11 +104,11 @@
 
 TEST_CASE_METHOD(Fixture, "a relay that is new to the mesh has no predecessor") {
   tracker.setRegistered({"relay-1", "relay-2", "relay-3"});
-  auto young = report(5, {}, true);
-  young.runningMs = 100;
+  auto justStarted = report(5, {}, true);
+  justStarted.runningMs = 100;
   tracker.onReport("relay-1", report(5, {}, true));
   tracker.onReport("relay-2", report(5, {}, true));
-  tracker.onReport("relay-3", young);
+  tracker.onReport("relay-3", justStarted);
   CHECK(tracker.inForceEverywhere(5));
 }
 
--- a/test/controller/table_state_test.cc
+++ b/test/controller/table_state_test.cc
@@ -30,7 +30,7 @@
   return state->apply(index, editOfServices(index, expectedRevision), &rows);
 }
 
-size_t namedKeys(const controller::TableState& state) {
+size_t historyKeyCount(const controller::TableState& state) {
   size_t keys = 0;
   for (const auto& record : state.history()) keys += record.keys.size();
   return keys;
@@ -41,12 +41,12 @@
 TEST_CASE("the history of large edits is bounded by the keys that it names") {
   controller::TableState state;
   for (int64_t index = 1; index <= kEdits; ++index) CHECK(applyTo(&state, index, kAnyRevision).code == 0);
-  CHECK(namedKeys(state) <= controller::kMaxHistoryKeys);
+  CHECK(historyKeyCount(state) <= controller::kMaxHistoryKeys);
   CHECK(state.history().back().revision == kEdits);
   controller::TableState restored;
   restored.restore(state.takeSnapshot());
   CHECK(applyTo(&restored, kEdits + 1, kAnyRevision).code == 0);
-  CHECK(namedKeys(restored) <= controller::kMaxHistoryKeys);
+  CHECK(historyKeyCount(restored) <= controller::kMaxHistoryKeys);
 }
 
 TEST_CASE("outcomes of large rejected edits are bounded by the number of rows in them") {
