--- a/src/consensus/raft.cc
+++ b/src/consensus/raft.cc
@@ -39,7 +39,7 @@
   entries_.assign(state.entries.begin(), state.entries.end());
   durableIndex_ = lastIndex();
   recomputeMembers();
-  startElectionTimerEarly();
+  startInitialElectionTimer();
 }
 
 void Raft::bootstrap(const wire::Member& self) {
@@ -95,8 +95,8 @@
 bool Raft::recentlyActive(const std::string& memberId) const {
   if (memberId == id_) return true;
   const auto found = progress_.find(memberId);
-  if (found == progress_.end() || found->second.lastAnswer == base::TimePoint{}) return false;
-  return scheduler_.inputReadUntil() - found->second.lastAnswer < options_.electionTimeout;
+  if (found == progress_.end() || found->second.lastResponseAt == base::TimePoint{}) return false;
+  return scheduler_.inputReadUntil() - found->second.lastResponseAt < options_.electionTimeout;
 }
 
 absl::StatusOr<int64_t> Raft::propose(wire::LogEntry entry) {
@@ -121,8 +121,9 @@
 
 absl::Status Raft::proposeMembers(std::vector<wire::Member> members, bool forming) {
   if (role_ != RaftRole::kLeader) return makeError(ErrorCode::kNotLeader, "this member does not lead");
-  // Before its own term has an entry committed, a leader may not know of a change that an earlier one committed.
-  if (!appliedOwnTerm()) return makeError(ErrorCode::kNotAccepted, "this leader has just begun");
+  // Until an entry of its own term is applied, a leader may not know of a membership change committed by an earlier
+  // leader.
+  if (!appliedOwnTerm()) return makeError(ErrorCode::kNotAccepted, "this leader has just been elected");
   if (membershipChangePending()) return makeError(ErrorCode::kNotAccepted, "another membership change is in progress");
   std::set<std::string> before;
   std::set<std::string> after;
@@ -145,13 +146,13 @@
 
 void Raft::confirmLeadership(ConfirmCallback done) {
   if (role_ != RaftRole::kLeader) return done(false);
-  // The answer must belong to a round that begins after this call.
-  confirms_.push_back({round_ + 1, std::max(commitIndex_, termStartIndex_), std::move(done)});
-  if (confirmRoundSent_) return;
-  confirmRoundSent_ = true;
+  // Only a round that starts after this call confirms leadership.
+  pendingConfirms_.push_back({round_ + 1, std::max(commitIndex_, termStartIndex_), std::move(done)});
+  if (confirmRoundScheduled_) return;
+  confirmRoundScheduled_ = true;
   scheduler_.schedule(base::Duration(0), [this, alive = alive_] {
     if (!*alive) return;
-    confirmRoundSent_ = false;
+    confirmRoundScheduled_ = false;
     if (role_ == RaftRole::kLeader) onHeartbeatTimer();
   });
 }
@@ -163,7 +164,7 @@
     });
     return;
   }
-  // What depends on a term or a vote that the disk did not take is not said: a restart would forget it.
+  // Nothing that depends on an unwritten term or vote may be sent: a restart would lose the term and the vote.
   if (!hardStateSaved_ && !saveHardState()) return;
   store_.sync([this, alive = alive_, then = std::move(then)](const absl::Status& status) {
     if (!*alive) return;
@@ -205,23 +206,23 @@
   recomputeMembers();
 }
 
-/// In turns, so that a member that has much to apply, as after a start, goes on answering heartbeats.
+/// Applies in batches, so that a member with many entries to apply, e.g. after a start, still responds to heartbeats.
 void Raft::applyCommitted() {
   size_t rows = 0;
-  while (appliedIndex_ < commitIndex_ && rows < options_.rowsPerTurn) {
+  while (appliedIndex_ < commitIndex_ && rows < options_.maxRowsPerApplyTurn) {
     ++appliedIndex_;
     const auto& entry = entryAt(appliedIndex_);
     rows += 1 + entry.edit.mutations.size();
     appliedWeight_ += weightOf(entry);
     listener_.apply(entry);
   }
-  if (appliedIndex_ < commitIndex_) applyLater();
+  if (appliedIndex_ < commitIndex_) scheduleApply();
   confirmRounds();
   listener_.onProgress();
   compact();
 }
 
-void Raft::applyLater() {
+void Raft::scheduleApply() {
   if (applyScheduled_) return;
   applyScheduled_ = true;
   scheduler_.schedule(base::Duration(0), [this, alive = alive_] {
@@ -232,7 +233,7 @@
 }
 
 size_t Raft::weightOf(const wire::LogEntry& entry) const {
-  return 1 + entry.edit.mutations.size() / options_.rowsPerEntry;
+  return 1 + entry.edit.mutations.size() / options_.rowsPerWeightUnit;
 }
 
 void Raft::compact() {
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -32,13 +32,13 @@
       rollouts_(*this, scheduler, options_.exposure),
       evacuations_(*this),
       quotas_(scheduler, [this](const std::string& tenant) { return limitOf(tenant); }),
-      tellTimer_(scheduler, [this] { tellMembersToAll(); }),
+      memberListTimer_(scheduler, [this] { broadcastMemberList(); }),
       housekeeping_(scheduler, [this] { onHousekeeping(); }),
       heartbeat_(scheduler, [this] {
         heartbeat_.start(options_.relayHeartbeat);
         if (announcedTerm_) relays_.heartbeat(state_.table().revision(), raft_->freshness());
       }) {
-  relays_.useFullPush(options_.fullPush);
+  relays_.setFullPush(options_.fullPush);
 }
 
 Controller::~Controller() { *alive_ = false; }
@@ -67,7 +67,7 @@
   raft_ = std::make_unique<consensus::Raft>(identity_, options_.raft, scheduler_, base::RandomSource(random_.bits()),
                                             store_, *this, *this);
   raft_->start(state);
-  announce();
+  broadcastHello();
   updateLinks();
   housekeeping_.start(kHousekeepingInterval);
   heartbeat_.start(options_.relayHeartbeat);
@@ -88,10 +88,10 @@
   return hello;
 }
 
-void Controller::announce() {
+void Controller::broadcastHello() {
   const auto hello = ownHello();
   network_.setHello(hello);
-  // Others may add only a blank controller; those that are connected must not go by what was once true.
+  // Only a blank controller may be added as a member, so connected peers need the current `blank` flag.
   for (const auto& [connection, peer] : peers_) {
     if (peer.role == wire::Role::CONTROLLER) network_.send(connection, wire::encodeFrame(hello));
   }
@@ -116,7 +116,7 @@
     answer.code = static_cast<ErrorCode>(known->code);
     answer.outcome = *known;
     if (known->fingerprint != fingerprintOf(edit)) answer.code = ErrorCode::kRequestIdReused;
-    // The remembered outcome may be newer than what a quorum agrees on if this leader was cut off.
+    // If this leader was partitioned away, its stored outcome may differ from what a quorum has committed.
     return confirmLeadership([answer, done](bool confirmed) {
       EditAnswer final = answer;
       if (!confirmed) final.code = ErrorCode::kOutcomeUnknown;
@@ -188,9 +188,9 @@
 void Controller::onOpen(base::ConnectionId connection, const wire::Hello& peer) {
   links_.onOpen(connection, peer);
   peers_[connection] = peer;
-  // The other side may have taken this controller's Hello before it last changed.
+  // The peer may have received an older version of this controller's Hello.
   if (peer.role == wire::Role::CONTROLLER && raft_) network_.send(connection, wire::encodeFrame(ownHello()));
-  if (raft_) tellMembers(connection, peer);
+  if (raft_) sendMemberList(connection, peer);
   if (peer.role != wire::Role::RELAY) return;
   relays_.open(connection, peer.id);
   if (raft_ && announcedTerm_) relays_.heartbeatTo(connection, state_.table().revision(), raft_->freshness());
@@ -218,25 +218,25 @@
   if (const auto* members = std::get_if<wire::MemberList>(&message)) return onMemberList(*members);
   const bool wasBlank = raft_->blank();
   raft_->onMessage(peer->second.id, std::move(message));
-  if (wasBlank && !raft_->blank()) announce();
+  if (wasBlank && !raft_->blank()) broadcastHello();
 }
 
 void Controller::onRelayMessage(base::ConnectionId connection, const wire::Message& message) {
   const auto& relayId = peers_[connection].id;
-  if (std::holds_alternative<wire::KeepAlive>(message)) return relays_.heard(connection, scheduler_.now());
+  if (std::holds_alternative<wire::KeepAlive>(message)) return relays_.recordActivity(connection, scheduler_.now());
   if (raft_->role() != RaftRole::kLeader) {
     wire::NotLeader notLeader;
     notLeader.leaderId = raft_->leaderId();
     network_.send(connection, wire::encodeFrame(notLeader));
     return;
   }
-  relays_.heard(connection, scheduler_.now());
+  relays_.recordActivity(connection, scheduler_.now());
   if (const auto* subscribe = std::get_if<wire::RelaySubscribe>(&message)) {
     relays_.subscribe(connection, relayId, *subscribe, state_.table());
     registerRelay(peers_[connection]);
     log_.info("relay {} subscribed from revision {}", relayId, subscribe->revision);
   } else if (const auto* report = std::get_if<wire::ConvergenceReport>(&message)) {
-    if (relays_.relayOn(connection).empty()) return;
+    if (relays_.relayIdOf(connection).empty()) return;
     convergence_.onReport(relayId, *report);
     convergenceTimes_.onReport();
     if (reportHook_) reportHook_();
@@ -247,7 +247,7 @@
   } else if (const auto* question = std::get_if<wire::QuotaAsk>(&message)) {
     onQuotaAsk(connection, *question);
   } else if (const auto* seen = std::get_if<wire::SeenVersions>(&message)) {
-    if (leads()) rollouts_.onSeen(*seen);
+    if (leads()) rollouts_.onSeenVersions(*seen);
   } else if (const auto* confirm = std::get_if<wire::ConfirmRequest>(&message)) {
     confirmLeadership([this, alive = std::weak_ptr<bool>(alive_), connection, token = confirm->token](bool confirmed) {
       if (alive.expired() || !confirmed) return;
@@ -259,8 +259,8 @@
   }
 }
 
-/// Permits are given only by a leader that a quorum has heard within the time in which no other can be elected, so that
-/// two never give them at once.
+/// Only a leader that holds its lease grants quota: while the lease is valid no other leader can be elected, so two
+/// controllers never grant at the same time.
 void Controller::onQuotaAsk(base::ConnectionId connection, const wire::QuotaAsk& question) {
   if (!leads() || !raft_->holdsLease()) return;
   network_.send(connection, wire::encodeFrame(quotas_.decide(question)));
@@ -279,8 +279,8 @@
   table::ChangedRows rows;
   auto outcome = state_.apply(entry.index, entry.edit, &rows);
   if (outcome.code == static_cast<int>(ErrorCode::kNone)) {
-    noteRollouts(entry.edit);
-    noteCommit(entry);
+    notifyRollouts(entry.edit);
+    recordCommit(entry);
   }
   if (tableObserver_ != nullptr && !rows.empty()) tableObserver_->onTableChange(rows);
   if (appliedHook_) appliedHook_(entry);
@@ -290,17 +290,17 @@
   answerPending(entry.index, outcome);
 }
 
-/// Only on the controller that took the edit: those that followed it are not measured.
-void Controller::noteCommit(const wire::LogEntry& entry) {
+/// Only the controller that proposed the edit measures its commit and convergence time.
+void Controller::recordCommit(const wire::LogEntry& entry) {
   const auto edit = pending_.find(entry.index);
   if (edit == pending_.end()) return;
   convergenceTimes_.onCommit(entry.index);
-  log_.info("revision {} is committed, {} rows changed, {} rows, {} ms behind its proposal", entry.index,
+  log_.info("revision {} committed: {} rows changed, {} rows in the table, {} ms after its proposal", entry.index,
             entry.edit.mutations.size(), state_.table().rows().size(),
             base::millisecondsOf(scheduler_.now() - edit->second.proposedAt));
 }
 
-void Controller::noteRollouts(const wire::EditCommand& edit) {
+void Controller::notifyRollouts(const wire::EditCommand& edit) {
   for (const auto& mutation : edit.mutations) {
     if (mutation.row.__isset.rolloutRow) rollouts_.onApplied(mutation.row.key.name);
   }
@@ -317,7 +317,7 @@
   if (entry.kind == wire::EntryKind::LEDGER) applyLedger(entry);
   if (entry.kind == wire::EntryKind::RELAY) {
     state_.applyRelay(entry.relay);
-    useRegisteredRelays();
+    updateRegisteredRelays();
   }
   if (entry.kind != wire::EntryKind::EDIT && appliedHook_) appliedHook_(entry);
   if (entry.kind == wire::EntryKind::MEMBERS) onMembers(entry);
@@ -342,7 +342,7 @@
     state_.restore(*snapshot);
     ledger_.restore(snapshot->ledger);
     if (tableObserver_ != nullptr) tableObserver_->onTableReplaced();
-    useRegisteredRelays();
+    updateRegisteredRelays();
     rollouts_.onRestored();
   } else {
     log_.error("snapshot can't be decoded: {}", base::errorText(snapshot.status()));
@@ -357,14 +357,14 @@
   rollouts_.onLeadership();
   quotas_.begin();
   if (role == RaftRole::kLeader) return;
-  // An addition that this leader did not finish must not come back when it leads again.
-  joining_.clear();
+  // Pending additions must not be resumed when this controller becomes leader again.
+  pendingAdditions_.clear();
   failPending();
-  relays_.endAll(raft_->leaderId());
+  relays_.endSubscriptions(raft_->leaderId());
 }
 
 void Controller::onProgress() {
-  // Relays follow a leader only once it has a quorum behind it and has applied what earlier leaders committed.
+  // Relays are notified of a new leader only after a quorum confirmed it and it applied all entries of earlier terms.
   if (announcedTerm_ || raft_->role() != RaftRole::kLeader || raft_->freshness().round == 0) return;
   if (!raft_->appliedOwnTerm()) return;
   announcedTerm_ = true;
@@ -378,15 +378,15 @@
   if (raft_->role() != RaftRole::kLeader) return;
   if (raft_->forming() && !raft_->membershipChangePending()) completeFormation();
   if (options_.membership.automatic && !raft_->forming()) {
-    admitStrangers();
+    admitNewControllers();
     manageVoters();
   } else {
     promoteLearners();
   }
-  removeSilentRelays();
-  convergence_.forgetGone();
+  removeExpiredRelays();
+  convergence_.pruneGoneNodes();
   if (leads()) rollouts_.tick();
-  for (const auto connection : relays_.silentSince(scheduler_.inputReadUntil() - options_.relayTimeout)) {
+  for (const auto connection : relays_.connectionsInactiveSince(scheduler_.inputReadUntil() - options_.relayTimeout)) {
     network_.close(connection);
     onClose(connection);
   }
--- a/src/controller/evacuations.cc
+++ b/src/controller/evacuations.cc
@@ -24,9 +24,9 @@
 
 Evacuations::Evacuations(Controller& controller) : controller_(controller) {}
 
-void Evacuations::evacuate(const std::string& zone, Callback done) { order(zone, true, done); }
+void Evacuations::evacuate(const std::string& zone, Callback done) { setEvacuated(zone, true, done); }
 
-void Evacuations::restore(const std::string& zone, Callback done) { order(zone, false, done); }
+void Evacuations::restore(const std::string& zone, Callback done) { setEvacuated(zone, false, done); }
 
 std::vector<std::string> Evacuations::zones() const {
   std::vector<std::string> result;
@@ -40,11 +40,11 @@
   return result;
 }
 
-void Evacuations::order(const std::string& zone, bool evacuated, const Callback& done) {
+void Evacuations::setEvacuated(const std::string& zone, bool evacuated, const Callback& done) {
   if (!controller_.leads()) {
     return done(base::ErrorCode::kNotLeader);
   }
-  // What stands already may be the word of a leader that was cut off; only a quorum makes it certain.
+  // The local table of a leader that was partitioned away may be outdated; a quorum must confirm leadership first.
   controller_.confirmLeadership([this, alive = std::weak_ptr<bool>(alive_), zone, evacuated, done](bool confirmed) {
     if (alive.expired()) {
       return;
@@ -52,8 +52,8 @@
     if (!confirmed) {
       return done(base::ErrorCode::kOutcomeUnknown);
     }
-    const bool stands = nullptr != controller_.state().table().find(keyOf(zone));
-    if (stands == evacuated) {
+    const bool currentlyEvacuated = nullptr != controller_.state().table().find(keyOf(zone));
+    if (currentlyEvacuated == evacuated) {
       return done(base::ErrorCode::kNone);
     }
     submit(zone, evacuated, done);
@@ -63,7 +63,7 @@
 void Evacuations::submit(const std::string& zone, bool evacuated, const Callback& done) {
   const auto revision = controller_.state().table().revision();
   wire::EditCommand edit;
-  // Orders follow each other for good reason, so each has a name of its own: that of the table that it changes.
+  // Includes the table revision, so that repeated evacuations and restores of a zone are distinct requests.
   edit.requestId = absl::StrCat(evacuated ? "evacuate-" : "restore-", zone, "-", revision);
   edit.author = kAuthor;
   edit.baseRevision = revision;
--- a/src/controller/http_api.cc
+++ b/src/controller/http_api.cc
@@ -56,12 +56,14 @@
   return absl::SimpleAtoi(request.parameter(name), &value) ? value : fallback;
 }
 
-absl::Status badBody(const std::string& sentence) { return base::makeError(ErrorCode::kBadRequestBody, sentence); }
+absl::Status badBody(const std::string& description) {
+  return base::makeError(ErrorCode::kBadRequestBody, description);
+}
 
 absl::StatusOr<wire::Mutation> parseMutation(const json& item) {
   if (!item.is_object()) return badBody("each edit must be an object");
   const auto kind = table::kindFromName(item.value("kind", ""));
-  if (kind == 0) return badBody("edit without a known kind");
+  if (kind == 0) return badBody("the edit has no known kind");
   const auto key = table::makeKey(kind, item.value("name", ""));
   wire::Mutation mutation;
   mutation.expectedRevision = item.value("expected_revision", int64_t{-1});
@@ -71,7 +73,7 @@
     mutation.row.deleted = true;
     return mutation;
   }
-  if (!item.contains("row")) return badBody(table::keyText(key) + ": neither row nor delete");
+  if (!item.contains("row")) return badBody(table::keyText(key) + ": the edit has neither row nor delete");
   auto row = table::rowFromJson(key, item["row"]);
   if (!row.ok()) return row.status();
   mutation.row = std::move(*row);
@@ -80,7 +82,7 @@
 
 absl::StatusOr<wire::EditCommand> parseEdit(const std::string& body, int64_t currentRevision) {
   const auto document = json::parse(body, nullptr, false);
-  if (!document.is_object()) return badBody("the body is no JSON object");
+  if (!document.is_object()) return badBody("the body is not a JSON object");
   try {
     wire::EditCommand edit;
     edit.requestId = document.value("request_id", "");
@@ -90,8 +92,9 @@
       return badBody("request_id must have 1 to 200 bytes");
     }
     const auto edits = document.find("edits");
-    if (edits == document.end() || !edits->is_array() || edits->empty()) return badBody("edits must be a list");
-    if (edits->size() > kMaxMutations) return badBody("too many edits at once");
+    if (edits == document.end() || !edits->is_array() || edits->empty())
+      return badBody("edits must be a non-empty list");
+    if (edits->size() > kMaxMutations) return badBody("too many edits in one request");
     for (const auto& item : *edits) {
       auto mutation = parseMutation(item);
       if (!mutation.ok()) return mutation.status();
@@ -117,13 +120,13 @@
   return out;
 }
 
-/// What an operator should do about an answer that is not a decision.
+/// @return what an operator should do about a response without an outcome.
 const char* adviceFor(ErrorCode code) {
   switch (code) {
     case ErrorCode::kOutcomeUnknown:
       return "send the same request_id and body again to learn the outcome";
     case ErrorCode::kNotLeader:
-      return "no controller leads now; nothing was accepted, try again";
+      return "there is no leader now; nothing was accepted, try again";
     case ErrorCode::kStorageFull:
       return "the controller's disk is full; nothing was accepted";
     default:
@@ -139,7 +142,7 @@
 
 absl::StatusOr<ControllerAddress> parseController(const std::string& body) {
   const auto document = json::parse(body, nullptr, false);
-  if (!document.is_object()) return badBody("the body is no JSON object");
+  if (!document.is_object()) return badBody("the body is not a JSON object");
   try {
     ControllerAddress address;
     address.name = document.at("name").get<std::string>();
@@ -148,14 +151,14 @@
     address.httpPort = document.at("http_port").get<int>();
     return address;
   } catch (const json::exception& error) {
-    return badBody(std::string("name, address, frame_port and http_port are needed: ") + error.what());
+    return badBody(std::string("name, address, frame_port and http_port are required: ") + error.what());
   }
 }
 
 }  // namespace
 
-HttpResponse errorResponse(ErrorCode code, const std::string& sentence) {
-  const json body = {{"error", base::errorName(code)}, {"message", sentence}};
+HttpResponse errorResponse(ErrorCode code, const std::string& description) {
+  const json body = {{"error", base::errorName(code)}, {"message", description}};
   return transport::jsonResponse(statusOf(code), base::jsonText(body) + "\n");
 }
 
@@ -163,10 +166,10 @@
     : controller_(controller),
       scheduler_(scheduler),
       waitTimer_(scheduler, [this] { onWaitTimer(); }),
-      rollouts_(controller, [this](const HttpRequest& request) { return notLeader(request); }) {}
+      rollouts_(controller, [this](const HttpRequest& request) { return notLeaderResponse(request); }) {}
 
-HttpResponse HttpApi::notLeader(const HttpRequest& request) const {
-  auto response = errorResponse(ErrorCode::kNotLeader, "another controller leads, or none does");
+HttpResponse HttpApi::notLeaderResponse(const HttpRequest& request) const {
+  auto response = errorResponse(ErrorCode::kNotLeader, "this controller is not the leader");
   const auto leader = controller_.leaderName();
   for (const auto& member : controller_.raft().members()) {
     if (member.name != leader || member.name == controller_.name()) continue;
@@ -206,21 +209,21 @@
 
 void HttpApi::confirmedRead(const HttpRequest& request, const HttpRespond& respond, Read read) {
   if (!controller_.ready() || controller_.raft().role() != consensus::RaftRole::kLeader) {
-    return respond(notLeader(request));
+    return respond(notLeaderResponse(request));
   }
   controller_.confirmLeadership([this, request, respond, read = std::move(read)](bool confirmed) {
-    respond(confirmed ? read() : notLeader(request));
+    respond(confirmed ? read() : notLeaderResponse(request));
   });
 }
 
 void HttpApi::postEdit(const HttpRequest& request, const HttpRespond& respond) {
   if (!controller_.ready() || controller_.raft().role() != consensus::RaftRole::kLeader) {
-    return respond(notLeader(request));
+    return respond(notLeaderResponse(request));
   }
   auto edit = parseEdit(request.body, controller_.state().table().revision());
   if (!edit.ok()) return respond(errorResponse(ErrorCode::kBadRequestBody, base::errorText(edit.status())));
   controller_.submitEdit(std::move(*edit), [this, request, respond](const EditAnswer& answer) {
-    respond(answer.code == ErrorCode::kNotLeader ? notLeader(request) : editResponse(answer));
+    respond(answer.code == ErrorCode::kNotLeader ? notLeaderResponse(request) : editResponse(answer));
   });
 }
 
@@ -314,9 +317,9 @@
   int64_t revision = 0;
   const auto text = request.path.substr(std::string(kRevisionsPath).size());
   if (!absl::SimpleAtoi(text.substr(0, text.find('/')), &revision)) {
-    return respond(errorResponse(ErrorCode::kBadRequestBody, "the revision is no number"));
+    return respond(errorResponse(ErrorCode::kBadRequestBody, "the revision is not a number"));
   }
-  if (controller_.raft().role() != consensus::RaftRole::kLeader) return respond(notLeader(request));
+  if (controller_.raft().role() != consensus::RaftRole::kLeader) return respond(notLeaderResponse(request));
   const int64_t waitMs = std::clamp<int64_t>(numberParameter(request, "wait_ms", 0), 0, kMaxWaitMs);
   if (waitMs == 0 || controller_.convergence().inForceEverywhere(revision)) return respond(convergence(revision));
   waiters_.push_back({revision, scheduler_.now() + base::milliseconds(waitMs), respond});
@@ -326,7 +329,7 @@
 void HttpApi::onConvergenceChanged() {
   const auto now = scheduler_.now();
   for (auto waiter = waiters_.begin(); waiter != waiters_.end();) {
-    if (now < waiter->until && !controller_.convergence().inForceEverywhere(waiter->revision)) {
+    if (now < waiter->deadline && !controller_.convergence().inForceEverywhere(waiter->revision)) {
       ++waiter;
       continue;
     }
@@ -344,7 +347,7 @@
 
 void HttpApi::controllers(const HttpRequest& request, const HttpRespond& respond) {
   if (request.method == "GET") return respond(status());
-  if (controller_.raft().role() != consensus::RaftRole::kLeader) return respond(notLeader(request));
+  if (controller_.raft().role() != consensus::RaftRole::kLeader) return respond(notLeaderResponse(request));
   absl::Status result;
   if (request.method == "POST") {
     const auto address = parseController(request.body);
--- a/src/controller/http_api.h
+++ b/src/controller/http_api.h
@@ -1,4 +1,4 @@
-/// The operators' interface of a controller: HTTP and JSON. Documented in docs/operators/api.md.
+/// The operators' HTTP and JSON interface of a controller. Documented in docs/operators/api.md.
 #pragma once
 
 #include <functional>
@@ -7,31 +7,32 @@
 
 #include "base/time.h"
 #include "controller/controller.h"
-#include "controller/rollout_pages.h"
+#include "controller/rollout_http_api.h"
 #include "transport/http.h"
 
 namespace driftlug::controller {
 
-/// Sends the answer to one request; called once.
+/// Sends the response to one request; called once.
 using HttpRespond = std::function<void(transport::HttpResponse)>;
 
-/// Turns HTTP requests into calls of a Controller. Only the leader answers; others redirect to it.
+/// Translates HTTP requests into calls of a Controller. Only the leader serves requests, apart from the status; other
+/// controllers redirect to it.
 ///
 /// Reads are answered only after a quorum confirmed that this controller still leads.
 class HttpApi {
  public:
   HttpApi(Controller& controller, base::Scheduler& scheduler);
 
-  /// Answers a request, now or later.
+  /// Handles a request; responds immediately or later.
   void handle(const transport::HttpRequest& request, HttpRespond respond);
 
-  /// Convergence may have moved; waiting requests are looked at again.
+  /// Responds to the requests that wait for a revision that has now converged or that have timed out.
   void onConvergenceChanged();
 
  private:
   struct Waiter {
     int64_t revision;
-    base::TimePoint until;
+    base::TimePoint deadline;
     HttpRespond respond;
   };
 
@@ -47,17 +48,17 @@
   transport::HttpResponse history(const transport::HttpRequest& request) const;
   transport::HttpResponse status() const;
   transport::HttpResponse convergence(int64_t revision) const;
-  transport::HttpResponse notLeader(const transport::HttpRequest& request) const;
+  transport::HttpResponse notLeaderResponse(const transport::HttpRequest& request) const;
   void onWaitTimer();
 
   Controller& controller_;
   base::Scheduler& scheduler_;
   std::list<Waiter> waiters_;
   base::Timer waitTimer_;
-  RolloutPages rollouts_;
+  RolloutHttpApi rollouts_;
 };
 
-/// @return a JSON error body with the HTTP status that fits the code.
-transport::HttpResponse errorResponse(base::ErrorCode code, const std::string& sentence);
+/// @return a JSON error response with the HTTP status that matches the code.
+transport::HttpResponse errorResponse(base::ErrorCode code, const std::string& description);
 
 }  // namespace driftlug::controller
--- a/test/consensus/own_stall_test.cc
+++ b/test/consensus/process_stall_test.cc
@@ -5,11 +5,11 @@
 namespace driftlug::consensus {
 namespace {
 
-constexpr base::Duration kStall = base::milliseconds(900);  // longer than a leader goes without a quorum
+constexpr base::Duration kStallDuration = base::milliseconds(900);  // longer than the quorum check timeout of a leader
 
-/// @return whether a frame of a kind was sent to anybody.
+/// @return whether a message of type T was sent to any member.
 template <typename T>
-bool sentAny(const FrameKeeper& transport) {
+bool sentAny(const RecordingTransport& transport) {
   for (const auto& [member, frames] : transport.sent) {
     for (const auto& frame : frames) {
       if (wire::kindOf(*frame) == wire::kindOf<T>()) return true;
@@ -18,22 +18,22 @@
   return false;
 }
 
-/// A leader with two voters, whose process stands still for a while.
+/// A leader with two more voters, whose process is frozen for a while.
 struct StalledLeader : LeaderFixture {
   StalledLeader() {
     for (const auto* voter : {"a", "b"}) {
-      answer();
+      respondAsFollowers();
       auto members = raft->members();
       for (auto& member : members) member.voting = member.voting || member.id == voter;
       REQUIRE(raft->proposeMembers(members, false).ok());
       settle();
-      answer();
+      respondAsFollowers();
     }
     runFor(base::milliseconds(100), true);
     REQUIRE(raft->role() == RaftRole::kLeader);
   }
 
-  void answer() {
+  void respondAsFollowers() {
     wire::AppendResponse response;
     response.term = raft->term();
     response.success = true;
@@ -43,14 +43,14 @@
     }
   }
 
-  void runFor(base::Duration duration, bool answered) {
+  void runFor(base::Duration duration, bool followersAlive) {
     MemberFixture::runFor(duration, [&] {
-      if (answered) answer();
+      if (followersAlive) respondAsFollowers();
     });
   }
 };
 
-/// A voter that hears its leader's heartbeats.
+/// A voter that receives heartbeats from its leader.
 struct StalledFollower : MemberFixture {
   StalledFollower() : MemberFixture("follower") {
     wire::LogEntry members;
@@ -72,9 +72,9 @@
     process.run(process.incarnation(), [this, request] { raft->onMessage("leader", request); });
   }
 
-  void runFor(base::Duration duration, bool heard) {
+  void runFor(base::Duration duration, bool leaderAlive) {
     MemberFixture::runFor(duration, [&] {
-      if (heard) heartbeat({}, 1);
+      if (leaderAlive) heartbeat({}, 1);
     });
   }
 };
@@ -83,7 +83,7 @@
 
 TEST_CASE_METHOD(StalledLeader, "a leader that stood still does not step down while its followers answer") {
   process.setFrozen(true);
-  runFor(kStall, true);
+  runFor(kStallDuration, true);
   process.setFrozen(false);
   CHECK(raft->role() == RaftRole::kLeader);
   runFor(base::seconds(2), true);
@@ -92,17 +92,17 @@
 
 TEST_CASE_METHOD(StalledLeader, "a leader that stood still steps down when its followers are gone") {
   process.setFrozen(true);
-  runFor(kStall, false);
+  runFor(kStallDuration, false);
   process.setFrozen(false);
   runFor(base::seconds(2), false);
   CHECK(raft->role() == RaftRole::kFollower);
 }
 
 TEST_CASE_METHOD(StalledFollower,
-                 "a follower that stood still asks for no votes while its leader's word waits to be read") {
+                 "a follower that stood still asks for no votes while its leader's heartbeats are unread") {
   runFor(base::milliseconds(500), true);
   process.setFrozen(true);
-  runFor(kStall, true);
+  runFor(kStallDuration, true);
   process.setFrozen(false);
   runFor(base::seconds(1), true);
   CHECK_FALSE(sentAny<wire::VoteRequest>(transport));
@@ -111,7 +111,7 @@
 TEST_CASE_METHOD(StalledFollower, "a follower that stood still asks for votes when its leader is gone") {
   runFor(base::milliseconds(500), true);
   process.setFrozen(true);
-  runFor(kStall, false);
+  runFor(kStallDuration, false);
   process.setFrozen(false);
   runFor(base::seconds(2), false);
   CHECK(sentAny<wire::VoteRequest>(transport));
--- a/test/controller/controller_host.h
+++ b/test/controller/controller_host.h
@@ -1,4 +1,4 @@
-/// A machine of the simulator that runs one controller which knows only seeds.
+/// Test host for a controller in the simulator.
 #pragma once
 
 #include <catch2/catch.hpp>
@@ -23,7 +23,7 @@
 constexpr int kPort = 7000;
 constexpr int kHttpPort = 8000;
 
-/// One machine that runs a controller which knows only seeds.
+/// A simulated machine with one controller that discovers the cluster through seeds.
 class Host {
  public:
   Host(EventQueue& queue, SimulatedNetwork& network, const std::string& ip, const std::string& zone, uint64_t seed)
@@ -32,15 +32,15 @@
         random_(seed),
         disk_(std::make_unique<SimulatedDisk>(process_, base::RandomSource(seed), simulation::DiskOptions{})) {}
 
-  void start(const std::vector<std::string>& seeds, bool founding, size_t leastVoters = 3) {
+  void start(const std::vector<std::string>& seeds, bool mayBootstrap, size_t minVoters = 3) {
     process_.start();
     sockets_ = std::make_unique<ProcessNetwork>(network_, process_);
     ControllerOptions options;
     options.name = process_.name();
     options.zone = process_.placement().zone;
-    options.founding = founding;
+    options.mayBootstrap = mayBootstrap;
     options.membership.automatic = true;
-    options.membership.leastVoters = leastVoters;
+    options.membership.minVoters = minVoters;
     options.membership.replaceAfter = base::seconds(5);
     options.self = {process_.name(), {process_.name(), kPort}, kHttpPort};
     for (const auto& seed : seeds) options.controllers.push_back({seed, {seed, kPort}, kHttpPort});
--- a/test/controller/relay_sessions_test.cc
+++ b/test/controller/relay_sessions_test.cc
@@ -5,8 +5,8 @@
 namespace driftlug::controller {
 namespace {
 
-/// Keeps the very frames that are sent.
-class FrameKeeper : public base::Network {
+/// Records the frames that are sent.
+class RecordingNetwork : public base::Network {
  public:
   void setHello(const wire::Hello&) override {}
   base::ConnectionId connect(const base::Address&) override { return 0; }
@@ -28,7 +28,7 @@
 }  // namespace
 
 TEST_CASE("relays that come back together are sent one and the same frame") {
-  FrameKeeper network;
+  RecordingNetwork network;
   RelaySessions sessions(network);
   table::Table table;
   putNote(&table, "first", 1);
@@ -44,8 +44,8 @@
   CHECK(network.frames.back()->size() > network.frames.front()->size());
 }
 
-TEST_CASE("a kept frame is given back with the next heartbeat") {
-  FrameKeeper network;
+TEST_CASE("a cached frame is released with the next heartbeat") {
+  RecordingNetwork network;
   RelaySessions sessions(network);
   table::Table table;
   putNote(&table, "first", 1);
--- a/test/controller/table_state_test.cc
+++ b/test/controller/table_state_test.cc
@@ -30,7 +30,7 @@
   return state->apply(index, editOfServices(index, expectedRevision), &rows);
 }
 
-size_t namedKeys(const controller::TableState& state) {
+size_t historyKeyCount(const controller::TableState& state) {
   size_t keys = 0;
   for (const auto& record : state.history()) keys += record.keys.size();
   return keys;
@@ -41,15 +41,15 @@
 TEST_CASE("the history of large edits is bounded by the keys that it names") {
   controller::TableState state;
   for (int64_t index = 1; index <= kEdits; ++index) CHECK(applyTo(&state, index, kAnyRevision).code == 0);
-  CHECK(namedKeys(state) <= controller::kMaxHistoryKeys);
+  CHECK(historyKeyCount(state) <= controller::kMaxHistoryKeys);
   CHECK(state.history().back().revision == kEdits);
   controller::TableState restored;
   restored.restore(state.takeSnapshot());
   CHECK(applyTo(&restored, kEdits + 1, kAnyRevision).code == 0);
-  CHECK(namedKeys(restored) <= controller::kMaxHistoryKeys);
+  CHECK(historyKeyCount(restored) <= controller::kMaxHistoryKeys);
 }
 
-TEST_CASE("outcomes of large refused edits are bounded by the rows that they tell of") {
+TEST_CASE("outcomes of large rejected edits are bounded by the number of rows in them") {
   constexpr int64_t kNone = 0;
   controller::TableState state;
   CHECK(applyTo(&state, 1, kNone).code == 0);
@@ -60,7 +60,7 @@
   for (const auto& outcome : state.takeSnapshot().outcomes) rows += outcome.currentRows.size();
   CHECK(rows <= controller::kMaxOutcomeDetails);
   CHECK(state.findOutcome("edit-" + std::to_string(kEdits)) != nullptr);
-  // An edit from before the window is refused, as its outcome may be among those that were dropped.
+  // An edit based on a revision before the window is rejected, as its outcome may have been dropped.
   CHECK(state.windowFloor() > 1);
   CHECK(state.findOutcome("edit-1") == nullptr);
 }
