--- a/apps/relay_main.cc
+++ b/apps/relay_main.cc
@@ -63,7 +63,7 @@
     base::Logger("relay").warn("{} keeps its settings, those of its file can't be used", FLAGS_name);
     return;
   }
-  relay.useSettings(*controllers, *peers);
+  relay.applySettings(*controllers, *peers);
 }
 
 void addMetrics(const relay::Relay& relay, const transport::FrameTransport& frames, base::MetricsPage* page) {
--- a/src/membership/openings.cc
+++ b/src/membership/connection_attempts.cc
@@ -1,37 +1,38 @@
-#include "membership/openings.h"
+#include "membership/connection_attempts.h"
 
 namespace driftlug::membership {
 namespace {
 
 /// After this an answer is late on every way that isn't full, and the next attempt begins.
-constexpr base::Duration kNextAfter = base::milliseconds(700);
-constexpr size_t kMost = 4;
-constexpr base::Duration kTimeout = kMost * kNextAfter;  // the oldest ends when the one behind the last begins
+constexpr base::Duration kAttemptInterval = base::milliseconds(700);
+constexpr size_t kMaxAttempts = 4;
+constexpr base::Duration kAttemptTimeout =
+    kMaxAttempts * kAttemptInterval;  // the oldest ends when the one behind the last begins
 
 }  // namespace
 
-void Openings::start(const base::Address& address) {
+void ConnectionAttempts::start(const base::Address& address) {
   if (inProgress(address)) return;
-  attempts_[address].next = std::make_unique<base::Timer>(scheduler_, [this, address] { begin(address); });
-  begin(address);
+  attempts_[address].next = std::make_unique<base::Timer>(scheduler_, [this, address] { startAttempt(address); });
+  startAttempt(address);
 }
 
-void Openings::begin(const base::Address& address) {
+void ConnectionAttempts::startAttempt(const base::Address& address) {
   auto& attempts = attempts_[address];
-  if (attempts.connections.size() >= kMost) {
+  if (attempts.connections.size() >= kMaxAttempts) {
     const auto oldest = attempts.connections.begin();
     addressOf_.erase(*oldest);
     network_.close(*oldest);
     attempts.connections.erase(oldest);
   }
-  const auto connection = network_.connectWithTimeout(address, kTimeout);
+  const auto connection = network_.connectWithTimeout(address, kAttemptTimeout);
   attempts.connections.insert(connection);
-  attempts.lastBegun = scheduler_.now();
-  attempts.next->start(kNextAfter);
+  attempts.lastStartedAt = scheduler_.now();
+  attempts.next->start(kAttemptInterval);
   addressOf_[connection] = address;
 }
 
-void Openings::stop(const base::Address& address) {
+void ConnectionAttempts::stop(const base::Address& address) {
   const auto found = attempts_.extract(address);
   if (!found) return;
   for (const auto connection : found.mapped().connections) {
@@ -40,19 +41,19 @@
   }
 }
 
-std::vector<base::Address> Openings::addresses() const {
+std::vector<base::Address> ConnectionAttempts::addresses() const {
   std::vector<base::Address> addresses;
   for (const auto& [address, attempts] : attempts_) addresses.push_back(address);
   return addresses;
 }
 
-std::optional<base::Duration> Openings::youngest(const base::Address& address) const {
+std::optional<base::Duration> ConnectionAttempts::sinceLastAttempt(const base::Address& address) const {
   const auto found = attempts_.find(address);
   if (found == attempts_.end()) return std::nullopt;
-  return scheduler_.now() - found->second.lastBegun;
+  return scheduler_.now() - found->second.lastStartedAt;
 }
 
-std::optional<base::Address> Openings::onOpen(base::ConnectionId connection) {
+std::optional<base::Address> ConnectionAttempts::onOpen(base::ConnectionId connection) {
   const auto found = addressOf_.extract(connection);
   if (!found) return std::nullopt;
   const auto address = found.mapped();
@@ -61,7 +62,7 @@
   return address;
 }
 
-std::optional<base::Address> Openings::onClose(base::ConnectionId connection) {
+std::optional<base::Address> ConnectionAttempts::onClose(base::ConnectionId connection) {
   const auto found = addressOf_.extract(connection);
   if (!found) return std::nullopt;
   const auto address = found.mapped();
--- a/src/membership/openings.h
+++ b/src/membership/connection_attempts.h
@@ -18,10 +18,11 @@
 /// each begins again behind what is queued: with openings of 1.5 s and attempts of 0.7 s no connection ever came up
 /// (test). So an attempt goes on while the next one begins, and the first that is up is used.
 ///
-/// Invariants: an address has attempts until one is up, all have ended, or it is stopped; at most kMost at a time.
-class Openings {
+/// Invariants: an address has attempts until one is up, all have ended, or it is stopped; at most kMaxAttempts at a
+/// time.
+class ConnectionAttempts {
  public:
-  Openings(base::Network& network, base::Scheduler& scheduler) : network_(network), scheduler_(scheduler) {}
+  ConnectionAttempts(base::Network& network, base::Scheduler& scheduler) : network_(network), scheduler_(scheduler) {}
 
   /// Begins to open a connection, unless that is in progress.
   void start(const base::Address& address);
@@ -36,7 +37,7 @@
   bool owns(base::ConnectionId connection) const { return addressOf_.count(connection) > 0; }
 
   /// @return how long ago the newest attempt to an address began; nothing when there is none
-  std::optional<base::Duration> youngest(const base::Address& address) const;
+  std::optional<base::Duration> sinceLastAttempt(const base::Address& address) const;
 
   /// A connection is up: it is the caller's from now on, and the other attempts to its address end.
   /// @return its address; nothing when it isn't one of these
@@ -49,11 +50,11 @@
  private:
   struct Attempts {
     std::set<base::ConnectionId> connections;  // the oldest first
-    base::TimePoint lastBegun{};
+    base::TimePoint lastStartedAt{};
     std::unique_ptr<base::Timer> next;
   };
 
-  void begin(const base::Address& address);
+  void startAttempt(const base::Address& address);
 
   base::Network& network_;
   base::Scheduler& scheduler_;
--- a/src/membership/peer_links.cc
+++ b/src/membership/peer_links.cc
@@ -6,7 +6,7 @@
 constexpr base::Duration kReconnectDelay = base::milliseconds(100);
 /// An attempt that has lasted this long began while the peer was not there. Younger ones are let be: two peers that
 /// connect to each other at once must not go on cutting each other's attempts off.
-constexpr base::Duration kHangingAfter = base::milliseconds(100);
+constexpr base::Duration kStaleAttemptAge = base::milliseconds(100);
 
 }  // namespace
 
@@ -14,7 +14,7 @@
     : network_(network),
       scheduler_(scheduler),
       random_(random),
-      openings_(network, scheduler),
+      connectionAttempts_(network, scheduler),
       keepAliveTimer_(scheduler, [this] { sendKeepAlive(); }) {
   keepAliveTimer_.start(base::kConnectionKeepAlive);
 }
@@ -30,7 +30,7 @@
       ++link;
       continue;
     }
-    openings_.stop(link->first);
+    connectionAttempts_.stop(link->first);
     if (link->second.open()) {
       byConnection_.erase(link->second.connection);
       network_.close(link->second.connection);
@@ -46,12 +46,12 @@
 
 void PeerLinks::connect(const base::Address& address) {
   const auto found = links_.find(address);
-  if (found != links_.end() && !found->second.open()) openings_.start(address);
+  if (found != links_.end() && !found->second.open()) connectionAttempts_.start(address);
 }
 
 void PeerLinks::onOpen(base::ConnectionId connection, const wire::Hello& peer) {
-  const auto address = openings_.onOpen(connection);
-  if (!address) return onArrival(peer);
+  const auto address = connectionAttempts_.onOpen(connection);
+  if (!address) return onPeerConnected(peer);
   auto& link = links_[*address];
   link.connection = connection;
   link.hello = peer;
@@ -60,11 +60,11 @@
 
 /// A peer that has connected to this side is there: attempts that began while it was not, and hang in silence, are not
 /// waited for.
-void PeerLinks::onArrival(const wire::Hello& peer) {
+void PeerLinks::onPeerConnected(const wire::Hello& peer) {
   const base::Address address{peer.address, peer.framePort};
-  const auto begun = openings_.youngest(address);
-  if (begun && *begun < kHangingAfter) return;
-  openings_.stop(address);
+  const auto attemptAge = connectionAttempts_.sinceLastAttempt(address);
+  if (attemptAge && *attemptAge < kStaleAttemptAge) return;
+  connectionAttempts_.stop(address);
   connect(address);
 }
 
@@ -74,7 +74,7 @@
 }
 
 void PeerLinks::onClose(base::ConnectionId connection) {
-  auto address = openings_.onClose(connection);
+  auto address = connectionAttempts_.onClose(connection);
   if (const auto open = byConnection_.extract(connection)) {
     address = open.mapped();
     links_[*address] = Link{};
--- a/src/membership/peer_links.h
+++ b/src/membership/peer_links.h
@@ -9,7 +9,7 @@
 #include "base/network.h"
 #include "base/random.h"
 #include "base/time.h"
-#include "membership/openings.h"
+#include "membership/connection_attempts.h"
 
 namespace driftlug::membership {
 
@@ -25,7 +25,7 @@
 
   /// @return whether the connection was opened by this object.
   bool owns(base::ConnectionId connection) const {
-    return byConnection_.count(connection) > 0 || openings_.owns(connection);
+    return byConnection_.count(connection) > 0 || connectionAttempts_.owns(connection);
   }
 
   /// A connection that this side opened is up, or a peer has connected to this side.
@@ -53,7 +53,7 @@
   };
 
   void connect(const base::Address& address);
-  void onArrival(const wire::Hello& peer);
+  void onPeerConnected(const wire::Hello& peer);
   void sendKeepAlive();
 
   base::Network& network_;
@@ -62,7 +62,7 @@
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
   std::map<base::Address, Link> links_;
   std::map<base::ConnectionId, base::Address> byConnection_;  // of open ones
-  Openings openings_;
+  ConnectionAttempts connectionAttempts_;
   base::Timer keepAliveTimer_;
 };
 
--- a/src/relay/source.cc
+++ b/src/relay/controller_links.cc
@@ -1,4 +1,4 @@
-#include "relay/source.h"
+#include "relay/controller_links.h"
 
 #include <algorithm>
 
@@ -20,7 +20,7 @@
       scheduler_(scheduler),
       random_(random),
       configured_(controllers.begin(), controllers.end()),
-      openings_(network, scheduler),
+      connectionAttempts_(network, scheduler),
       keepAliveTimer_(scheduler, [this] { sendKeepAlive(); }) {}
 
 void ControllerLinks::start() {
@@ -30,28 +30,28 @@
   for (const auto& address : configured_) connect(address);
 }
 
-bool ControllerLinks::wanted(const base::Address& address) const {
+bool ControllerLinks::isWanted(const base::Address& address) const {
   return configured_.count(address) > 0 || learned_.count(address) > 0;
 }
 
-void ControllerLinks::useConfigured(const std::vector<base::Address>& configured) {
+void ControllerLinks::setConfigured(const std::vector<base::Address>& configured) {
   configured_ = {configured.begin(), configured.end()};
-  useWanted();
+  reconcileConnections();
 }
 
-void ControllerLinks::useLearned(const std::set<base::Address>& learned) {
+void ControllerLinks::setLearned(const std::set<base::Address>& learned) {
   learned_ = learned;
-  useWanted();
+  reconcileConnections();
 }
 
-void ControllerLinks::useWanted() {
+void ControllerLinks::reconcileConnections() {
   std::vector<base::ConnectionId> leaving;
   for (const auto& [connection, address] : open_) {
-    if (!wanted(address)) leaving.push_back(connection);
+    if (!isWanted(address)) leaving.push_back(connection);
   }
   for (const auto connection : leaving) drop(connection);
-  for (const auto& address : openings_.addresses()) {
-    if (!wanted(address)) openings_.stop(address);
+  for (const auto& address : connectionAttempts_.addresses()) {
+    if (!isWanted(address)) connectionAttempts_.stop(address);
   }
   if (!started_) return;
   for (const auto& address : configured_) connect(address);
@@ -63,7 +63,7 @@
 }
 
 void ControllerLinks::connect(const base::Address& address) {
-  if (wanted(address) && !isOpen(address)) openings_.start(address);
+  if (isWanted(address) && !isOpen(address)) connectionAttempts_.start(address);
 }
 
 void ControllerLinks::reconnectLater(const base::Address& address) {
@@ -79,12 +79,12 @@
 }
 
 void ControllerLinks::onOpen(base::ConnectionId connection) {
-  const auto address = openings_.onOpen(connection);
+  const auto address = connectionAttempts_.onOpen(connection);
   if (address) open_[connection] = *address;
 }
 
 bool ControllerLinks::onClose(base::ConnectionId connection) {
-  if (const auto address = openings_.onClose(connection)) reconnectLater(*address);
+  if (const auto address = connectionAttempts_.onClose(connection)) reconnectLater(*address);
   const auto closed = open_.extract(connection);
   if (closed) reconnectLater(closed.mapped());
   if (connection != source_) return false;
@@ -96,8 +96,8 @@
   const auto open = open_;
   for (const auto& [connection, address] : open) drop(connection);
   // One that came up meanwhile has been sent old word too.
-  for (const auto& address : openings_.addresses()) {
-    openings_.stop(address);
+  for (const auto& address : connectionAttempts_.addresses()) {
+    connectionAttempts_.stop(address);
     reconnectLater(address);
   }
 }
--- a/src/relay/source.h
+++ b/src/relay/controller_links.h
@@ -9,7 +9,7 @@
 #include "base/network.h"
 #include "base/random.h"
 #include "base/time.h"
-#include "membership/openings.h"
+#include "membership/connection_attempts.h"
 
 namespace driftlug::relay {
 
@@ -26,12 +26,14 @@
   void start();
 
   /// Keeps connections to these controllers and the learned ones, and closes all others.
-  void useConfigured(const std::vector<base::Address>& configured);
+  void setConfigured(const std::vector<base::Address>& configured);
 
   /// Keeps connections to these controllers besides the configured ones, and closes all others.
-  void useLearned(const std::set<base::Address>& learned);
+  void setLearned(const std::set<base::Address>& learned);
 
-  bool owns(base::ConnectionId connection) const { return open_.count(connection) > 0 || openings_.owns(connection); }
+  bool owns(base::ConnectionId connection) const {
+    return open_.count(connection) > 0 || connectionAttempts_.owns(connection);
+  }
 
   /// A connection opened.
   void onOpen(base::ConnectionId connection);
@@ -65,8 +67,8 @@
   base::TimePoint freshSince() const { return freshSince_; }
 
  private:
-  bool wanted(const base::Address& address) const;
-  void useWanted();
+  bool isWanted(const base::Address& address) const;
+  void reconcileConnections();
   bool isOpen(const base::Address& address) const;
   void reconnectLater(const base::Address& address);
   void drop(base::ConnectionId connection);
@@ -79,7 +81,7 @@
   std::set<base::Address> configured_;
   std::set<base::Address> learned_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
-  membership::Openings openings_;
+  membership::ConnectionAttempts connectionAttempts_;
   std::map<base::ConnectionId, base::Address> open_;
   bool started_ = false;
   base::ConnectionId source_ = 0;
--- a/src/relay/crash_spread.h
+++ b/src/relay/crash_report_distributor.h
@@ -18,10 +18,10 @@
 ///
 /// Invariant: what is news to this relay is told to the relays and nodes that are attached, and what is no news to
 /// nobody, so a report crosses each connection once.
-class CrashSpread {
+class CrashReportDistributor {
  public:
-  CrashSpread(base::Network& network, const base::TimeSource& time, const NodeSessions& nodes,
-              membership::PeerLinks& peers);
+  CrashReportDistributor(base::Network& network, const base::TimeSource& time, const NodeSessions& nodes,
+                         membership::PeerLinks& peers);
 
   /// A connection to another relay is up.
   void onPeerOpen(const wire::Hello& peer);
@@ -35,15 +35,15 @@
   void onPeerReports(std::span<const wire::CrashReport> reports);
 
   /// Tells a node of crashes of services that it uses and was not told of yet.
-  void tell(base::ConnectionId connection, NodeSession* session) const;
+  void sendUnsent(base::ConnectionId connection, NodeSession* session) const;
 
   const quarantine::crash_history& history() const { return history_; }
 
  private:
   using Reports = quarantine::crash_history::reports;
 
-  void tellPeer(const std::string& peerId, const Reports& reports);
-  void tellNodes(const Reports& news, base::ConnectionId except);
+  void sendToPeer(const std::string& peerId, const Reports& reports);
+  void sendToNodes(const Reports& newReports, base::ConnectionId except);
 
   base::Network& network_;
   const NodeSessions& nodes_;
--- a/src/relay/state_spread.h
+++ b/src/relay/endpoint_state_distributor.h
@@ -22,21 +22,22 @@
 /// Nodes with the same slice get the same frame, encoded once.
 ///
 /// Invariant: of an endpoint the newest state leaves, at most the gathering time after it came.
-class StateSpread {
+class EndpointStateDistributor {
  public:
-  StateSpread(base::Scheduler& scheduler, base::Network& network, const membership::EndpointDirectory& endpoints,
-              const NodeSessions& nodes, membership::PeerLinks& peers);
+  EndpointStateDistributor(base::Scheduler& scheduler, base::Network& network,
+                           const membership::EndpointDirectory& endpoints, const NodeSessions& nodes,
+                           membership::PeerLinks& peers);
 
   /// Takes news of which the directory holds the newest state.
   /// @param toPeers whether other relays are told too: of what this relay's own nodes say
-  void add(const std::vector<wire::EndpointState>& news, bool toPeers);
+  void add(const std::vector<wire::EndpointState>& changedStates, bool toPeers);
 
   /// Sends states to one node.
   void sendTo(base::ConnectionId connection, const NodeSession& session,
               const std::vector<wire::EndpointState>& states);
 
   /// @return whether a node needs the state of an endpoint.
-  static bool wants(const NodeSession& session, const wire::EndpointState& state);
+  static bool isRelevant(const NodeSession& session, const wire::EndpointState& state);
 
  private:
   struct Frames {
@@ -53,10 +54,10 @@
   const membership::EndpointDirectory& endpoints_;
   const NodeSessions& nodes_;
   membership::PeerLinks& peers_;
-  std::map<std::string, wire::EndpointState> waiting_;  // by endpoint
-  std::set<std::string> forPeers_;                      // endpoints of waiting_ that other relays are told of
+  std::map<std::string, wire::EndpointState> pending_;  // by endpoint
+  std::set<std::string> pendingForPeers_;               // endpoints of waiting_ that other relays are told of
   base::TimePoint flushedAt_{};
-  bool flushedOnce_ = false;
+  bool hasFlushed_ = false;
   base::Timer timer_;  // runs while news are gathered
 };
 
--- a/src/relay/freshness_confirmer.h
+++ b/src/relay/freshness_confirmer.h
@@ -20,27 +20,27 @@
  public:
   /// Sends the questions of a round.
   /// @return their token, never used before by this relay
-  using AskFunction = std::function<int64_t()>;
-  using Waiter = std::function<void()>;
+  using SendRequests = std::function<int64_t()>;
+  using Callback = std::function<void()>;
 
-  FreshnessConfirmer(base::Scheduler& scheduler, const ReleaseGroup* group, std::string ownId, AskFunction ask);
+  FreshnessConfirmer(base::Scheduler& scheduler, const ReleaseGroup* group, std::string ownId, SendRequests ask);
 
   /// Calls back once the table is proven recent.
-  void confirm(Waiter waiter);
+  void confirm(Callback callback);
 
   /// Somebody new can be asked: those who wait are not kept until the next round.
-  void askAgain();
+  void restartRound();
 
   /// The leading controller answered: its committed revision after the question.
-  void onController(int64_t token, int64_t revision);
+  void onControllerReply(int64_t token, int64_t revision);
 
   /// A member of the group answered.
-  void onMember(int64_t token, const std::string& relayId, int64_t revision, bool recovered);
+  void onMemberReply(int64_t token, const std::string& relayId, int64_t revision, bool recovered);
 
   /// The own table is at this revision.
-  void onOwn(int64_t revision, bool recovered);
+  void onOwnRevision(int64_t revision, bool recovered);
 
-  size_t waiting() const { return waiting_.size() + asked_.size(); }
+  size_t waiting() const { return nextRound_.size() + inRound_.size(); }
 
  private:
   void startRound();
@@ -49,10 +49,10 @@
   base::Scheduler& scheduler_;
   const ReleaseGroup* group_;  // null for a confirmer that trusts controllers alone
   std::string ownId_;
-  AskFunction ask_;
+  SendRequests sendRequests_;
   base::Timer retryTimer_;
-  std::vector<Waiter> waiting_;  // came after the current round was asked
-  std::vector<Waiter> asked_;    // covered by the current round
+  std::vector<Callback> nextRound_;  // came after the current round was asked
+  std::vector<Callback> inRound_;    // covered by the current round
   int64_t token_ = 0;
   bool controllerAnswered_ = false;
   int64_t controllerRevision_ = 0;
--- a/src/relay/node_sessions.cc
+++ b/src/relay/node_sessions.cc
@@ -46,28 +46,28 @@
   const bool older = target < session->appliedRevision || released < session->appliedRevision;
   if (session->sentRevision >= target || released < target || (refuseOlder_ && older)) return;
   if (network_.queuedBytes(connection) > kMaxQueuedBytes) {
-    ++counters_.skippedSlow;
+    ++counters_.skippedSlowReader;
     return;
   }
-  const bool whole = session->sentRevision == 0 || fullPush_;
-  if (whole && released < session->floorRevision) return;
-  const auto frame = whole ? session->slice->wholeAt(released, session->takesPacked)
-                           : session->slice->updateFrom(session->sentRevision, session->takesPacked);
+  const bool full = session->sentRevision == 0 || fullPush_;
+  if (full && released < session->floorRevision) return;
+  const auto frame = full ? session->slice->fullFrame(released, session->takesPacked)
+                          : session->slice->deltaFrame(session->sentRevision, session->takesPacked);
   network_.send(connection, frame);
   ++counters_.updates;
   counters_.updateBytes += static_cast<int64_t>(frame->size());
-  if (whole) {
+  if (full) {
     ++counters_.fullUpdates;
     counters_.fullBytes += static_cast<int64_t>(frame->size());
   }
-  session->sentRevision = whole ? released : target;
+  session->sentRevision = full ? released : target;
 }
 
 void NodeSessions::deliverAll() {
   for (auto& [connection, session] : sessions_) deliver(connection, &session);
 }
 
-void NodeSessions::deliverFirst(base::ConnectionId connection, const wire::Digest& nodeDigest) {
+void NodeSessions::deliverInitial(base::ConnectionId connection, const wire::Digest& nodeDigest) {
   auto* session = find(connection);
   if (session == nullptr || !session->confirmed) return;
   const bool current = session->appliedRevision > 0 && nodeDigest == session->slice->slice().digest();
@@ -96,11 +96,11 @@
   sendHeartbeat(connection, wire::encodeFrame(heartbeat));
 }
 
-void NodeSessions::heartbeat(const wire::NodeHeartbeat& heartbeat, bool follows) {
+void NodeSessions::heartbeat(const wire::NodeHeartbeat& heartbeat, bool hasLeader) {
   const auto leaderless = wire::encodeFrame(wire::NodeHeartbeat());
   const auto frame = wire::encodeFrame(heartbeat);
   for (const auto& [connection, session] : sessions_) {
-    sendHeartbeat(connection, follows || session.confirmed ? frame : leaderless);
+    sendHeartbeat(connection, hasLeader || session.confirmed ? frame : leaderless);
   }
 }
 
--- a/src/relay/node_sessions.h
+++ b/src/relay/node_sessions.h
@@ -23,7 +23,7 @@
   int64_t fullBytes = 0;
   int64_t heartbeatBytes = 0;
   int64_t rejected = 0;
-  int64_t skippedSlow = 0;
+  int64_t skippedSlowReader = 0;
 };
 
 /// One attached node.
@@ -37,10 +37,10 @@
   bool takesPacked = false;  ///< whether the node unpacks frames
   /// Revision that must be released before a whole slice is sent: the newest that this node may have run.
   int64_t floorRevision = 0;
-  base::TimePoint lastHeard{};
-  std::set<std::string> toldServices;  ///< whose announced endpoints the node was told of
+  base::TimePoint lastReceivedAt{};
+  std::set<std::string> notifiedServices;  ///< whose announced endpoints the node was told of
   bool takesCrashReports = false;
-  std::set<std::string> toldCrashesOf;  ///< services whose crashes before its time the node was told of
+  std::set<std::string> crashNotifiedServices;  ///< services whose crashes before its time the node was told of
 };
 
 /// Sends slices to nodes once they are released.
@@ -77,12 +77,12 @@
   void deliverAll();
 
   /// Answers a subscription of a node that is already up to date.
-  void deliverFirst(base::ConnectionId connection, const wire::Digest& nodeDigest);
+  void deliverInitial(base::ConnectionId connection, const wire::Digest& nodeDigest);
 
   /// Sends a heartbeat to every node.
-  /// @param follows whether the relay follows a leader now; where it doesn't, nodes that wait for their first version
+  /// @param hasLeader whether the relay follows a leader now; where it doesn't, nodes that wait for their first version
   /// are told of none, since the relay can't confirm it
-  void heartbeat(const wire::NodeHeartbeat& heartbeat, bool follows);
+  void heartbeat(const wire::NodeHeartbeat& heartbeat, bool hasLeader);
 
   /// Tells one node how fresh the table is.
   void heartbeatTo(base::ConnectionId connection, const wire::NodeHeartbeat& heartbeat);
@@ -98,7 +98,7 @@
   void useFullPush(bool enabled) { fullPush_ = enabled; }
 
   /// Sends versions older than what a node has; only to prove in the simulator that a checker notices.
-  void sendOlder() { refuseOlder_ = false; }
+  void allowOlderVersions() { refuseOlder_ = false; }
 
  private:
   void sendHeartbeat(base::ConnectionId connection, const wire::FramePtr& frame);
--- a/src/relay/relay.cc
+++ b/src/relay/relay.cc
@@ -9,12 +9,13 @@
 constexpr base::Duration kReportDelay = base::milliseconds(1);
 /// A report that lists many lagging nodes is not repeated for each node that catches up: in a storm that would cost
 /// the square of the nodes.
-constexpr base::Duration kReportGapPerLagging = base::microseconds(500);
-constexpr base::Duration kLongestReportGap = base::milliseconds(200);
+constexpr base::Duration kReportIntervalPerLaggingNode = base::microseconds(500);
+constexpr base::Duration kMaxReportInterval = base::milliseconds(200);
 /// Questions of nodes are gathered so that the leader gets some hundreds a second from all relays together, however
 /// many there are: a question costs it some 30 us of its tenth of a core.
-constexpr base::Duration kQuotaGatherPerRelay = base::microseconds(1500);
-constexpr quota::quota_queue_options kQuotaTimes{base::milliseconds(10), base::seconds(2), base::milliseconds(200)};
+constexpr base::Duration kQuotaBatchDelayPerRelay = base::microseconds(1500);
+constexpr quota::quota_queue_options kQuotaQueueOptions{base::milliseconds(10), base::seconds(2),
+                                                        base::milliseconds(200)};
 
 }  // namespace
 
@@ -25,13 +26,14 @@
       network_(network),
       releases_(options_.id, options_.releaseGroups),
       nodes_(network, releases_),
-      source_(network, scheduler, base::RandomSource(random_.bits()), options_.controllers),
+      controllerLinks_(network, scheduler, base::RandomSource(random_.bits()), options_.controllers),
       peers_(network, scheduler, base::RandomSource(random_.bits())),
-      spread_(scheduler, network, endpoints_, nodes_, peers_),
-      crashes_(network, scheduler, nodes_, peers_),
+      stateDistributor_(scheduler, network, endpoints_, nodes_, peers_),
+      crashDistributor_(network, scheduler, nodes_, peers_),
       versions_(scheduler, replica_, endpoints_,
-                [this](const wire::Message& message) { return source_.send(message); }),
-      quotas_(scheduler, kQuotaTimes, [this](const wire::QuotaAsk& question) { return source_.send(question); }),
+                [this](const wire::Message& message) { return controllerLinks_.send(message); }),
+      quotas_(scheduler, kQuotaQueueOptions,
+              [this](const wire::QuotaAsk& question) { return controllerLinks_.send(question); }),
       nodeTimer_(scheduler, [this] { onNodeTimer(); }),
       reportTimer_(scheduler, [this] {
         reportTimer_.start(options_.reportInterval);
@@ -40,7 +42,7 @@
   nodes_.useFullPush(options_.fullPush);
   if (!options_.releaseQuorum) releases_.disable();
   if (options_.everyZone) releases_.serveEveryZone();
-  if (!options_.refuseOlder) nodes_.sendOlder();
+  if (!options_.refuseOlder) nodes_.allowOlderVersions();
 }
 
 Relay::~Relay() { *alive_ = false; }
@@ -58,8 +60,8 @@
   admissionTokens_ = options_.admissionBurst;
   startedAt_ = scheduler_.now();
   admissionAt_ = scheduler_.now();
-  releasedAt_ = scheduler_.now();
-  source_.start();
+  fullyReleasedAt_ = scheduler_.now();
+  controllerLinks_.start();
   peers_.setAddresses({options_.peers.begin(), options_.peers.end()});
   nodeTimer_.start(options_.nodeHeartbeat);
   reportTimer_.start(options_.reportInterval);
@@ -68,17 +70,17 @@
 
 void Relay::prepareStop() {
   stopping_ = true;
-  sendAllAway();
+  redirectAllNodes();
 }
 
-void Relay::useSettings(const std::vector<base::Address>& controllers, const std::vector<base::Address>& peers) {
+void Relay::applySettings(const std::vector<base::Address>& controllers, const std::vector<base::Address>& peers) {
   log_.info("{} uses {} controllers and {} relays of its settings", options_.id, controllers.size(), peers.size());
   options_.peers = peers;
-  source_.useConfigured(controllers);
-  usePeers();
+  controllerLinks_.setConfigured(controllers);
+  updatePeerAddresses();
 }
 
-void Relay::usePeers() {
+void Relay::updatePeerAddresses() {
   std::set<base::Address> peers(options_.peers.begin(), options_.peers.end());
   for (const auto& relay : relayList_.relays) {
     const base::Address address{relay.address, relay.port};
@@ -89,12 +91,12 @@
 
 void Relay::onAway() {
   log_.warn("{} was away, asks the controllers anew", options_.id);
-  source_.onAway();
+  controllerLinks_.onAway();
 }
 
 void Relay::onOpen(base::ConnectionId connection, const wire::Hello& peer) {
-  if (source_.owns(connection)) {
-    source_.onOpen(connection);
+  if (controllerLinks_.owns(connection)) {
+    controllerLinks_.onOpen(connection);
     return;
   }
   hellos_[connection] = peer;
@@ -102,8 +104,8 @@
   if (peer.role == wire::Role::NODE) unsubscribed_[connection] = scheduler_.now();
   if (!peers_.owns(connection)) return;
   peers_.onOpen(connection, peer);
-  sendHeld(peer.id, 0, false);
-  crashes_.onPeerOpen(peer);
+  sendHeldRevision(peer.id, 0, false);
+  crashDistributor_.onPeerOpen(peer);
   std::vector<wire::EndpointState> own;
   for (const auto& [nodeConnection, session] : nodes_.all()) {
     const auto states = endpoints_.ofOrigin(session.nodeId);
@@ -116,8 +118,8 @@
 }
 
 void Relay::onClose(base::ConnectionId connection) {
-  if (source_.owns(connection)) {
-    if (source_.onClose(connection)) log_.info("{} lost its source", options_.id);
+  if (controllerLinks_.owns(connection)) {
+    if (controllerLinks_.onClose(connection)) log_.info("{} lost its source", options_.id);
     return;
   }
   const bool outgoing = peers_.owns(connection);
@@ -125,17 +127,17 @@
   const auto found = hellos_.find(connection);
   if (found == hellos_.end()) return;
   const auto peer = found->second;
-  if (outgoing) crashes_.onPeerClose(peer.id);
+  if (outgoing) crashDistributor_.onPeerClose(peer.id);
   if (peer.role == wire::Role::RELAY) {
-    if (!outgoing) releases_.onLost(peer.id);
+    if (!outgoing) releases_.onPeerDisconnected(peer.id);
     expireLater(peer.id, options_.peerLease);
   } else if (peer.role == wire::Role::NODE) {
     dropNode(connection);
   }
-  forgetConnection(connection);
+  removeConnection(connection);
 }
 
-void Relay::forgetConnection(base::ConnectionId connection) {
+void Relay::removeConnection(base::ConnectionId connection) {
   const auto hello = hellos_.extract(connection);
   if (hello.empty()) return;
   unsubscribed_.erase(connection);
@@ -144,7 +146,7 @@
 }
 
 void Relay::onMessage(base::ConnectionId connection, wire::Message message) {
-  if (source_.owns(connection)) return onControllerMessage(connection, message);
+  if (controllerLinks_.owns(connection)) return onControllerMessage(connection, message);
   const auto peer = hellos_.find(connection);
   if (peer == hellos_.end()) return;
   if (peer->second.role == wire::Role::RELAY) return onRelayMessage(peer->second.id, message);
@@ -154,12 +156,12 @@
 void Relay::onControllerMessage(base::ConnectionId connection, const wire::Message& message) {
   if (const auto* heartbeat = std::get_if<wire::ControllerHeartbeat>(&message)) {
     freshness_.onHeartbeat(*heartbeat, replica_.revision(), scheduler_.now());
-    if (source_.onLeader(connection, heartbeat->freshness)) subscribeToSource(replica_.revision());
+    if (controllerLinks_.onLeader(connection, heartbeat->freshness)) subscribeToController(replica_.revision());
   } else if (std::get_if<wire::NotLeader>(&message) != nullptr) {
-    source_.onNotLeader(connection);
+    controllerLinks_.onNotLeader(connection);
   } else if (const auto* members = std::get_if<wire::MemberList>(&message)) {
     onMemberList(*members);
-  } else if (connection == source_.source()) {
+  } else if (connection == controllerLinks_.source()) {
     if (const auto* update = std::get_if<wire::TableUpdate>(&message)) onTableUpdate(*update);
     if (const auto* reply = std::get_if<wire::ConfirmReply>(&message)) onConfirmReply(*reply);
     if (const auto* reply = std::get_if<wire::LedgerReply>(&message)) onLedgerReply(*reply);
@@ -180,28 +182,28 @@
     known.relays.push_back(entry);
   }
   if (known == relayList_) return;
-  source_.useLearned(controllers);
+  controllerLinks_.setLearned(controllers);
   relayList_ = known;
-  quotas_.useGather(std::max<base::Duration>(kQuotaTimes.gather,
-                                             kQuotaGatherPerRelay * static_cast<int64_t>(relayList_.relays.size())));
-  usePeers();
+  quotas_.useGather(std::max<base::Duration>(
+      kQuotaQueueOptions.gather, kQuotaBatchDelayPerRelay * static_cast<int64_t>(relayList_.relays.size())));
+  updatePeerAddresses();
   for (const auto& [connection, session] : nodes_.all()) network_.send(connection, wire::encodeFrame(relayList_));
 }
 
-void Relay::subscribeToSource(int64_t revision) {
+void Relay::subscribeToController(int64_t revision) {
   wire::RelaySubscribe subscribe;
   subscribe.revision = revision;
   subscribe.digest = replica_.table().digest();
   subscribe.sharesTable = replica_.shares();
-  source_.send(subscribe);
+  controllerLinks_.send(subscribe);
   quotas_.askAnew();
   reportFull_ = true;
   scheduleReport();
-  for (const auto& [zone, confirmer] : confirmers_) confirmer->askAgain();
+  for (const auto& [zone, confirmer] : confirmers_) confirmer->restartRound();
   if (recovered_) return;
   wire::ConfirmRequest confirm;
   confirm.token = ++lastToken_;
-  source_.send(confirm);
+  controllerLinks_.send(confirm);
 }
 
 void Relay::onTableUpdate(const wire::TableUpdate& update) {
@@ -211,31 +213,31 @@
   if (result == ReplicaResult::kNothingNew) return;
   if (result != ReplicaResult::kApplied) {
     log_.warn("{} could not apply revision {} and asks for everything", options_.id, update.toRevision);
-    return subscribeToSource(0);
+    return subscribeToController(0);
   }
-  takeChange(rows);
+  updateSlices(rows);
   onTableAdvanced();
 }
 
-void Relay::takeChange(const table::ChangedRows& rows) {
+void Relay::updateSlices(const table::ChangedRows& rows) {
   const auto slices = slices_.onTableChange(replica_.table(), rows);
   log_.info("{} holds revision {}, {} rows changed, {} slices with it, {} nodes", options_.id, replica_.revision(),
             rows.changed.size(), slices.size(), nodes_.all().size());
 }
 
 void Relay::onTableChange(const table::ChangedRows& rows) {
-  takeChange(rows);
-  advanceSoon();
+  updateSlices(rows);
+  scheduleTableAdvanced();
 }
 
 void Relay::onTableReplaced() {
   slices_.refresh(replica_.table());
   log_.info("{} holds revision {}, the table was replaced", options_.id, replica_.revision());
-  advanceSoon();
+  scheduleTableAdvanced();
 }
 
 /// Changes that the controller applies together are handed to nodes together, in a turn of their own.
-void Relay::advanceSoon() {
+void Relay::scheduleTableAdvanced() {
   if (advanceScheduled_) return;
   advanceScheduled_ = true;
   scheduler_.schedule(base::Duration(0), [this, alive = std::weak_ptr<bool>(alive_)] {
@@ -247,28 +249,28 @@
 
 void Relay::onTableAdvanced() {
   freshness_.onRevision(replica_.revision());
-  recovered_ = recovered_ || (provenAt_ && replica_.revision() >= *provenAt_);
-  releases_.setOwn(replica_.revision());
-  announceHeld();
-  for (const auto& [zone, confirmer] : confirmers_) confirmer->onOwn(replica_.revision(), recovered_);
-  tellOfCrashes();
+  recovered_ = recovered_ || (confirmedRevision_ && replica_.revision() >= *confirmedRevision_);
+  releases_.setOwnRevision(replica_.revision());
+  broadcastHeldRevision();
+  for (const auto& [zone, confirmer] : confirmers_) confirmer->onOwnRevision(replica_.revision(), recovered_);
+  sendCrashReports();
   nodes_.deliverAll();
-  tellNewServices();
+  sendServiceEndpointsToAll();
   scheduleReport();
 }
 
 void Relay::onConfirmReply(const wire::ConfirmReply& reply) {
   // Any answer of the leader proves the table, whoever asked.
-  provenAt_ = reply.revision;
+  confirmedRevision_ = reply.revision;
   if (!recovered_ && replica_.revision() >= reply.revision) onTableAdvanced();
-  for (const auto& [zone, confirmer] : confirmers_) confirmer->onController(reply.token, reply.revision);
+  for (const auto& [zone, confirmer] : confirmers_) confirmer->onControllerReply(reply.token, reply.revision);
 }
 
-void Relay::announceHeld() {
-  for (const auto& relayId : releases_.peers()) sendHeld(relayId, 0, false);
+void Relay::broadcastHeldRevision() {
+  for (const auto& relayId : releases_.peers()) sendHeldRevision(relayId, 0, false);
 }
 
-void Relay::sendHeld(const std::string& relayId, int64_t probe, bool wantsReply) {
+void Relay::sendHeldRevision(const std::string& relayId, int64_t probe, bool wantsReply) {
   if (releases_.peers().count(relayId) == 0) return;
   wire::RelayHeld held;
   held.revision = replica_.revision();
@@ -281,25 +283,25 @@
 
 void Relay::onRelayMessage(const std::string& relayId, const wire::Message& message) {
   if (const auto* held = std::get_if<wire::RelayHeld>(&message)) {
-    releases_.onHeld(relayId, held->revision);
-    if (held->wantsReply) sendHeld(relayId, held->probe, false);
+    releases_.onHeldRevision(relayId, held->revision);
+    if (held->wantsReply) sendHeldRevision(relayId, held->probe, false);
     if (!held->wantsReply && held->probe != 0) {
       for (const auto& [zone, confirmer] : confirmers_) {
-        confirmer->onMember(held->probe, relayId, held->revision, held->recovered);
+        confirmer->onMemberReply(held->probe, relayId, held->revision, held->recovered);
       }
     }
     nodes_.deliverAll();
   } else if (const auto* states = std::get_if<wire::EndpointStates>(&message)) {
     onEndpointStates(states->states, relayId, false);
   } else if (const auto* crashes = std::get_if<wire::CrashReports>(&message)) {
-    crashes_.onPeerReports(crashes->reports);
+    crashDistributor_.onPeerReports(crashes->reports);
   }
 }
 
 void Relay::scheduleReport() {
   if (reportScheduled_) return;
   reportScheduled_ = true;
-  const auto gap = std::min<base::Duration>(kLongestReportGap, reportedLagging_ * kReportGapPerLagging);
+  const auto gap = std::min<base::Duration>(kMaxReportInterval, reportedLagging_ * kReportIntervalPerLaggingNode);
   const auto wait = std::max<base::Duration>(kReportDelay, reportedAt_ + gap - scheduler_.now());
   scheduler_.schedule(wait, [this, alive = std::weak_ptr<bool>(alive_)] {
     if (alive.expired()) return;
@@ -330,7 +332,7 @@
   reportedLagging_ = report.lagging.size();
   log_.debug("{} reports revision {}: {}{} attached, {} detached, {} lagging", options_.id, report.inForceRevision,
              full ? "all " : "", report.attached.size(), report.detached.size(), report.lagging.size());
-  if (!source_.send(report)) {
+  if (!controllerLinks_.send(report)) {
     reportFull_ = true;
     return;
   }
@@ -340,18 +342,18 @@
 }
 
 void Relay::onEndpointStates(const std::vector<wire::EndpointState>& states, const std::string& origin, bool fromNode) {
-  std::vector<wire::EndpointState> news;
+  std::vector<wire::EndpointState> newStates;
   for (const auto& state : states) {
-    if (endpoints_.update(state, origin)) news.push_back(state);
+    if (endpoints_.update(state, origin)) newStates.push_back(state);
   }
-  versions_.onNews(news);
-  spread_.add(news, fromNode);
+  versions_.onNewEndpointStates(newStates);
+  stateDistributor_.add(newStates, fromNode);
 }
 
 void Relay::expireLater(const std::string& origin, base::Duration lease) {
   scheduler_.schedule(lease, [this, alive = std::weak_ptr<bool>(alive_), origin] {
     if (alive.expired() || connectionsOf_.count(origin) > 0) return;
-    spread_.add(endpoints_.expire(origin), true);
+    stateDistributor_.add(endpoints_.expire(origin), true);
   });
 }
 
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -15,13 +15,13 @@
 #include "membership/endpoint_directory.h"
 #include "membership/peer_links.h"
 #include "quota/quota_queue.h"
-#include "relay/covered_freshness.h"
-#include "relay/crash_spread.h"
+#include "relay/controller_links.h"
+#include "relay/crash_report_distributor.h"
+#include "relay/endpoint_state_distributor.h"
 #include "relay/freshness_confirmer.h"
 #include "relay/node_sessions.h"
 #include "relay/release_group.h"
-#include "relay/source.h"
-#include "relay/state_spread.h"
+#include "relay/table_freshness.h"
 #include "relay/table_replica.h"
 #include "relay/version_reports.h"
 #include "table/table_observer.h"
@@ -43,7 +43,7 @@
   base::Duration nodeLease = base::seconds(8);            ///< a full report lists nodes lost within this time
   base::Duration endpointLease = base::seconds(2);        ///< after a node's connection was lost
   base::Duration peerLease = base::seconds(5);            ///< after a relay's connection was lost
-  base::Duration blockedLimit = base::milliseconds(800);  ///< nodes are sent away when releases stall for longer
+  base::Duration stallTimeout = base::milliseconds(800);  ///< nodes are sent away when releases stall for longer
   int admissionsPerSecond = 2000;
   int admissionBurst = 400;
   bool fullPush = false;              ///< baseline for experiments
@@ -73,20 +73,20 @@
   const NodeSessions& nodes() const { return nodes_; }
   const ReleaseTracker& releases() const { return releases_; }
   const membership::EndpointDirectory& endpoints() const { return endpoints_; }
-  const CrashSpread& crashes() const { return crashes_; }
-  const ControllerLinks& source() const { return source_; }
+  const CrashReportDistributor& crashes() const { return crashDistributor_; }
+  const ControllerLinks& controllerLinks() const { return controllerLinks_; }
 
   /// @return whether the table was confirmed by a controller since the start.
   bool recovered() const { return recovered_; }
 
   /// Uses other controllers and relays, as after a change of the settings; those learned stay in use.
-  void useSettings(const std::vector<base::Address>& controllers, const std::vector<base::Address>& peers);
+  void applySettings(const std::vector<base::Address>& controllers, const std::vector<base::Address>& peers);
 
   /// This process was stopped, or its machine suspended, for more than a second.
   void onAway();
 
   /// @return whether freshness has advanced within the given time.
-  bool fresh(base::Duration within) const { return scheduler_.now() - source_.freshSince() <= within; }
+  bool fresh(base::Duration within) const { return scheduler_.now() - controllerLinks_.freshSince() <= within; }
 
   void onOpen(base::ConnectionId connection, const wire::Hello& peer) override;
   void onMessage(base::ConnectionId connection, wire::Message message) override;
@@ -98,20 +98,20 @@
  private:
   // Source
   void onControllerMessage(base::ConnectionId connection, const wire::Message& message);
-  void subscribeToSource(int64_t revision);
+  void subscribeToController(int64_t revision);
   void onTableUpdate(const wire::TableUpdate& update);
   void onConfirmReply(const wire::ConfirmReply& reply);
-  void takeChange(const table::ChangedRows& rows);
+  void updateSlices(const table::ChangedRows& rows);
   void onTableAdvanced();
-  void advanceSoon();
+  void scheduleTableAdvanced();
 
   void onMemberList(const wire::MemberList& list);
-  void usePeers();
+  void updatePeerAddresses();
 
   // Peers
   void onRelayMessage(const std::string& relayId, const wire::Message& message);
-  void announceHeld();
-  void sendHeld(const std::string& relayId, int64_t probe, bool wantsReply);
+  void broadcastHeldRevision();
+  void sendHeldRevision(const std::string& relayId, int64_t probe, bool wantsReply);
 
   // Nodes
   void onNodeMessage(base::ConnectionId connection, const wire::Message& message);
@@ -123,8 +123,8 @@
   void dropNode(base::ConnectionId connection);
   void closeNode(base::ConnectionId connection);
   void closeSilentNodes();
-  void forgetConnection(base::ConnectionId connection);
-  void sendAllAway();
+  void removeConnection(base::ConnectionId connection);
+  void redirectAllNodes();
   void onNodeTimer();
 
   // Ledger
@@ -139,9 +139,9 @@
   void sendReport();
 
   // Endpoint states
-  void tellOfCrashes();
-  void tellNewServices();
-  void tellServices(base::ConnectionId connection, NodeSession* session);
+  void sendCrashReports();
+  void sendServiceEndpointsToAll();
+  void sendServiceEndpoints(base::ConnectionId connection, NodeSession* session);
   void onEndpointStates(const std::vector<wire::EndpointState>& states, const std::string& origin, bool fromNode);
   void expireLater(const std::string& origin, base::Duration lease);
 
@@ -155,11 +155,11 @@
   SliceCache slices_;
   ReleaseTracker releases_;
   NodeSessions nodes_;
-  ControllerLinks source_;
+  ControllerLinks controllerLinks_;
   membership::PeerLinks peers_;
   membership::EndpointDirectory endpoints_;
-  StateSpread spread_;
-  CrashSpread crashes_;
+  EndpointStateDistributor stateDistributor_;
+  CrashReportDistributor crashDistributor_;
   VersionReportSender versions_;
   quota::quota_queue quotas_;                                              // of nodes, by their connection
   std::map<std::string, std::unique_ptr<FreshnessConfirmer>> confirmers_;  // by zone
@@ -167,9 +167,9 @@
   std::map<base::ConnectionId, base::TimePoint> unsubscribed_;             // nodes' connections without a session
   std::map<std::string, int> connectionsOf_;                               // open connections by peer id, for leases
   wire::RelayList relayList_;                                              // all relays, as the controllers tell
-  CoveredFreshness freshness_;  // of the controllers, as far as the table is at least as new
+  TableFreshness freshness_;  // of the controllers, as far as the table is at least as new
   bool recovered_ = false;
-  std::optional<int64_t> provenAt_;  // by a controller: the table is recent once it has reached this revision
+  std::optional<int64_t> confirmedRevision_;  // by a controller: the table is recent once it has reached this revision
   bool advanceScheduled_ = false;
   bool stopping_ = false;
   int64_t lastToken_ = 0;  // of all questions about freshness; never reused
@@ -190,7 +190,7 @@
   int64_t lastLedgerId_ = 0;
   double admissionTokens_ = 0;
   base::TimePoint admissionAt_{};
-  base::TimePoint releasedAt_{};  // when the table was last fully released
+  base::TimePoint fullyReleasedAt_{};  // when the table was last fully released
   base::Timer nodeTimer_;
   base::Timer reportTimer_;
 };
--- a/src/relay/relay_nodes.cc
+++ b/src/relay/relay_nodes.cc
@@ -12,14 +12,14 @@
 }  // namespace
 
 void Relay::onNodeMessage(base::ConnectionId connection, const wire::Message& message) {
-  if (auto* session = nodes_.find(connection)) session->lastHeard = scheduler_.now();
+  if (auto* session = nodes_.find(connection)) session->lastReceivedAt = scheduler_.now();
   if (const auto* subscribe = std::get_if<wire::NodeSubscribe>(&message)) {
     onNodeSubscribe(connection, *subscribe);
   } else if (const auto* applied = std::get_if<wire::SliceApplied>(&message)) {
     const auto* session = nodes_.find(connection);
-    const bool news = session != nullptr && applied->revision > session->appliedRevision;
+    const bool advanced = session != nullptr && applied->revision > session->appliedRevision;
     nodes_.onApplied(connection, applied->revision);
-    if (news) scheduleReport();
+    if (advanced) scheduleReport();
   } else if (std::get_if<wire::SliceRejected>(&message) != nullptr) {
     nodes_.onRejected(connection);
   } else if (const auto* ledger = std::get_if<wire::LedgerRequest>(&message)) {
@@ -27,7 +27,7 @@
   } else if (const auto* states = std::get_if<wire::EndpointStates>(&message)) {
     onEndpointStates(states->states, hellos_[connection].id, true);
   } else if (const auto* crashes = std::get_if<wire::CrashReports>(&message)) {
-    crashes_.onNodeReports(connection, crashes->reports);
+    crashDistributor_.onNodeReports(connection, crashes->reports);
   } else if (const auto* question = std::get_if<wire::QuotaAsk>(&message)) {
     onQuotaAsk(connection, *question);
   } else if (const auto* versions = std::get_if<wire::VersionReports>(&message)) {
@@ -59,7 +59,7 @@
   auto forwarded = request;
   forwarded.requestId = ++lastLedgerId_;
   ledgerForwards_[forwarded.requestId] = {connection, request.requestId};
-  (void)source_.send(forwarded);
+  (void)controllerLinks_.send(forwarded);
 }
 
 void Relay::onLedgerReply(const wire::LedgerReply& reply) {
@@ -88,11 +88,11 @@
 }
 
 void Relay::onNodeSubscribe(base::ConnectionId connection, const wire::NodeSubscribe& request) {
-  constexpr base::Duration kStormSpread = base::seconds(1);
-  constexpr base::Duration kElsewhereDelay = base::milliseconds(100);
+  constexpr base::Duration kRetrySpread = base::seconds(1);
+  constexpr base::Duration kRedirectDelay = base::milliseconds(100);
   const auto& peer = hellos_[connection];
-  if (!admit()) return sendRetryLater(connection, random_.duration(kStormSpread) + base::milliseconds(1));
-  if (stopping_ || !releases_.serves(peer.zone)) return sendRetryLater(connection, kElsewhereDelay);
+  if (!admit()) return sendRetryLater(connection, random_.duration(kRetrySpread) + base::milliseconds(1));
+  if (stopping_ || !releases_.serves(peer.zone)) return sendRetryLater(connection, kRedirectDelay);
   table::Interest interest{request.hosts, request.services};
   std::sort(interest.hosts.begin(), interest.hosts.end());
   std::sort(interest.services.begin(), interest.services.end());
@@ -105,7 +105,7 @@
   session.sentRevision = request.revision;
   session.appliedRevision = request.revision;
   session.confirmed = request.revision > 0 || !options_.confirmRestartedNodes;
-  session.lastHeard = scheduler_.now();
+  session.lastReceivedAt = scheduler_.now();
   const bool confirmed = session.confirmed;
   nodes_.add(connection, std::move(session));
   unsubscribed_.erase(connection);
@@ -114,12 +114,12 @@
   lostAt_.erase(peer.id);
   scheduleReport();
   // Before its first version, so that a node that was restarted knows what crashes back ends before it serves.
-  crashes_.tell(connection, nodes_.find(connection));
+  crashDistributor_.sendUnsent(connection, nodes_.find(connection));
   // At once, so that a node which left a relay for its old word of the controllers sees whether this one's is newer.
-  const bool follows = source_.source() != 0;
-  nodes_.heartbeatTo(connection, confirmed || follows ? currentHeartbeat() : wire::NodeHeartbeat());
+  const bool hasLeader = controllerLinks_.source() != 0;
+  nodes_.heartbeatTo(connection, confirmed || hasLeader ? currentHeartbeat() : wire::NodeHeartbeat());
   if (confirmed) {
-    nodes_.deliverFirst(connection, request.digest);
+    nodes_.deliverInitial(connection, request.digest);
   } else {
     confirmerFor(peer.zone).confirm([this, connection] {
       auto* waiting = nodes_.find(connection);
@@ -136,33 +136,33 @@
     const auto key = table::makeKey(table::RowKind::ENDPOINT, state.endpoint);
     if (subscribed->slice->slice().contains(key)) exceptions.push_back(state);
   });
-  spread_.sendTo(connection, *subscribed, exceptions);
-  tellServices(connection, subscribed);
+  stateDistributor_.sendTo(connection, *subscribed, exceptions);
+  sendServiceEndpoints(connection, subscribed);
   if (!relayList_.relays.empty()) network_.send(connection, wire::encodeFrame(relayList_));
 }
 
-void Relay::tellOfCrashes() {
-  for (auto& [connection, session] : nodes_.all()) crashes_.tell(connection, &session);
+void Relay::sendCrashReports() {
+  for (auto& [connection, session] : nodes_.all()) crashDistributor_.sendUnsent(connection, &session);
 }
 
-void Relay::tellNewServices() {
-  for (auto& [connection, session] : nodes_.all()) tellServices(connection, &session);
+void Relay::sendServiceEndpointsToAll() {
+  for (auto& [connection, session] : nodes_.all()) sendServiceEndpoints(connection, &session);
 }
 
 /// Costs nothing by endpoint where a node knows its services already, as after most changes of the table.
-void Relay::tellServices(base::ConnectionId connection, NodeSession* session) {
-  std::vector<wire::EndpointState> news;
+void Relay::sendServiceEndpoints(base::ConnectionId connection, NodeSession* session) {
+  std::vector<wire::EndpointState> unsent;
   std::set<std::string> wanted;
   for (const auto& service : endpoints_.announcedServices()) {
     if (!session->slice->slice().contains(table::makeKey(table::RowKind::SERVICE, service))) continue;
     wanted.insert(service);
-    if (session->toldServices.count(service) > 0) continue;
+    if (session->notifiedServices.count(service) > 0) continue;
     for (auto& state : endpoints_.ofService(service)) {
-      if (!state.address.empty()) news.push_back(std::move(state));
+      if (!state.address.empty()) unsent.push_back(std::move(state));
     }
   }
-  session->toldServices = std::move(wanted);
-  spread_.sendTo(connection, *session, news);
+  session->notifiedServices = std::move(wanted);
+  stateDistributor_.sendTo(connection, *session, unsent);
 }
 
 FreshnessConfirmer& Relay::confirmerFor(const std::string& zone) {
@@ -172,14 +172,14 @@
   confirmer = std::make_unique<FreshnessConfirmer>(scheduler_, group, options_.id, [this, group] {
     wire::ConfirmRequest confirm;
     confirm.token = ++lastToken_;
-    source_.send(confirm);
+    controllerLinks_.send(confirm);
     if (group == nullptr) return confirm.token;
     for (const auto& relayId : group->members) {
-      if (relayId != options_.id) sendHeld(relayId, confirm.token, true);
+      if (relayId != options_.id) sendHeldRevision(relayId, confirm.token, true);
     }
     return confirm.token;
   });
-  confirmer->onOwn(replica_.revision(), recovered_);
+  confirmer->onOwnRevision(replica_.revision(), recovered_);
   return *confirmer;
 }
 
@@ -187,7 +187,7 @@
   wire::NodeHeartbeat heartbeat;
   heartbeat.freshness = freshness_.value();
   if (heartbeat.freshness.term == 0) return heartbeat;
-  heartbeat.ageMs = base::millisecondsOf(scheduler_.now() - freshness_.heardAt());
+  heartbeat.ageMs = base::millisecondsOf(scheduler_.now() - freshness_.receivedAt());
   return heartbeat;
 }
 
@@ -211,7 +211,7 @@
 void Relay::closeNode(base::ConnectionId connection) {
   dropNode(connection);
   network_.close(connection);
-  forgetConnection(connection);
+  removeConnection(connection);
 }
 
 /// Those without a session too: a node that is lost between its greeting and its subscription sends no more, gets
@@ -220,7 +220,7 @@
   const auto limit = scheduler_.inputReadUntil() - options_.nodeTimeout;
   std::vector<base::ConnectionId> silent;
   for (const auto& [connection, session] : nodes_.all()) {
-    if (session.lastHeard < limit) silent.push_back(connection);
+    if (session.lastReceivedAt < limit) silent.push_back(connection);
   }
   for (const auto& [connection, since] : unsubscribed_) {
     if (since < limit) silent.push_back(connection);
@@ -228,35 +228,35 @@
   for (const auto connection : silent) closeNode(connection);
 }
 
-void Relay::sendAllAway() {
-  constexpr base::Duration kSpread = base::milliseconds(200);
+void Relay::redirectAllNodes() {
+  constexpr base::Duration kRedirectSpread = base::milliseconds(200);
   std::vector<base::ConnectionId> connections;
   for (const auto& [connection, session] : nodes_.all()) connections.push_back(connection);
   for (const auto connection : connections) {
-    sendRetryLater(connection, random_.duration(kSpread));
+    sendRetryLater(connection, random_.duration(kRedirectSpread));
     dropNode(connection);
   }
 }
 
 void Relay::onNodeTimer() {
   nodeTimer_.start(options_.nodeHeartbeat);
-  nodes_.heartbeat(currentHeartbeat(), source_.source() != 0);
+  nodes_.heartbeat(currentHeartbeat(), controllerLinks_.source() != 0);
   nodes_.deliverAll();
-  versions_.tellUnsettled();
+  versions_.reportServicesWithoutRollout();
   const auto now = scheduler_.now();
   closeSilentNodes();
   // A relay whose table or whose releases stall can't serve changes; its nodes are better off elsewhere.
-  const auto behind = freshness_.behindSince();
-  const bool stalled = behind && now - *behind > options_.blockedLimit;
+  const auto behind = freshness_.laggingSince();
+  const bool stalled = behind && now - *behind > options_.stallTimeout;
   bool blocked = false;
   for (const auto& group : options_.releaseGroups) {
     blocked = blocked || (releases_.serves(group.zone) && releases_.released(group.zone) < replica_.revision());
   }
   const bool starting = now - startedAt_ < kStartGrace;
-  if (!blocked || starting) releasedAt_ = now;
-  if ((stalled && !starting) || (blocked && now - releasedAt_ > options_.blockedLimit)) {
-    for (const auto& relayId : releases_.peers()) sendHeld(relayId, 0, true);
-    sendAllAway();
+  if (!blocked || starting) fullyReleasedAt_ = now;
+  if ((stalled && !starting) || (blocked && now - fullyReleasedAt_ > options_.stallTimeout)) {
+    for (const auto& relayId : releases_.peers()) sendHeldRevision(relayId, 0, true);
+    redirectAllNodes();
   }
 }
 
--- a/src/relay/release_group.cc
+++ b/src/relay/release_group.cc
@@ -16,13 +16,13 @@
   }
 }
 
-void ReleaseTracker::setOwn(int64_t revision) {
+void ReleaseTracker::setOwnRevision(int64_t revision) {
   ownRevision_ = std::max(ownRevision_, revision);
   recompute();
 }
 
-void ReleaseTracker::onHeld(const std::string& relayId, int64_t revision) {
-  holdings_[relayId] = revision;
+void ReleaseTracker::onHeldRevision(const std::string& relayId, int64_t revision) {
+  heldRevisions_[relayId] = revision;
   recompute();
 }
 
@@ -34,11 +34,11 @@
         revisions.push_back(ownRevision_);
         continue;
       }
-      const auto found = holdings_.find(relayId);
-      revisions.push_back(found == holdings_.end() ? 0 : found->second);
+      const auto found = heldRevisions_.find(relayId);
+      revisions.push_back(found == heldRevisions_.end() ? 0 : found->second);
     }
     std::sort(revisions.begin(), revisions.end(), std::greater<>());
-    const int64_t quorum = disabled_ ? ownRevision_ : revisions[group.writeQuorum() - 1];
+    const int64_t quorum = quorumDisabled_ ? ownRevision_ : revisions[group.writeQuorum() - 1];
     auto& released = released_[zone];
     released = std::max(released, std::min(quorum, ownRevision_));
   }
--- a/src/relay/release_group.h
+++ b/src/relay/release_group.h
@@ -34,13 +34,13 @@
   ReleaseTracker(std::string ownId, std::vector<ReleaseGroup> groups);
 
   /// The own table moved forward.
-  void setOwn(int64_t revision);
+  void setOwnRevision(int64_t revision);
 
   /// Another relay said what it holds.
-  void onHeld(const std::string& relayId, int64_t revision);
+  void onHeldRevision(const std::string& relayId, int64_t revision);
 
   /// A peer's connection closed; it may have restarted without its table.
-  void onLost(const std::string& relayId) { holdings_.erase(relayId); }
+  void onPeerDisconnected(const std::string& relayId) { heldRevisions_.erase(relayId); }
 
   /// @return the newest revision that may be handed to nodes of a zone; 0 for zones this relay does not serve.
   int64_t released(const std::string& zone) const;
@@ -59,7 +59,7 @@
   const ReleaseGroup* group(const std::string& zone) const;
 
   /// Releases everything that is held; only to prove in the simulator that a checker notices.
-  void disable() { disabled_ = true; }
+  void disable() { quorumDisabled_ = true; }
 
  private:
   void recompute();
@@ -67,10 +67,10 @@
   std::string ownId_;
   std::map<std::string, ReleaseGroup> groups_;  // by zone
   std::set<std::string> peers_;
-  std::map<std::string, int64_t> holdings_;  // revisions held by other relays, by relay id
-  std::map<std::string, int64_t> released_;  // by zone
+  std::map<std::string, int64_t> heldRevisions_;  // revisions held by other relays, by relay id
+  std::map<std::string, int64_t> released_;       // by zone
   int64_t ownRevision_ = 0;
-  bool disabled_ = false;
+  bool quorumDisabled_ = false;
   bool everyZone_ = false;
 };
 
--- a/src/relay/slice_cache.cc
+++ b/src/relay/slice_cache.cc
@@ -21,29 +21,29 @@
 
 void CachedSlice::dropFrames() {
   frames_.clear();
-  whole_ = {};
+  full_ = {};
 }
 
-wire::FramePtr CachedSlice::choose(Encoded* encoded, bool packed) {
+wire::FramePtr CachedSlice::selectForm(EncodedForms* encoded, bool packed) {
   if (!packed) return encoded->plain;
   if (!encoded->packed) encoded->packed = wire::packFrame(encoded->plain);
   return encoded->packed;
 }
 
-wire::FramePtr CachedSlice::wholeAt(int64_t revision, bool packed) {
-  if (whole_.plain && wholeRevision_ == revision) return choose(&whole_, packed);
+wire::FramePtr CachedSlice::fullFrame(int64_t revision, bool packed) {
+  if (full_.plain && fullRevision_ == revision) return selectForm(&full_, packed);
   wire::RowFrameHead head;
   head.full = true;
   head.toRevision = revision;
   head.digest = slice_.digest();
-  whole_ = {wire::encodeSliceUpdate(head, slice_.allRows()), nullptr};
-  wholeRevision_ = revision;
-  return choose(&whole_, packed);
+  full_ = {wire::encodeSliceUpdate(head, slice_.allRows()), nullptr};
+  fullRevision_ = revision;
+  return selectForm(&full_, packed);
 }
 
-wire::FramePtr CachedSlice::updateFrom(int64_t fromRevision, bool packed) {
+wire::FramePtr CachedSlice::deltaFrame(int64_t fromRevision, bool packed) {
   const auto found = frames_.find(fromRevision);
-  if (found != frames_.end()) return choose(&found->second, packed);
+  if (found != frames_.end()) return selectForm(&found->second, packed);
   wire::RowFrameHead head;
   head.fromRevision = fromRevision;
   head.toRevision = slice_.revision();
@@ -51,7 +51,7 @@
   if (frames_.size() >= kMaxCachedFrames) frames_.clear();
   auto& encoded = frames_[fromRevision];
   encoded.plain = wire::encodeSliceUpdate(head, slice_.changedSince(fromRevision));
-  return choose(&encoded, packed);
+  return selectForm(&encoded, packed);
 }
 
 std::shared_ptr<CachedSlice> SliceCache::get(const table::Interest& wanted, const table::Table& table) {
--- a/src/relay/slice_cache.h
+++ b/src/relay/slice_cache.h
@@ -27,26 +27,26 @@
 
   /// @param packed whether the node takes packed frames, which spare a narrow link most of a large slice
   /// @return every row, labelled with a table revision at which the slice is as it is now.
-  wire::FramePtr wholeAt(int64_t revision, bool packed);
+  wire::FramePtr fullFrame(int64_t revision, bool packed);
 
   /// @param packed as above
   /// @return the changes since a revision above 0.
-  wire::FramePtr updateFrom(int64_t fromRevision, bool packed);
+  wire::FramePtr deltaFrame(int64_t fromRevision, bool packed);
 
  private:
   /// A frame in both forms, each null until asked for.
-  struct Encoded {
+  struct EncodedForms {
     wire::FramePtr plain;
     wire::FramePtr packed;
   };
 
-  static wire::FramePtr choose(Encoded* encoded, bool packed);
+  static wire::FramePtr selectForm(EncodedForms* encoded, bool packed);
   void dropFrames();
 
   table::Slice slice_;
-  Encoded whole_;
-  int64_t wholeRevision_ = 0;          // label of whole_
-  std::map<int64_t, Encoded> frames_;  // updates to revision(), by the revision they start from
+  EncodedForms full_;
+  int64_t fullRevision_ = 0;                // label of whole_
+  std::map<int64_t, EncodedForms> frames_;  // updates to revision(), by the revision they start from
 };
 
 /// All slices that are in use.
--- a/src/relay/covered_freshness.h
+++ b/src/relay/table_freshness.h
@@ -11,7 +11,7 @@
 
 /// The freshness in a leader's heartbeat counts once the table has reached the revision that the leader had when it
 /// sent it, as rows and heartbeats may arrive over different connections.
-class CoveredFreshness {
+class TableFreshness {
  public:
   /// A heartbeat arrived from the leader.
   /// @param revision of the table now
@@ -24,20 +24,20 @@
   const wire::Freshness& value() const { return value_; }
 
   /// @return when that freshness was first received; the epoch if none was.
-  base::TimePoint heardAt() const { return heardAt_; }
+  base::TimePoint receivedAt() const { return heardAt_; }
 
   /// @return since when the table lacks a revision that a leader has; nullopt when it lacks none.
-  std::optional<base::TimePoint> behindSince() const;
+  std::optional<base::TimePoint> laggingSince() const;
 
  private:
-  struct Waiting {
+  struct PendingHeartbeat {
     wire::ControllerHeartbeat heartbeat;
-    base::TimePoint heardAt;
+    base::TimePoint receivedAt;
   };
 
   wire::Freshness value_;
   base::TimePoint heardAt_{};
-  std::deque<Waiting> waiting_;  // not covered yet, oldest first; when full, the last stands for later ones
+  std::deque<PendingHeartbeat> pending_;  // not covered yet, oldest first; when full, the last stands for later ones
 };
 
 }  // namespace driftlug::relay
--- a/src/relay/version_reports.cc
+++ b/src/relay/version_reports.cc
@@ -4,7 +4,7 @@
 namespace {
 
 /// For how long reports are gathered.
-constexpr base::Duration kGather = base::milliseconds(100);
+constexpr base::Duration kBatchDelay = base::milliseconds(100);
 
 }  // namespace
 
@@ -13,35 +13,35 @@
     : replica_(replica), endpoints_(endpoints), send_(std::move(send)), flushTimer_(scheduler, [this] { flush(); }) {}
 
 void VersionReportSender::onReports(const wire::VersionReports& reports) {
-  for (const auto& report : reports.reports) waiting_[report.endpoint] = report;
-  if (!waiting_.empty() && !flushTimer_.running()) flushTimer_.start(kGather);
+  for (const auto& report : reports.reports) pending_[report.endpoint] = report;
+  if (!pending_.empty() && !flushTimer_.running()) flushTimer_.start(kBatchDelay);
 }
 
 void VersionReportSender::flush() {
   wire::VersionReports message;
-  for (auto& [endpoint, report] : waiting_) message.reports.push_back(std::move(report));
-  waiting_.clear();
+  for (auto& [endpoint, report] : pending_) message.reports.push_back(std::move(report));
+  pending_.clear();
   (void)send_(message);
 }
 
-void VersionReportSender::onNews(const std::vector<wire::EndpointState>& news) {
-  for (const auto& state : news) {
-    const bool told = !state.version.empty() && state.condition == wire::EndpointCondition::LIVE;
+void VersionReportSender::onNewEndpointStates(const std::vector<wire::EndpointState>& states) {
+  for (const auto& state : states) {
+    const bool reportsVersion = !state.version.empty() && state.condition == wire::EndpointCondition::LIVE;
     const auto row = table::makeKey(table::RowKind::ROLLOUT, state.serviceName);
-    if (told && !replica_.table().find(row)) unsettled_.insert(state.serviceName);
+    if (reportsVersion && !replica_.table().find(row)) servicesWithoutRollout_.insert(state.serviceName);
   }
 }
 
-void VersionReportSender::tellUnsettled() {
-  std::erase_if(unsettled_, [this](const std::string& service) {
+void VersionReportSender::reportServicesWithoutRollout() {
+  std::erase_if(servicesWithoutRollout_, [this](const std::string& service) {
     return replica_.table().find(table::makeKey(table::RowKind::ROLLOUT, service)) != nullptr;
   });
-  if (unsettled_.empty()) return;
+  if (servicesWithoutRollout_.empty()) return;
   std::map<std::pair<std::string, std::string>, int> counts;
-  for (const auto& service : unsettled_) {
+  for (const auto& service : servicesWithoutRollout_) {
     for (const auto& state : endpoints_.ofService(service)) {
-      const bool told = !state.version.empty() && state.condition == wire::EndpointCondition::LIVE;
-      if (told) ++counts[{service, state.version}];
+      const bool reportsVersion = !state.version.empty() && state.condition == wire::EndpointCondition::LIVE;
+      if (reportsVersion) ++counts[{service, state.version}];
     }
   }
   wire::SeenVersions message;
--- a/src/relay/version_reports.h
+++ b/src/relay/version_reports.h
@@ -32,10 +32,10 @@
   void onReports(const wire::VersionReports& reports);
 
   /// States of endpoints that are news.
-  void onNews(const std::vector<wire::EndpointState>& news);
+  void onNewEndpointStates(const std::vector<wire::EndpointState>& states);
 
   /// Tells what has no row yet; called now and then.
-  void tellUnsettled();
+  void reportServicesWithoutRollout();
 
  private:
   void flush();
@@ -43,8 +43,8 @@
   const TableReplica& replica_;
   const membership::EndpointDirectory& endpoints_;
   Send send_;
-  std::map<std::string, wire::VersionReport> waiting_;  // by endpoint
-  std::set<std::string> unsettled_;                     // services that may have no row
+  std::map<std::string, wire::VersionReport> pending_;  // by endpoint
+  std::set<std::string> servicesWithoutRollout_;        // services that may have no row
   base::Timer flushTimer_;
 };
 
--- a/test/membership/peer_links_test.cc
+++ b/test/membership/peer_links_test.cc
@@ -75,7 +75,7 @@
   void onClose(base::ConnectionId connection) override { links->onClose(connection); }
 
   /// @return whether the link is up within a time
-  bool upWithin(base::Duration duration) {
+  bool connectedWithin(base::Duration duration) {
     const auto until = queue.now() + duration;
     while (queue.runNext(until)) {
     }
@@ -92,21 +92,21 @@
 }  // namespace
 
 TEST_CASE_METHOD(SlowFixture, "a peer behind a link on which openings take 1.5 s is reached") {
-  network.openingTakes = base::milliseconds(1500);
+  network.openDelay = base::milliseconds(1500);
   links->setAddresses({kPeer});
-  CHECK(upWithin(base::milliseconds(1600)));
+  CHECK(connectedWithin(base::milliseconds(1600)));
   CHECK(network.connected.size() == 1);  // what was begun beside it is closed
-  CHECK(upWithin(base::seconds(10)));
+  CHECK(connectedWithin(base::seconds(10)));
   CHECK(network.connected.size() == 1);
 }
 
 TEST_CASE_METHOD(SlowFixture, "a peer that is away costs four attempts at a time, and is reached when it is back") {
-  network.openingTakes = std::chrono::hours(1);
+  network.openDelay = std::chrono::hours(1);
   links->setAddresses({kPeer});
-  CHECK_FALSE(upWithin(base::seconds(30)));
-  CHECK(network.mostAtOnce == 4);
-  network.openingTakes = base::milliseconds(1);
-  CHECK(upWithin(base::seconds(1)));
+  CHECK_FALSE(connectedWithin(base::seconds(30)));
+  CHECK(network.maxConcurrentAttempts == 4);
+  network.openDelay = base::milliseconds(1);
+  CHECK(connectedWithin(base::seconds(1)));
   links->setAddresses({});
   CHECK(network.connected.empty());
 }
--- a/test/membership/slow_network.h
+++ b/test/membership/slow_network.h
@@ -6,20 +6,20 @@
 
 namespace driftlug::test {
 
-/// Each opening needs `openingTakes`, and fails where its time is shorter.
+/// Each opening needs `openDelay`, and fails where its time is shorter.
 class SlowNetwork : public RecordingNetwork {
  public:
   explicit SlowNetwork(base::Scheduler& scheduler) : scheduler_(scheduler) {}
 
   base::ConnectionId connect(const base::Address& address) override {
-    return connectWithTimeout(address, kUsualTimeout);
+    return connectWithTimeout(address, kDefaultTimeout);
   }
 
   base::ConnectionId connectWithTimeout(const base::Address& address, base::Duration timeout) override {
     const auto connection = RecordingNetwork::connect(address);
-    mostAtOnce = std::max(mostAtOnce, connected.size());
-    const bool opens = openingTakes <= timeout;
-    scheduler_.schedule(opens ? openingTakes : timeout, [this, connection, opens] {
+    maxConcurrentAttempts = std::max(maxConcurrentAttempts, connected.size());
+    const bool opens = openDelay <= timeout;
+    scheduler_.schedule(opens ? openDelay : timeout, [this, connection, opens] {
       if (connected.count(connection) == 0) return;
       if (opens) return handler->onOpen(connection, hello);
       connected.erase(connection);
@@ -28,13 +28,13 @@
     return connection;
   }
 
-  base::Duration openingTakes{0};
-  size_t mostAtOnce = 0;
+  base::Duration openDelay{0};
+  size_t maxConcurrentAttempts = 0;
   wire::Hello hello;  // of whoever is reached
   base::ConnectionHandler* handler = nullptr;
 
  private:
-  static constexpr base::Duration kUsualTimeout = base::milliseconds(700);  // as of the frame transport
+  static constexpr base::Duration kDefaultTimeout = base::milliseconds(700);  // as of the frame transport
 
   base::Scheduler& scheduler_;
 };
--- a/test/relay/controller_links_test.cc
+++ b/test/relay/controller_links_test.cc
@@ -2,7 +2,7 @@
 
 #include "membership/slow_network.h"
 #include "node/recording_network.h"
-#include "relay/source.h"
+#include "relay/controller_links.h"
 #include "simulation/process.h"
 
 namespace driftlug::relay {
@@ -107,7 +107,7 @@
 }  // namespace
 
 TEST_CASE_METHOD(SlowFixture, "a controller behind a link on which openings take 1.5 s is reached") {
-  network.openingTakes = base::milliseconds(1500);
+  network.openDelay = base::milliseconds(1500);
   links.start();
   runFor(base::milliseconds(1600));
   CHECK(open.size() == 1);
--- a/test/relay/dynamic_endpoints_test.cc
+++ b/test/relay/dynamic_endpoints_test.cc
@@ -101,7 +101,7 @@
   }
 
   /// @return the conditions that one connection was told of.
-  std::vector<wire::EndpointCondition::type> told(base::ConnectionId connection) {
+  std::vector<wire::EndpointCondition::type> receivedConditions(base::ConnectionId connection) {
     std::vector<wire::EndpointCondition::type> conditions;
     for (const auto& sent : network.sent) {
       const auto* states = std::get_if<wire::EndpointStates>(&sent.message);
@@ -142,10 +142,10 @@
 
 TEST_CASE_METHOD(LeaderlessFixture,
                  "a node that waits for its first version hears of a leader only while there is one") {
-  wire::ControllerHeartbeat word;
-  word.freshness.term = 2;
-  word.freshness.round = 1;
-  relay->onMessage(source, word);
+  wire::ControllerHeartbeat leaderHeartbeat;
+  leaderHeartbeat.freshness.term = 2;
+  leaderHeartbeat.freshness.round = 1;
+  relay->onMessage(source, leaderHeartbeat);
   const auto waiting = attach(100, "waiting");
   const auto lastTerm = [&] {
     int64_t term = -1;
@@ -168,11 +168,11 @@
   const auto reader = attach(100, "reader");
   const auto announcer = attach(101, "announcer");
   announce(announcer, "other", EndpointCondition::LIVE);
-  CHECK(told(reader).empty());
+  CHECK(receivedConditions(reader).empty());
   announce(announcer, "records", EndpointCondition::LIVE);
-  CHECK(told(reader) == std::vector<EndpointCondition::type>{EndpointCondition::LIVE});
+  CHECK(receivedConditions(reader) == std::vector<EndpointCondition::type>{EndpointCondition::LIVE});
   announce(announcer, "records", EndpointCondition::DRAINING);
-  CHECK(told(reader).back() == EndpointCondition::DRAINING);
+  CHECK(receivedConditions(reader).back() == EndpointCondition::DRAINING);
 }
 
 TEST_CASE_METHOD(Fixture, "a node that comes later is told of what was announced before") {
@@ -180,7 +180,7 @@
   const auto announcer = attach(101, "announcer");
   announce(announcer, "records", EndpointCondition::LIVE);
   const auto late = attach(102, "late");
-  CHECK(told(late) == std::vector<EndpointCondition::type>{EndpointCondition::LIVE});
+  CHECK(receivedConditions(late) == std::vector<EndpointCondition::type>{EndpointCondition::LIVE});
 }
 
 TEST_CASE_METHOD(Fixture, "when routes begin to need a service, its endpoints are told") {
@@ -188,9 +188,9 @@
   const auto reader = attach(100, "reader");
   const auto announcer = attach(101, "announcer");
   announce(announcer, "archive", EndpointCondition::LIVE);
-  CHECK(told(reader).empty());
+  CHECK(receivedConditions(reader).empty());
   update(2, "archive");
-  CHECK(told(reader) == std::vector<EndpointCondition::type>{EndpointCondition::LIVE});
+  CHECK(receivedConditions(reader) == std::vector<EndpointCondition::type>{EndpointCondition::LIVE});
 }
 
 TEST_CASE_METHOD(Fixture, "the controllers' members become the relays that nodes are told of, and peers") {
@@ -221,8 +221,8 @@
 }
 
 /// A node announces its endpoint on one connection, opens another and greets on it; both ends of it are then lost.
-struct AbandonedFixture : public Fixture {
-  AbandonedFixture() {
+struct SilentConnectionFixture : public Fixture {
+  SilentConnectionFixture() {
     update(1, "records");
     attach(kReader, "reader");
     attach(kFirst, "announcer");
@@ -236,7 +236,7 @@
   }
 
   /// The reader stays heard meanwhile.
-  void passSeconds(int seconds) {
+  void runWithReaderAlive(int seconds) {
     for (int i = 0; i < seconds; ++i) {
       relay->onMessage(kReader, wire::KeepAlive());
       runFor(base::seconds(1));
@@ -248,20 +248,21 @@
   static constexpr base::ConnectionId kSecond = 102;
 };
 
-TEST_CASE_METHOD(AbandonedFixture, "a node that greets and is then lost in silence keeps no endpoint alive") {
-  passSeconds(3);
-  CHECK(told(kReader).back() == EndpointCondition::LIVE);
+TEST_CASE_METHOD(SilentConnectionFixture, "a node that greets and is then lost in silence keeps no endpoint alive") {
+  runWithReaderAlive(3);
+  CHECK(receivedConditions(kReader).back() == EndpointCondition::LIVE);
   CHECK(network.closed.count(kSecond) == 0);
-  passSeconds(4);
-  CHECK(told(kReader).back() == EndpointCondition::GONE);
+  runWithReaderAlive(4);
+  CHECK(receivedConditions(kReader).back() == EndpointCondition::GONE);
   CHECK(network.closed.count(kSecond) == 1);
 }
 
-TEST_CASE_METHOD(AbandonedFixture, "the end of a connection without a subscription starts the lease of endpoints too") {
-  passSeconds(3);
+TEST_CASE_METHOD(SilentConnectionFixture,
+                 "the end of a connection without a subscription starts the lease of endpoints too") {
+  runWithReaderAlive(3);
   relay->onClose(kSecond);
-  passSeconds(3);
-  CHECK(told(kReader).back() == EndpointCondition::GONE);
+  runWithReaderAlive(3);
+  CHECK(receivedConditions(kReader).back() == EndpointCondition::GONE);
 }
 
 }  // namespace driftlug::relay
--- a/test/relay/state_spread_test.cc
+++ b/test/relay/endpoint_state_distributor_test.cc
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "node/recording_network.h"
-#include "relay/state_spread.h"
+#include "relay/endpoint_state_distributor.h"
 #include "simulation/process.h"
 
 namespace driftlug::relay {
@@ -50,7 +50,7 @@
       state.address = "10.0.0.5";
       state.port = 7000;
       directory.update(state, "origin");
-      spread.add({state}, true);
+      distributor.add({state}, true);
       runFor(within / endpoints);
     }
     runFor(base::seconds(1));
@@ -81,10 +81,10 @@
   NodeSessions nodes{network, releases};
   membership::EndpointDirectory directory;
   membership::PeerLinks peers{network, process, base::RandomSource(1)};
-  StateSpread spread{process, network, directory, nodes, peers};
+  EndpointStateDistributor distributor{process, network, directory, nodes, peers};
 };
 
-size_t messagesAtAStartOf(int endpoints) {
+size_t messagesPerNodeAtStartOf(int endpoints) {
   Fixture fixture;
   fixture.announce(endpoints, base::seconds(1));
   for (int i = 0; i < kNodes; ++i) CHECK(fixture.statesTo(kFirstNode + i) == static_cast<size_t>(endpoints));
@@ -94,7 +94,7 @@
 }  // namespace
 
 TEST_CASE("the messages that a node gets at a start of the fleet do not grow with the fleet") {
-  CHECK(messagesAtAStartOf(2000) <= messagesAtAStartOf(250));
+  CHECK(messagesPerNodeAtStartOf(2000) <= messagesPerNodeAtStartOf(250));
 }
 
 TEST_CASE_METHOD(Fixture, "news after a calm time leave at once") {
@@ -108,7 +108,7 @@
   state.sequence = 2;
   state.address = "10.0.0.5";
   directory.update(state, "origin");
-  spread.add({state}, true);
+  distributor.add({state}, true);
   CHECK(messagesTo(kFirstNode) == before + 1);
 }
 
@@ -124,7 +124,7 @@
     state.sequence = i;
     state.condition = i % 2 == 0 ? wire::EndpointCondition::DRAINING : wire::EndpointCondition::LIVE;
     directory.update(state, "origin");
-    spread.add({state}, false);
+    distributor.add({state}, false);
   }
   runFor(base::seconds(1));
   // The first leaves at once, the three behind it as one.
--- a/test/relay/release_group_test.cc
+++ b/test/relay/release_group_test.cc
@@ -20,36 +20,36 @@
 
 TEST_CASE("a revision is released once two members hold it") {
   auto releases = tracker();
-  releases.setOwn(10);
+  releases.setOwnRevision(10);
   CHECK(releases.released("zone-1") == 0);
-  releases.onHeld("relay-3", 9);
+  releases.onHeldRevision("relay-3", 9);
   CHECK(releases.released("zone-1") == 9);
-  releases.onHeld("relay-2", 10);
+  releases.onHeldRevision("relay-2", 10);
   CHECK(releases.released("zone-1") == 10);
 }
 
 TEST_CASE("what others hold beyond the own table is not released here") {
   auto releases = tracker();
-  releases.setOwn(10);
-  releases.onHeld("relay-2", 12);
-  releases.onHeld("relay-3", 12);
+  releases.setOwnRevision(10);
+  releases.onHeldRevision("relay-2", 12);
+  releases.onHeldRevision("relay-3", 12);
   CHECK(releases.released("zone-1") == 10);
 }
 
 TEST_CASE("a release is never taken back, also when a peer restarts empty") {
   auto releases = tracker();
-  releases.setOwn(10);
-  releases.onHeld("relay-2", 10);
-  releases.onLost("relay-2");
-  releases.onHeld("relay-2", 0);
+  releases.setOwnRevision(10);
+  releases.onHeldRevision("relay-2", 10);
+  releases.onPeerDisconnected("relay-2");
+  releases.onHeldRevision("relay-2", 0);
   CHECK(releases.released("zone-1") == 10);
-  releases.setOwn(11);
+  releases.setOwnRevision(11);
   CHECK(releases.released("zone-1") == 10);
 }
 
 TEST_CASE("zones of other groups are not served") {
   auto releases = tracker();
-  releases.setOwn(10);
+  releases.setOwnRevision(10);
   CHECK(!releases.serves("zone-9"));
   CHECK(releases.released("zone-9") == 0);
 }
--- a/test/work/relay_work_test.cc
+++ b/test/work/relay_work_test.cc
@@ -22,7 +22,7 @@
 	rows.addRoutes(kChange);
 	const auto start = allocationsSoFar().count;
 	(void)slices.onTableChange(rows.table, rows.change);
-	(void)slice->updateFrom(before, true);
+	(void)slice->deltaFrame(before, true);
 	return allocationsSoFar().count - start;
 }
 
