--- a/src/membership/connection_attempts.cc
+++ b/src/membership/connection_attempts.cc
@@ -3,11 +3,11 @@
 namespace driftlug::membership {
 namespace {
 
-/// After this an answer is late on every way that isn't full, and the next attempt begins.
+/// On any path that is not congested the connection is established within this time; after it the next attempt starts.
 constexpr base::Duration kAttemptInterval = base::milliseconds(700);
 constexpr size_t kMaxAttempts = 4;
-constexpr base::Duration kAttemptTimeout =
-    kMaxAttempts * kAttemptInterval;  // the oldest ends when the one behind the last begins
+/// The oldest attempt ends when the one after the last starts.
+constexpr base::Duration kAttemptTimeout = kMaxAttempts * kAttemptInterval;
 
 }  // namespace
 
--- a/src/membership/connection_attempts.h
+++ b/src/membership/connection_attempts.h
@@ -1,4 +1,4 @@
-/// Attempts to open connections to addresses, each next to those before it.
+/// Overlapping attempts to open connections to addresses.
 #pragma once
 
 #include <map>
@@ -12,44 +12,45 @@
 
 namespace driftlug::membership {
 
-/// Opens one connection to each address that is asked for.
+/// Opens one connection to each requested address.
 ///
-/// An opening behind a full link takes longer than one to a machine that is away may. With one short attempt at a time,
-/// each begins again behind what is queued: with openings of 1.5 s and attempts of 0.7 s no connection ever came up
-/// (test). So an attempt goes on while the next one begins, and the first that is up is used.
+/// Establishing a connection over a congested link takes longer than the timeout that suits an unreachable machine.
+/// With one short attempt at a time, each new attempt queues behind the traffic on the link again: if a handshake
+/// takes 1.5 s and attempts end after 0.7 s, no connection is ever established (see the test). So an attempt continues
+/// while the next one starts, and the first connection that is established is used.
 ///
-/// Invariants: an address has attempts until one is up, all have ended, or it is stopped; at most kMaxAttempts at a
+/// Invariants: an address has attempts until one succeeds, all have failed, or it is stopped; at most kMaxAttempts at a
 /// time.
 class ConnectionAttempts {
  public:
   ConnectionAttempts(base::Network& network, base::Scheduler& scheduler) : network_(network), scheduler_(scheduler) {}
 
-  /// Begins to open a connection, unless that is in progress.
+  /// Starts to open a connection, unless that is in progress.
   void start(const base::Address& address);
 
-  /// Gives up on an address.
+  /// Cancels all attempts to an address.
   void stop(const base::Address& address);
 
   bool inProgress(const base::Address& address) const { return attempts_.count(address) > 0; }
-  /// @return those that are tried to be reached
+  /// @return the addresses with attempts in progress
   std::vector<base::Address> addresses() const;
 
   bool owns(base::ConnectionId connection) const { return addressOf_.count(connection) > 0; }
 
-  /// @return how long ago the newest attempt to an address began; nothing when there is none
+  /// @return the time since the newest attempt to an address started; nullopt if there is none
   std::optional<base::Duration> sinceLastAttempt(const base::Address& address) const;
 
-  /// A connection is up: it is the caller's from now on, and the other attempts to its address end.
-  /// @return its address; nothing when it isn't one of these
+  /// Handles an established connection: its ownership passes to the caller, and the other attempts to its address end.
+  /// @return its address; nullopt if it is not one of these attempts
   std::optional<base::Address> onOpen(base::ConnectionId connection);
 
-  /// An attempt has failed.
-  /// @return its address when it was the last one there; nothing while others go on
+  /// Handles a failed attempt.
+  /// @return its address if it was the last attempt to it; nullopt while others continue
   std::optional<base::Address> onClose(base::ConnectionId connection);
 
  private:
   struct Attempts {
-    std::set<base::ConnectionId> connections;  // the oldest first
+    std::set<base::ConnectionId> connections;  // oldest first
     base::TimePoint lastStartedAt{};
     std::unique_ptr<base::Timer> next;
   };
--- a/src/membership/freshness.h
+++ b/src/membership/freshness.h
@@ -1,4 +1,4 @@
-/// Comparison of what controllers' quorums have confirmed.
+/// Comparison of freshness values, each a round that a quorum of controllers has confirmed.
 #pragma once
 
 #include <tuple>
--- a/src/membership/peer_links.cc
+++ b/src/membership/peer_links.cc
@@ -4,8 +4,8 @@
 namespace {
 
 constexpr base::Duration kReconnectDelay = base::milliseconds(100);
-/// An attempt that has lasted this long began while the peer was not there. Younger ones are let be: two peers that
-/// connect to each other at once must not go on cutting each other's attempts off.
+/// An attempt older than this started while the peer was unreachable. Younger ones continue: two peers that connect to
+/// each other at the same time must not keep cancelling each other's attempts.
 constexpr base::Duration kStaleAttemptAge = base::milliseconds(100);
 
 }  // namespace
@@ -58,8 +58,8 @@
   byConnection_[connection] = *address;
 }
 
-/// A peer that has connected to this side is there: attempts that began while it was not, and hang in silence, are not
-/// waited for.
+/// A peer that connects to this process is reachable, so attempts that started while it was not, and hang without a
+/// reply, are replaced by a new one at once.
 void PeerLinks::onPeerConnected(const wire::Hello& peer) {
   const base::Address address{peer.address, peer.framePort};
   const auto attemptAge = connectionAttempts_.sinceLastAttempt(address);
--- a/src/membership/peer_links.h
+++ b/src/membership/peer_links.h
@@ -15,12 +15,12 @@
 
 /// Keeps connections to other processes open and maps their ids to them.
 ///
-/// Messages go out on the connection that this side opened; they are taken from any connection.
+/// Messages are sent on the connection that this process opened and accepted from any connection.
 class PeerLinks {
  public:
   PeerLinks(base::Network& network, base::Scheduler& scheduler, base::RandomSource random);
 
-  /// Sets the addresses to hold connections to.
+  /// Sets the addresses to keep connections to; connections to others are closed.
   void setAddresses(const std::set<base::Address>& addresses);
 
   /// @return whether the connection was opened by this object.
@@ -28,26 +28,26 @@
     return byConnection_.count(connection) > 0 || connectionAttempts_.owns(connection);
   }
 
-  /// A connection that this side opened is up, or a peer has connected to this side.
+  /// Handles an established connection, opened by this process or by a peer.
   void onOpen(base::ConnectionId connection, const wire::Hello& peer);
   void onClose(base::ConnectionId connection);
 
-  /// The process on a connection said something new of itself.
+  /// Handles an updated hello of the process on a connection.
   void onHello(base::ConnectionId connection, const wire::Hello& peer);
 
-  /// Sends to the process with this id, if a connection to it is open.
+  /// Sends to the process with this id; dropped if no connection to it is open.
   void sendTo(const std::string& peerId, const wire::FramePtr& frame);
 
-  /// Sends to every process that a connection is open to.
+  /// Sends to every process with an open connection.
   void sendToAll(const wire::Message& message);
 
-  /// @return what the process at an address said of itself, or null while no connection is open.
+  /// @return the hello of the process at an address, or null while no connection is open.
   const wire::Hello* helloOf(const base::Address& address) const;
 
  private:
   struct Link {
-    base::ConnectionId connection = 0;  // 0 while it isn't open
-    wire::Hello hello;                  // of an open one
+    base::ConnectionId connection = 0;  // 0 while not open
+    wire::Hello hello;                  // valid while open
 
     bool open() const { return connection != 0; }
   };
@@ -61,7 +61,7 @@
   base::RandomSource random_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
   std::map<base::Address, Link> links_;
-  std::map<base::ConnectionId, base::Address> byConnection_;  // of open ones
+  std::map<base::ConnectionId, base::Address> byConnection_;  // open connections
   ConnectionAttempts connectionAttempts_;
   base::Timer keepAliveTimer_;
 };
--- a/src/relay/controller_links.cc
+++ b/src/relay/controller_links.cc
@@ -95,7 +95,7 @@
 void ControllerLinks::onAway() {
   const auto open = open_;
   for (const auto& [connection, address] : open) drop(connection);
-  // One that came up meanwhile has been sent old word too.
+  // A connection that was established meanwhile may carry stale messages too.
   for (const auto& address : connectionAttempts_.addresses()) {
     connectionAttempts_.stop(address);
     reconnectLater(address);
@@ -109,7 +109,7 @@
     freshSince_ = scheduler_.now();
   }
   if (connection == source_ || isNewer(freshness_, freshness)) return false;
-  // A second leader can only be a newer one, or one that does not know yet that it was replaced.
+  // A second leader is either newer or does not know yet that it has been replaced.
   if (source_ != 0 && !newer) return false;
   source_ = connection;
   return true;
--- a/src/relay/controller_links.h
+++ b/src/relay/controller_links.h
@@ -1,4 +1,4 @@
-/// Where a relay gets its table: connections to all controllers, of which the leader feeds it.
+/// Connections of a relay to all controllers. The leader is the source of its table.
 #pragma once
 
 #include <functional>
@@ -13,10 +13,10 @@
 
 namespace driftlug::relay {
 
-/// Keeps a connection to every controller; follows the one whose freshness is newest.
+/// Keeps a connection to every controller and follows the one whose freshness is newest.
 ///
-/// Invariant: at most one controller is the source; it is left only for one with a newer freshness or when its
-/// connection closes.
+/// Invariant: at most one controller is the source. It is replaced only by one with a newer freshness, and given up
+/// only when its connection closes or it reports that it is not the leader.
 class ControllerLinks {
  public:
   ControllerLinks(base::Network& network, base::Scheduler& scheduler, base::RandomSource random,
@@ -25,37 +25,37 @@
   /// Opens all connections.
   void start();
 
-  /// Keeps connections to these controllers and the learned ones, and closes all others.
+  /// Sets the configured controllers; connections to those neither configured nor learned are closed.
   void setConfigured(const std::vector<base::Address>& configured);
 
-  /// Keeps connections to these controllers besides the configured ones, and closes all others.
+  /// Sets the controllers learned from the member list; connections to those neither configured nor learned are closed.
   void setLearned(const std::set<base::Address>& learned);
 
   bool owns(base::ConnectionId connection) const {
     return open_.count(connection) > 0 || connectionAttempts_.owns(connection);
   }
 
-  /// A connection opened.
+  /// Handles an opened connection.
   void onOpen(base::ConnectionId connection);
 
-  /// A connection closed; it is opened again after a random delay.
+  /// Handles a closed connection; it is reopened after a random delay.
   /// @return whether it was the source
   bool onClose(base::ConnectionId connection);
 
-  /// This process was stopped, or its machine suspended: what controllers have sent meanwhile is as old, so each is
-  /// asked anew.
+  /// Reopens all connections after this process was stopped or its machine suspended: messages that controllers sent
+  /// meanwhile are stale.
   void onAway();
 
-  /// A controller answered as the leader with this freshness.
-  /// @return whether it became the source just now
+  /// Handles a leader's heartbeat with this freshness.
+  /// @return whether the controller has just become the source
   bool onLeader(base::ConnectionId connection, const wire::Freshness& freshness);
 
-  /// A controller said that it does not lead.
+  /// Handles a controller's report that it is not the leader.
   /// @return whether it was the source
   bool onNotLeader(base::ConnectionId connection);
 
   /// Sends to the source.
-  /// @return whether there is one
+  /// @return false if there is none
   bool send(const wire::Message& message);
 
   /// Sends to every open controller connection.
--- a/src/relay/crash_report_distributor.h
+++ b/src/relay/crash_report_distributor.h
@@ -1,4 +1,4 @@
-/// Carries reports of crashes of back ends between nodes and relays.
+/// Distributes reports of back-end crashes between nodes and relays.
 #pragma once
 
 #include <map>
@@ -14,27 +14,27 @@
 
 namespace driftlug::relay {
 
-/// Remembers what nodes report, so that those that come later, or come back, are told before they serve.
+/// Keeps the reported crashes, so that nodes that attach later or reconnect receive them before they serve.
 ///
-/// Invariant: what is news to this relay is told to the relays and nodes that are attached, and what is no news to
-/// nobody, so a report crosses each connection once.
+/// Invariant: reports that are new to this relay are sent to the attached relays and nodes, and known ones to none, so
+/// a report crosses each connection once.
 class CrashReportDistributor {
  public:
   CrashReportDistributor(base::Network& network, const base::TimeSource& time, const NodeSessions& nodes,
                          membership::PeerLinks& peers);
 
-  /// A connection to another relay is up.
+  /// Handles an opened connection to another relay: sends it all known reports.
   void onPeerOpen(const wire::Hello& peer);
 
   void onPeerClose(const std::string& peerId) { peers_.erase(peerId); }
 
-  /// A node reports.
+  /// Handles reports of a node: forwards the new ones to the other relays and to nodes.
   void onNodeReports(base::ConnectionId node, std::span<const wire::CrashReport> reports);
 
-  /// Another relay reports; it tells the others itself.
+  /// Handles reports of another relay: forwards the new ones to nodes only, since that relay sends them to the others.
   void onPeerReports(std::span<const wire::CrashReport> reports);
 
-  /// Tells a node of crashes of services that it uses and was not told of yet.
+  /// Sends a node the reports of services that it uses and whose reports it has not been sent yet.
   void sendUnsent(base::ConnectionId connection, NodeSession* session) const;
 
   const quarantine::crash_history& history() const { return history_; }
@@ -49,7 +49,7 @@
   const NodeSessions& nodes_;
   membership::PeerLinks& peerLinks_;
   quarantine::crash_history history_;
-  std::set<std::string> peers_;  // those that understand crash reports
+  std::set<std::string> peers_;  // relays that support crash reports
 };
 
 }  // namespace driftlug::relay
--- a/src/relay/endpoint_state_distributor.cc
+++ b/src/relay/endpoint_state_distributor.cc
@@ -5,13 +5,13 @@
 namespace driftlug::relay {
 namespace {
 
-/// A node's pass over its endpoints costs about a microsecond for each, so that with this pause between two of them it
-/// spends less than a hundredth of its time on them, at any size up to the longest pause.
+/// A node's pass over its endpoints takes about 1 us per endpoint. With this delay per endpoint between two passes, it
+/// spends less than 1 % of its time on them, for any number of endpoints up to where kMaxBatchDelay applies.
 constexpr base::Duration kBatchDelayPerEndpoint = base::microseconds(125);
-/// Below this the messages saved are few.
+/// Below this delay, batching saves few messages.
 constexpr base::Duration kMinBatchDelay = base::milliseconds(20);
-/// An endpoint refuses by itself what it can't take, and silence of its node is noticed in this time, so news may be
-/// this old.
+/// States may be delayed this long because an endpoint refuses calls that it cannot take by itself, and the silence of
+/// its node is detected within this time.
 constexpr base::Duration kMaxBatchDelay = base::milliseconds(250);
 
 }  // namespace
--- a/src/relay/endpoint_state_distributor.h
+++ b/src/relay/endpoint_state_distributor.h
@@ -1,4 +1,4 @@
-/// News of endpoints on their way from a relay to its nodes and to other relays.
+/// Distributes endpoint states from a relay to its nodes and to other relays.
 #pragma once
 
 #include <map>
@@ -14,34 +14,34 @@
 
 namespace driftlug::relay {
 
-/// Sends news at once after a calm time, and gathers what follows: a start of the whole fleet, a herd or a release
-/// brings as many news as there are endpoints, and each message costs every node of the relay a wake-up and a pass over
-/// all endpoints. With gathering, the messages that a node gets do not grow with the fleet, and what they cost it grows
-/// with its endpoints only.
+/// Sends a change at once after a quiet period and batches those that follow: a start of the whole fleet, a thundering
+/// herd or a release causes as many changes as there are endpoints, and each message costs every node of the relay a
+/// wake-up and a pass over all endpoints. With batching, the number of messages per node does not grow with the fleet,
+/// and their cost to a node grows only with its endpoints.
 ///
-/// Nodes with the same slice get the same frame, encoded once.
+/// Nodes with the same slice are sent the same frame, encoded once.
 ///
-/// Invariant: of an endpoint the newest state leaves, at most the gathering time after it came.
+/// Invariant: the newest state of an endpoint is sent at most one batch delay after it arrived.
 class EndpointStateDistributor {
  public:
   EndpointStateDistributor(base::Scheduler& scheduler, base::Network& network,
                            const membership::EndpointDirectory& endpoints, const NodeSessions& nodes,
                            membership::PeerLinks& peers);
 
-  /// Takes news of which the directory holds the newest state.
-  /// @param toPeers whether other relays are told too: of what this relay's own nodes say
+  /// Queues changed states that the directory already holds.
+  /// @param toPeers whether to send them to other relays too; true for states announced by this relay's own nodes
   void add(const std::vector<wire::EndpointState>& changedStates, bool toPeers);
 
   /// Sends states to one node.
   void sendTo(base::ConnectionId connection, const NodeSession& session,
               const std::vector<wire::EndpointState>& states);
 
-  /// @return whether a node needs the state of an endpoint.
+  /// @return whether a node's slice needs the state of an endpoint.
   static bool isRelevant(const NodeSession& session, const wire::EndpointState& state);
 
  private:
   struct Frames {
-    wire::FramePtr plain;  // null where there is nothing to tell
+    wire::FramePtr plain;  // null if there are no states to send
     wire::FramePtr packed;
   };
 
@@ -55,10 +55,10 @@
   const NodeSessions& nodes_;
   membership::PeerLinks& peers_;
   std::map<std::string, wire::EndpointState> pending_;  // by endpoint
-  std::set<std::string> pendingForPeers_;               // endpoints of waiting_ that other relays are told of
+  std::set<std::string> pendingForPeers_;               // endpoints of pending_ to send to other relays
   base::TimePoint flushedAt_{};
   bool hasFlushed_ = false;
-  base::Timer timer_;  // runs while news are gathered
+  base::Timer timer_;  // runs while changes are batched
 };
 
 }  // namespace driftlug::relay
--- a/src/relay/freshness_confirmer.h
+++ b/src/relay/freshness_confirmer.h
@@ -1,4 +1,4 @@
-/// Proof that a relay's table is recent enough for a node that restarted without memory.
+/// Confirms that a relay's table is recent enough for a node that restarted without a stored version.
 #pragma once
 
 #include <cstdint>
@@ -12,32 +12,33 @@
 
 namespace driftlug::relay {
 
-/// Asks the leading controller, and the members of a zone's release group, in parallel; either proof is enough.
+/// Queries the leading controller and the members of a zone's release group in parallel; either confirmation suffices.
 ///
-/// Invariant: a waiter is served only by answers to questions that were asked after it came, and only once the
-/// own table has reached the revision they named.
+/// Invariant: a callback runs only on replies to requests that were sent after it was registered, and only once this
+/// relay's table has reached the revision in those replies.
 class FreshnessConfirmer {
  public:
-  /// Sends the questions of a round.
+  /// Sends the requests of a round.
   /// @return their token, never used before by this relay
   using SendRequests = std::function<int64_t()>;
   using Callback = std::function<void()>;
 
   FreshnessConfirmer(base::Scheduler& scheduler, const ReleaseGroup* group, std::string ownId, SendRequests ask);
 
-  /// Calls back once the table is proven recent.
+  /// Runs the callback once the table is confirmed to be recent.
   void confirm(Callback callback);
 
-  /// Somebody new can be asked: those who wait are not kept until the next round.
+  /// Starts a new round at once if callbacks are pending, as when a new leader can be queried.
   void restartRound();
 
-  /// The leading controller answered: its committed revision after the question.
+  /// Handles the leading controller's reply.
+  /// @param revision its committed revision after it received the request
   void onControllerReply(int64_t token, int64_t revision);
 
-  /// A member of the group answered.
+  /// Handles the reply of a group member.
   void onMemberReply(int64_t token, const std::string& relayId, int64_t revision, bool recovered);
 
-  /// The own table is at this revision.
+  /// Sets the revision of this relay's own table.
   void onOwnRevision(int64_t revision, bool recovered);
 
   size_t waiting() const { return nextRound_.size() + inRound_.size(); }
@@ -47,11 +48,11 @@
   void evaluate();
 
   base::Scheduler& scheduler_;
-  const ReleaseGroup* group_;  // null for a confirmer that trusts controllers alone
+  const ReleaseGroup* group_;  // null if only the leading controller can confirm
   std::string ownId_;
   SendRequests sendRequests_;
   base::Timer retryTimer_;
-  std::vector<Callback> nextRound_;  // came after the current round was asked
+  std::vector<Callback> nextRound_;  // registered after the current round started
   std::vector<Callback> inRound_;    // covered by the current round
   int64_t token_ = 0;
   bool controllerAnswered_ = false;
--- a/src/relay/node_sessions.cc
+++ b/src/relay/node_sessions.cc
@@ -3,7 +3,7 @@
 namespace driftlug::relay {
 namespace {
 
-/// A node with more than this queued is not sent more until it has read.
+/// A node with more bytes queued is sent no further slices until it has read them.
 constexpr size_t kMaxQueuedBytes = 1 << 20;
 
 }  // namespace
--- a/src/relay/node_sessions.h
+++ b/src/relay/node_sessions.h
@@ -1,4 +1,4 @@
-/// Nodes attached to a relay: what each was sent and has in force.
+/// Sessions of the nodes attached to a relay: which revision each was sent and has applied.
 #pragma once
 
 #include <functional>
@@ -14,7 +14,7 @@
 
 namespace driftlug::relay {
 
-/// Counters of the bytes and messages exchanged with nodes.
+/// Counters of messages and bytes exchanged with nodes.
 struct NodeSessionCounters {
   int64_t subscriptions = 0;
   int64_t updates = 0;
@@ -26,7 +26,7 @@
   int64_t skippedSlowReader = 0;
 };
 
-/// One attached node.
+/// State of one attached node.
 struct NodeSession {
   std::string nodeId;
   std::string zone;
@@ -34,70 +34,70 @@
   int64_t sentRevision = 0;
   int64_t appliedRevision = 0;
   bool confirmed = false;    ///< whether the node may be sent its first slice
-  bool takesPacked = false;  ///< whether the node unpacks frames
-  /// Revision that must be released before a whole slice is sent: the newest that this node may have run.
+  bool takesPacked = false;  ///< whether the node accepts packed frames
+  /// Revision that must be released before a full slice is sent: the newest that this node may have applied.
   int64_t floorRevision = 0;
   base::TimePoint lastReceivedAt{};
-  std::set<std::string> notifiedServices;  ///< whose announced endpoints the node was told of
+  std::set<std::string> notifiedServices;  ///< services whose announced endpoints were sent
   bool takesCrashReports = false;
-  std::set<std::string> crashNotifiedServices;  ///< services whose crashes before its time the node was told of
+  std::set<std::string> crashNotifiedServices;  ///< services whose earlier crash reports were sent
 };
 
 /// Sends slices to nodes once they are released.
 ///
-/// A whole slice is labelled with the released revision of the table, not with the slice's last change: a slice that
-/// a relay computed late has a late revision of its own, and a node that restarts must not see a lower label than
-/// another relay gave it.
+/// A full slice is labelled with the released revision of the table, not with the revision of the slice's last change:
+/// relays that computed the slice at different times have different values for the latter, and a node that restarts
+/// must not see a lower label than another relay gave it.
 ///
 /// Invariants: a node is sent a slice only when the slice's revision is released for the node's zone and is not
-/// older than what the node has; a node that does not read is skipped, not waited for.
+/// older than what the node has; a node that does not read its connection is skipped and does not delay the others.
 class NodeSessions {
  public:
   NodeSessions(base::Network& network, const ReleaseTracker& releases) : network_(network), releases_(releases) {}
 
-  /// A node subscribed; `confirmed` tells whether it remembers a revision of its own.
+  /// Adds a node that subscribed. `session.confirmed` is set if the node has a revision of its own.
   NodeSession& add(base::ConnectionId connection, NodeSession session);
 
   /// @return the node's session, or null.
   NodeSession* find(base::ConnectionId connection);
 
-  /// Forgets a node.
+  /// Removes a node.
   void remove(base::ConnectionId connection);
 
-  /// The node has a revision in force.
+  /// Handles the node's acknowledgement that it applied a revision.
   void onApplied(base::ConnectionId connection, int64_t revision);
 
-  /// The node refused an update; it is sent everything.
+  /// Handles the node's rejection of an update: it is sent the full slice.
   void onRejected(base::ConnectionId connection);
 
-  /// Sends the node what it lacks, if that is released.
+  /// Sends the node the changes that it lacks, if they are released.
   void deliver(base::ConnectionId connection);
 
-  /// Sends all nodes what they lack.
+  /// Sends all nodes the changes that they lack, where released.
   void deliverAll();
 
-  /// Answers a subscription of a node that is already up to date.
+  /// Answers a subscription: a node whose digest matches the slice is sent an empty update, any other what it lacks.
   void deliverInitial(base::ConnectionId connection, const wire::Digest& nodeDigest);
 
   /// Sends a heartbeat to every node.
-  /// @param hasLeader whether the relay follows a leader now; where it doesn't, nodes that wait for their first version
-  /// are told of none, since the relay can't confirm it
+  /// @param hasLeader whether the relay follows a leader; if not, nodes that wait for their first version are sent a
+  /// heartbeat without freshness, since the relay cannot confirm that version
   void heartbeat(const wire::NodeHeartbeat& heartbeat, bool hasLeader);
 
-  /// Tells one node how fresh the table is.
+  /// Sends a heartbeat to one node.
   void heartbeatTo(base::ConnectionId connection, const wire::NodeHeartbeat& heartbeat);
 
-  /// @return nodes whose slice has changed beyond what they have in force.
+  /// @return nodes that have not applied the newest revision of their slice.
   std::vector<wire::NodeStatus> lagging() const;
 
   const std::map<base::ConnectionId, NodeSession>& all() const { return sessions_; }
   std::map<base::ConnectionId, NodeSession>& all() { return sessions_; }
   const NodeSessionCounters& counters() const { return counters_; }
 
-  /// Sends whole slices instead of deltas; a baseline for experiments.
+  /// Sends full slices instead of deltas; a baseline for experiments.
   void useFullPush(bool enabled) { fullPush_ = enabled; }
 
-  /// Sends versions older than what a node has; only to prove in the simulator that a checker notices.
+  /// Allows sending versions older than what a node has; only for the simulator, to verify that its checker detects it.
   void allowOlderVersions() { refuseOlder_ = false; }
 
  private:
--- a/src/relay/relay.cc
+++ b/src/relay/relay.cc
@@ -7,12 +7,12 @@
 
 constexpr int kProtocolVersion = 1;
 constexpr base::Duration kReportDelay = base::milliseconds(1);
-/// A report that lists many lagging nodes is not repeated for each node that catches up: in a storm that would cost
-/// the square of the nodes.
+/// The minimum interval between reports grows with the lagging nodes in the last one. If each node that catches up in a
+/// reconnect storm triggered a report, the cost would be quadratic in the number of nodes.
 constexpr base::Duration kReportIntervalPerLaggingNode = base::microseconds(500);
 constexpr base::Duration kMaxReportInterval = base::milliseconds(200);
-/// Questions of nodes are gathered so that the leader gets some hundreds a second from all relays together, however
-/// many there are: a question costs it some 30 us of its tenth of a core.
+/// Quota requests of nodes are batched so that the leader receives a few hundred per second from all relays together,
+/// regardless of their number: each request costs about 30 us of a leader's tenth of a core.
 constexpr base::Duration kQuotaBatchDelayPerRelay = base::microseconds(1500);
 constexpr quota::quota_queue_options kQuotaQueueOptions{base::milliseconds(10), base::seconds(2),
                                                         base::milliseconds(200)};
@@ -74,7 +74,7 @@
 }
 
 void Relay::applySettings(const std::vector<base::Address>& controllers, const std::vector<base::Address>& peers) {
-  log_.info("{} uses {} controllers and {} relays of its settings", options_.id, controllers.size(), peers.size());
+  log_.info("{} applied new settings: {} controllers, {} relays", options_.id, controllers.size(), peers.size());
   options_.peers = peers;
   controllerLinks_.setConfigured(controllers);
   updatePeerAddresses();
@@ -90,7 +90,7 @@
 }
 
 void Relay::onAway() {
-  log_.warn("{} was away, asks the controllers anew", options_.id);
+  log_.warn("{} was away (stopped or suspended), reconnecting to all controllers", options_.id);
   controllerLinks_.onAway();
 }
 
@@ -119,7 +119,8 @@
 
 void Relay::onClose(base::ConnectionId connection) {
   if (controllerLinks_.owns(connection)) {
-    if (controllerLinks_.onClose(connection)) log_.info("{} lost its source", options_.id);
+    if (controllerLinks_.onClose(connection))
+      log_.info("{} lost the connection to the controller that it follows", options_.id);
     return;
   }
   const bool outgoing = peers_.owns(connection);
@@ -207,12 +208,12 @@
 }
 
 void Relay::onTableUpdate(const wire::TableUpdate& update) {
-  if (replica_.shares()) return;  // of a controller that doesn't know of it
+  if (replica_.shares()) return;  // sent by a controller that does not support shared tables
   table::ChangedRows rows;
   const auto result = replica_.apply(update, &rows);
   if (result == ReplicaResult::kNothingNew) return;
   if (result != ReplicaResult::kApplied) {
-    log_.warn("{} could not apply revision {} and asks for everything", options_.id, update.toRevision);
+    log_.warn("{} could not apply revision {}, requesting the full table", options_.id, update.toRevision);
     return subscribeToController(0);
   }
   updateSlices(rows);
@@ -221,7 +222,7 @@
 
 void Relay::updateSlices(const table::ChangedRows& rows) {
   const auto slices = slices_.onTableChange(replica_.table(), rows);
-  log_.info("{} holds revision {}, {} rows changed, {} slices with it, {} nodes", options_.id, replica_.revision(),
+  log_.info("{} holds revision {}: {} rows and {} slices changed, {} nodes attached", options_.id, replica_.revision(),
             rows.changed.size(), slices.size(), nodes_.all().size());
 }
 
@@ -236,7 +237,8 @@
   scheduleTableAdvanced();
 }
 
-/// Changes that the controller applies together are handed to nodes together, in a turn of their own.
+/// Defers delivery to the next event-loop turn, so that changes that the controller applies together are delivered to
+/// nodes together.
 void Relay::scheduleTableAdvanced() {
   if (advanceScheduled_) return;
   advanceScheduled_ = true;
@@ -260,7 +262,7 @@
 }
 
 void Relay::onConfirmReply(const wire::ConfirmReply& reply) {
-  // Any answer of the leader proves the table, whoever asked.
+  // Any reply of the leader confirms the table, regardless of which confirmer sent the request.
   confirmedRevision_ = reply.revision;
   if (!recovered_ && replica_.revision() >= reply.revision) onTableAdvanced();
   for (const auto& [zone, confirmer] : confirmers_) confirmer->onControllerReply(reply.token, reply.revision);
@@ -311,7 +313,7 @@
 }
 
 void Relay::sendReport() {
-  // Until a full report is out, nothing else may be: it would tell a new leader of a part as if it were all.
+  // A full report must be sent first: a new leader would take a partial report for the complete state.
   const bool full = reportFull_;
   const auto now = scheduler_.now();
   wire::ConvergenceReport report;
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -1,4 +1,4 @@
-/// The relay: reads the table from the leading controller and hands slices to the nodes of its zones.
+/// The relay replicates the table from the leading controller and serves slices of it to the nodes of its zones.
 #pragma once
 
 #include <map>
@@ -36,14 +36,14 @@
   std::vector<base::Address> peers;         ///< all other relays
   std::vector<ReleaseGroup> releaseGroups;  ///< groups that this relay is a member of
   bool everyZone = false;                   ///< serve the nodes of every zone without a release group
-  base::Address listening;                  ///< where nodes and other relays reach this one; port 0 when not known
+  base::Address listening;                  ///< address for nodes and other relays; port 0 when not known
   base::Duration nodeHeartbeat = base::milliseconds(600);
   base::Duration nodeTimeout = base::seconds(4);          ///< a node that is silent for longer is dropped
-  base::Duration reportInterval = base::seconds(5);       ///< changes are reported at once besides
+  base::Duration reportInterval = base::seconds(5);       ///< of periodic reports; changes are reported immediately
   base::Duration nodeLease = base::seconds(8);            ///< a full report lists nodes lost within this time
-  base::Duration endpointLease = base::seconds(2);        ///< after a node's connection was lost
-  base::Duration peerLease = base::seconds(5);            ///< after a relay's connection was lost
-  base::Duration stallTimeout = base::milliseconds(800);  ///< nodes are sent away when releases stall for longer
+  base::Duration endpointLease = base::seconds(2);        ///< of a node's endpoints after its connection is lost
+  base::Duration peerLease = base::seconds(5);            ///< of a relay's endpoints after its connection is lost
+  base::Duration stallTimeout = base::milliseconds(800);  ///< nodes are redirected when releases stall for longer
   int admissionsPerSecond = 2000;
   int admissionBurst = 400;
   bool fullPush = false;              ///< baseline for experiments
@@ -53,20 +53,20 @@
   bool reportLag = true;              ///< off only in the simulator
 };
 
-/// One relay process without its sockets. All state is soft.
+/// One relay process without its sockets. All state is soft: it is rebuilt after a restart.
 class Relay : public base::ConnectionHandler, public table::TableObserver {
  public:
   Relay(RelayOptions options, base::Scheduler& scheduler, base::RandomSource random, base::Network& network);
   ~Relay() override;
 
-  /// Serves the table of a controller in the same process, which outlives this object and notifies it of changes. Must
-  /// be called before start().
+  /// Serves the table of a controller in the same process. The table must outlive this object, and the controller must
+  /// notify this object of changes. Must be called before start().
   void shareTable(const table::Table& table) { replica_.share(table); }
 
-  /// Connects to controllers and peers.
+  /// Opens connections to the controllers and the other relays.
   void start();
 
-  /// Prepares a planned stop: nodes are asked to move elsewhere.
+  /// Prepares a planned stop: redirects all nodes to other relays.
   void prepareStop();
 
   const TableReplica& replica() const { return replica_; }
@@ -76,13 +76,13 @@
   const CrashReportDistributor& crashes() const { return crashDistributor_; }
   const ControllerLinks& controllerLinks() const { return controllerLinks_; }
 
-  /// @return whether the table was confirmed by a controller since the start.
+  /// @return whether a controller has confirmed the table since the start.
   bool recovered() const { return recovered_; }
 
-  /// Uses other controllers and relays, as after a change of the settings; those learned stay in use.
+  /// Replaces the configured controllers and relays; those learned from the member list stay in use.
   void applySettings(const std::vector<base::Address>& controllers, const std::vector<base::Address>& peers);
 
-  /// This process was stopped, or its machine suspended, for more than a second.
+  /// Handles a wake-up after this process was stopped, or its machine suspended, for more than a second.
   void onAway();
 
   /// @return whether freshness has advanced within the given time.
@@ -96,7 +96,7 @@
   void onTableReplaced() override;
 
  private:
-  // Source
+  // Controllers
   void onControllerMessage(base::ConnectionId connection, const wire::Message& message);
   void subscribeToController(int64_t revision);
   void onTableUpdate(const wire::TableUpdate& update);
@@ -166,31 +166,31 @@
   std::map<base::ConnectionId, wire::Hello> hellos_;                       // open connections
   std::map<base::ConnectionId, base::TimePoint> unsubscribed_;             // nodes' connections without a session
   std::map<std::string, int> connectionsOf_;                               // open connections by peer id, for leases
-  wire::RelayList relayList_;                                              // all relays, as the controllers tell
-  TableFreshness freshness_;  // of the controllers, as far as the table is at least as new
+  wire::RelayList relayList_;                                              // all relays of the last member list
+  TableFreshness freshness_;  // newest controller freshness that the table covers
   bool recovered_ = false;
-  std::optional<int64_t> confirmedRevision_;  // by a controller: the table is recent once it has reached this revision
+  std::optional<int64_t> confirmedRevision_;  // by the leader; the table is recent once it reaches this revision
   bool advanceScheduled_ = false;
   bool stopping_ = false;
-  int64_t lastToken_ = 0;  // of all questions about freshness; never reused
+  int64_t lastToken_ = 0;  // of freshness confirmation requests; never reused
   bool reportScheduled_ = false;
-  base::TimePoint reportedAt_{};  // when the last report left
-  size_t reportedLagging_ = 0;    // nodes that it listed as lagging
+  base::TimePoint reportedAt_{};  // when the last report was sent
+  size_t reportedLagging_ = 0;    // lagging nodes in the last report
   bool reportFull_ = true;
   int64_t reportSequence_ = 0;
   std::set<std::string> newlyAttached_;
   std::set<std::string> newlyDetached_;
-  std::map<std::string, base::TimePoint> lostAt_;  // nodes lost within the lease of a node
+  std::map<std::string, base::TimePoint> lostAt_;  // nodes lost within nodeLease
   base::TimePoint startedAt_{};
   struct LedgerForward {
     base::ConnectionId connection;
-    int64_t requestId;  // as the node knows it
+    int64_t requestId;  // assigned by the node
   };
-  std::map<int64_t, LedgerForward> ledgerForwards_;  // by the id under which it was sent on, oldest first
+  std::map<int64_t, LedgerForward> ledgerForwards_;  // by forwarded request id, oldest first
   int64_t lastLedgerId_ = 0;
   double admissionTokens_ = 0;
   base::TimePoint admissionAt_{};
-  base::TimePoint fullyReleasedAt_{};  // when the table was last fully released
+  base::TimePoint fullyReleasedAt_{};  // when all held revisions were last released
   base::Timer nodeTimer_;
   base::Timer reportTimer_;
 };
--- a/src/relay/relay_nodes.cc
+++ b/src/relay/relay_nodes.cc
@@ -1,4 +1,4 @@
-/// A relay towards its nodes.
+/// The part of Relay that handles nodes.
 #include <algorithm>
 
 #include "relay/relay.h"
@@ -6,7 +6,8 @@
 namespace driftlug::relay {
 namespace {
 
-/// Time from its start in which a relay keeps nodes though it can't release anything yet; all others may be starting.
+/// Time after its start during which a relay that cannot release revisions yet does not redirect its nodes, since all
+/// other relays may be starting too.
 constexpr base::Duration kStartGrace = base::seconds(5);
 
 }  // namespace
@@ -39,7 +40,7 @@
   for (const auto& demand : question.demands) {
     quotas_.wait(connection, demand.tenant, demand.count,
                  [this, connection, tenant = demand.tenant](const quota::permit_outcome& outcome) {
-                   if (outcome.granted + outcome.denied == 0) return;  // the node asks again by itself
+                   if (outcome.granted + outcome.denied == 0) return;  // the node retries by itself
                    wire::QuotaDecision decision;
                    decision.tenant = tenant;
                    decision.granted = outcome.granted;
@@ -53,7 +54,7 @@
 }
 
 void Relay::forwardToLedger(base::ConnectionId connection, const wire::LedgerRequest& request) {
-  // Nodes send again what gets no reply, so the oldest may be forgotten.
+  // Nodes resend requests that get no reply, so the oldest entry may be evicted.
   constexpr size_t kMaxForwards = 10'000;
   if (ledgerForwards_.size() >= kMaxForwards) ledgerForwards_.erase(ledgerForwards_.begin());
   auto forwarded = request;
@@ -113,9 +114,10 @@
   newlyDetached_.erase(peer.id);
   lostAt_.erase(peer.id);
   scheduleReport();
-  // Before its first version, so that a node that was restarted knows what crashes back ends before it serves.
+  // Sent before the first version, so that a restarted node knows which requests crash back ends before it serves.
   crashDistributor_.sendUnsent(connection, nodes_.find(connection));
-  // At once, so that a node which left a relay for its old word of the controllers sees whether this one's is newer.
+  // Sent immediately, so that a node which left another relay because its freshness was stale can tell whether this
+  // relay's freshness is newer.
   const bool hasLeader = controllerLinks_.source() != 0;
   nodes_.heartbeatTo(connection, confirmed || hasLeader ? currentHeartbeat() : wire::NodeHeartbeat());
   if (confirmed) {
@@ -149,7 +151,8 @@
   for (auto& [connection, session] : nodes_.all()) sendServiceEndpoints(connection, &session);
 }
 
-/// Costs nothing by endpoint where a node knows its services already, as after most changes of the table.
+/// Sends the announced endpoints of services that the node has not been notified of. There is no cost per endpoint when
+/// the node knows its services already, as after most changes of the table.
 void Relay::sendServiceEndpoints(base::ConnectionId connection, NodeSession* session) {
   std::vector<wire::EndpointState> unsent;
   std::set<std::string> wanted;
@@ -192,7 +195,7 @@
 }
 
 void Relay::dropNode(base::ConnectionId connection) {
-  // Also without a session: the last end of a node's connections starts the lease of its endpoints.
+  // Also for connections without a session: the close of a node's last connection starts the lease of its endpoints.
   const auto nodeId = hellos_[connection].id;
   expireLater(nodeId, options_.endpointLease);
   if (nodes_.find(connection) == nullptr) return;
@@ -214,8 +217,8 @@
   removeConnection(connection);
 }
 
-/// Those without a session too: a node that is lost between its greeting and its subscription sends no more, gets
-/// nothing that it could leave unacknowledged, and would keep its endpoints alive for good.
+/// Also closes silent connections without a session: a node that is lost between its hello and its subscription sends
+/// nothing more and is sent nothing that it could leave unacknowledged, so its endpoints would stay live forever.
 void Relay::closeSilentNodes() {
   const auto limit = scheduler_.inputReadUntil() - options_.nodeTimeout;
   std::vector<base::ConnectionId> silent;
@@ -245,7 +248,7 @@
   versions_.reportServicesWithoutRollout();
   const auto now = scheduler_.now();
   closeSilentNodes();
-  // A relay whose table or whose releases stall can't serve changes; its nodes are better off elsewhere.
+  // A relay whose table or releases stall cannot serve changes, so its nodes are redirected to other relays.
   const auto behind = freshness_.laggingSince();
   const bool stalled = behind && now - *behind > options_.stallTimeout;
   bool blocked = false;
--- a/src/relay/release_group.h
+++ b/src/relay/release_group.h
@@ -1,9 +1,9 @@
-/// Release groups: when a relay may hand a revision to nodes, so that a node that restarts without a disk never
-/// gets an older one, even while all controllers are out.
+/// Release groups decide when a relay may serve a revision to nodes, so that a node that restarts without a disk never
+/// receives an older one, even while all controllers are unavailable.
 ///
 /// The nodes of a zone use only the relays of the zone's group. A revision is released to them once
-/// writeQuorum() members hold it. A member that restarted counts for nothing until a controller confirmed its
-/// table, so readQuorum() recovered members together hold everything that was ever released.
+/// writeQuorum() members hold it. A restarted member does not count towards the read quorum until a controller has
+/// confirmed its table, so readQuorum() recovered members together hold every revision that was ever released.
 #pragma once
 
 #include <cstdint>
@@ -26,39 +26,40 @@
   size_t readQuorum() const { return members.size() - writeQuorum() + 1; }
 };
 
-/// Tracks what the members of this relay's groups hold.
+/// Tracks the revisions that the members of this relay's groups hold.
 ///
-/// Invariant: released(zone) never decreases while the relay lives, and never exceeds the own held revision.
+/// Invariant: released(zone) never decreases while the process runs, and never exceeds this relay's own revision.
 class ReleaseTracker {
  public:
   ReleaseTracker(std::string ownId, std::vector<ReleaseGroup> groups);
 
-  /// The own table moved forward.
+  /// Sets the revision of this relay's own table; an older one is ignored.
   void setOwnRevision(int64_t revision);
 
-  /// Another relay said what it holds.
+  /// Sets the revision that another relay reported.
   void onHeldRevision(const std::string& relayId, int64_t revision);
 
-  /// A peer's connection closed; it may have restarted without its table.
+  /// Discards the revision of a peer whose connection closed: it may have restarted without its table.
   void onPeerDisconnected(const std::string& relayId) { heldRevisions_.erase(relayId); }
 
-  /// @return the newest revision that may be handed to nodes of a zone; 0 for zones this relay does not serve.
+  /// @return the newest revision that may be served to nodes of a zone; 0 for zones that this relay does not serve.
   int64_t released(const std::string& zone) const;
 
   /// @return whether this relay serves nodes of a zone.
   bool serves(const std::string& zone) const { return everyZone_ || groups_.count(zone) > 0; }
 
-  /// Serves the nodes of every zone without a group: what is held is released, and only the leading controller can
-  /// prove to a node that restarted that it is recent. For fleets whose relays come and go with the controllers.
+  /// Serves the nodes of every zone without a release group: every held revision is released, and only the leading
+  /// controller can confirm that the table is recent for a restarted node. For fleets whose relays
+  /// are added and removed together with the controllers.
   void serveEveryZone() { everyZone_ = true; }
 
-  /// @return relays in any of the own groups, without this one.
+  /// @return the other members of this relay's groups.
   const std::set<std::string>& peers() const { return peers_; }
 
   /// @return the group of a zone, or null.
   const ReleaseGroup* group(const std::string& zone) const;
 
-  /// Releases everything that is held; only to prove in the simulator that a checker notices.
+  /// Releases every held revision without a quorum; only for the simulator, to verify that its checker detects it.
   void disable() { quorumDisabled_ = true; }
 
  private:
--- a/src/relay/slice_cache.cc
+++ b/src/relay/slice_cache.cc
@@ -55,7 +55,7 @@
 }
 
 std::shared_ptr<CachedSlice> SliceCache::get(const table::Interest& wanted, const table::Table& table) {
-  // Nodes of every host need the same, whatever service they run beside.
+  // Nodes interested in every host need the same slice, whichever services they list.
   const auto interest = wanted.everyHost() ? table::Interest::inEveryHost() : wanted;
   auto& entry = slices_[interest];
   if (auto slice = entry.lock()) return slice;
--- a/src/relay/slice_cache.h
+++ b/src/relay/slice_cache.h
@@ -1,4 +1,4 @@
-/// Slices by interest, shared by all nodes that ask for the same, with each frame encoded once.
+/// Cache of slices by interest. Nodes with the same interest share a slice, and each frame is encoded once.
 #pragma once
 
 #include <map>
@@ -10,7 +10,7 @@
 
 namespace driftlug::relay {
 
-/// One slice and the frames encoded from it.
+/// A slice and the frames encoded from it.
 class CachedSlice {
  public:
   CachedSlice(table::Interest interest, const table::Table& table) : slice_(std::move(interest), table) {}
@@ -18,23 +18,25 @@
   const table::Slice& slice() const { return slice_; }
   int64_t revision() const { return slice_.revision(); }
 
-  /// Follows a change of the table.
+  /// Applies a change of the table.
   /// @return whether the slice changed
   bool update(const table::Table& table, const table::ChangedRows& rows);
 
-  /// Computes the slice anew, after the whole table was replaced.
+  /// Recomputes the slice after the whole table was replaced.
   void refresh(const table::Table& table);
 
-  /// @param packed whether the node takes packed frames, which spare a narrow link most of a large slice
-  /// @return every row, labelled with a table revision at which the slice is as it is now.
+  /// @param revision label of the frame: a table revision at which the slice has its current content
+  /// @param packed whether the node accepts packed frames, which save most of the bandwidth of a large slice
+  /// @return a frame with every row.
   wire::FramePtr fullFrame(int64_t revision, bool packed);
 
-  /// @param packed as above
-  /// @return the changes since a revision above 0.
+  /// @param fromRevision greater than 0
+  /// @param packed whether the node accepts packed frames
+  /// @return a frame with the changes since a revision.
   wire::FramePtr deltaFrame(int64_t fromRevision, bool packed);
 
  private:
-  /// A frame in both forms, each null until asked for.
+  /// A frame in both forms, each null until it is first needed.
   struct EncodedForms {
     wire::FramePtr plain;
     wire::FramePtr packed;
@@ -45,21 +47,21 @@
 
   table::Slice slice_;
   EncodedForms full_;
-  int64_t fullRevision_ = 0;                // label of whole_
+  int64_t fullRevision_ = 0;                // label of full_
   std::map<int64_t, EncodedForms> frames_;  // updates to revision(), by the revision they start from
 };
 
-/// All slices that are in use.
+/// The slices that are in use.
 class SliceCache {
  public:
-  /// @return the slice of an interest, computed from the table when it is new.
+  /// @return the slice of an interest, computed from the table on first use.
   std::shared_ptr<CachedSlice> get(const table::Interest& wanted, const table::Table& table);
 
-  /// Brings slices up to date after rows changed.
+  /// Updates all slices after rows changed.
   /// @return slices that changed
   std::vector<std::shared_ptr<CachedSlice>> onTableChange(const table::Table& table, const table::ChangedRows& rows);
 
-  /// Computes all slices anew, after the whole table was replaced.
+  /// Recomputes all slices after the whole table was replaced.
   void refresh(const table::Table& table);
 
   size_t size() const { return slices_.size(); }
--- a/src/relay/table_freshness.cc
+++ b/src/relay/table_freshness.cc
@@ -24,7 +24,7 @@
 void TableFreshness::onRevision(int64_t revision) {
   while (!pending_.empty() && pending_.front().heartbeat.revision <= revision) {
     const auto& freshness = pending_.front().heartbeat.freshness;
-    // A controller that has lost the leader repeats what it heard last.
+    // A controller that has lost the leader repeats the last freshness that it received.
     if (membership::isNewer(freshness, value_)) heardAt_ = pending_.front().receivedAt;
     value_ = freshness;
     pending_.pop_front();
--- a/src/relay/table_freshness.h
+++ b/src/relay/table_freshness.h
@@ -1,4 +1,4 @@
-/// How recent a relay's table is known to be.
+/// Tracks how recent a relay's table is known to be.
 #pragma once
 
 #include <deque>
@@ -9,15 +9,17 @@
 
 namespace driftlug::relay {
 
-/// The freshness in a leader's heartbeat counts once the table has reached the revision that the leader had when it
-/// sent it, as rows and heartbeats may arrive over different connections.
+/// The newest controller freshness that the table covers.
+///
+/// The freshness in a leader's heartbeat takes effect once the table has reached the revision that the leader had when
+/// it sent the heartbeat, since rows and heartbeats may arrive over different connections.
 class TableFreshness {
  public:
-  /// A heartbeat arrived from the leader.
-  /// @param revision of the table now
+  /// Handles a heartbeat of a controller.
+  /// @param revision current revision of the table
   void onHeartbeat(const wire::ControllerHeartbeat& heartbeat, int64_t revision, base::TimePoint now);
 
-  /// The table has reached a revision.
+  /// Handles an advance of the table to a revision.
   void onRevision(int64_t revision);
 
   /// @return the newest freshness that the table covers.
@@ -26,7 +28,7 @@
   /// @return when that freshness was first received; the epoch if none was.
   base::TimePoint receivedAt() const { return heardAt_; }
 
-  /// @return since when the table lacks a revision that a leader has; nullopt when it lacks none.
+  /// @return when the oldest heartbeat was received whose revision the table has not reached; nullopt if there is none.
   std::optional<base::TimePoint> laggingSince() const;
 
  private:
@@ -37,7 +39,7 @@
 
   wire::Freshness value_;
   base::TimePoint heardAt_{};
-  std::deque<PendingHeartbeat> pending_;  // not covered yet, oldest first; when full, the last stands for later ones
+  std::deque<PendingHeartbeat> pending_;  // not covered yet, oldest first; when full, newer ones replace the last
 };
 
 }  // namespace driftlug::relay
--- a/src/relay/table_replica.cc
+++ b/src/relay/table_replica.cc
@@ -28,7 +28,7 @@
       fresh.put(table::storeRow(row));
       continue;
     }
-    // Unchanged rows keep their identity, so that slices see which rows really changed.
+    // Unchanged rows keep their pointers, so that slices see which rows really changed.
     auto known = copy_.find(row.key);
     if (known && known->revision == row.revision) {
       fresh.put(known);
--- a/src/relay/table_replica.h
+++ b/src/relay/table_replica.h
@@ -1,4 +1,4 @@
-/// The table that a relay serves.
+/// The table that a relay serves: a replica of the controllers' table, or a table shared within the process.
 #pragma once
 
 #include "table/row_change.h"
@@ -6,26 +6,28 @@
 
 namespace driftlug::relay {
 
-/// Result of taking an update.
+/// Result of applying an update.
 enum class ReplicaResult {
   kApplied,
   kNothingNew,      ///< the update is not newer than the copy
-  kBaseMismatch,    ///< the update starts behind a gap
-  kDigestMismatch,  ///< the result is not what the controller has; the copy is unchanged
+  kBaseMismatch,    ///< the update starts at a revision that the copy has not reached
+  kDigestMismatch,  ///< the resulting digest differs from the controller's; the copy is unchanged
 };
 
-/// A copy that updates keep current, or the table of a controller in the same process.
+/// Holds a copy of the table that is kept up to date by updates, or refers to the table of a controller in the same
+/// process.
 ///
-/// Invariants: the revision never decreases; the digest of a copy was confirmed at every revision.
+/// Invariants: the revision never decreases; the digest of a copy matched the controller's at every revision.
 class TableReplica {
  public:
-  /// Serves a table that outlives this object in place of a copy.
+  /// Serves a table that outlives this object instead of a copy.
   void share(const table::Table& table) { shared_ = &table; }
 
-  /// @return whether the table is another's, and takes no updates here.
+  /// @return whether the table is shared with a controller and must not be updated here.
   bool shares() const { return shared_ != nullptr; }
 
-  /// Takes an update of the copy whole or not at all.
+  /// Applies an update to the copy atomically.
+  /// @param change receives the changed rows
   ReplicaResult apply(const wire::TableUpdate& update, table::ChangedRows* change);
 
   const table::Table& table() const { return shares() ? *shared_ : copy_; }
@@ -35,7 +37,7 @@
   ReplicaResult applyDelta(const wire::TableUpdate& update, table::ChangedRows* change);
   ReplicaResult applyFull(const wire::TableUpdate& update, table::ChangedRows* change);
 
-  const table::Table* shared_ = nullptr;  // null where there is a copy
+  const table::Table* shared_ = nullptr;  // null if the copy is served
   table::Table copy_;
 };
 
--- a/src/relay/version_reports.cc
+++ b/src/relay/version_reports.cc
@@ -3,7 +3,7 @@
 namespace driftlug::relay {
 namespace {
 
-/// For how long reports are gathered.
+/// Time for which reports are batched.
 constexpr base::Duration kBatchDelay = base::milliseconds(100);
 
 }  // namespace
--- a/src/relay/version_reports.h
+++ b/src/relay/version_reports.h
@@ -1,4 +1,4 @@
-/// What relays tell the leading controller of versions of back ends.
+/// Reports of back-end versions from relays to the leading controller.
 #pragma once
 
 #include <functional>
@@ -14,27 +14,27 @@
 
 namespace driftlug::relay {
 
-/// Gathers the reports of nodes on rollouts, and tells versions of services that have no rollout row yet.
+/// Batches the nodes' reports on rollouts, and reports the versions of services that have no rollout row yet.
 ///
-/// Reports that come within a tenth of a second leave as one message, so that a leader gets ten a second from each
-/// relay and not some from each endpoint. A report that is lost is not sent again: the next one tells all.
+/// Reports that arrive within 100 ms are sent as one message, so that the leader receives at most ten per second from
+/// each relay instead of several from each endpoint. A lost report is not resent: the next one carries the full state.
 ///
-/// Invariant: nothing is sent while no rollout runs and all services with endpoints have rows.
+/// Invariant: nothing is sent while no rollout runs and all services with endpoints have rollout rows.
 class VersionReportSender {
  public:
   using Send = std::function<bool(const wire::Message&)>;
 
-  /// @param send to the leading controller; false when there is none
+  /// @param send sends a message to the leading controller; returns false if there is none
   VersionReportSender(base::Scheduler& scheduler, const TableReplica& replica,
                       const membership::EndpointDirectory& endpoints, Send send);
 
-  /// A node reports.
+  /// Handles reports of a node.
   void onReports(const wire::VersionReports& reports);
 
-  /// States of endpoints that are news.
+  /// Handles endpoint states that were new to the directory.
   void onNewEndpointStates(const std::vector<wire::EndpointState>& states);
 
-  /// Tells what has no row yet; called now and then.
+  /// Reports the versions of services that have no rollout row yet; called periodically.
   void reportServicesWithoutRollout();
 
  private:
@@ -44,7 +44,7 @@
   const membership::EndpointDirectory& endpoints_;
   Send send_;
   std::map<std::string, wire::VersionReport> pending_;  // by endpoint
-  std::set<std::string> servicesWithoutRollout_;        // services that may have no row
+  std::set<std::string> servicesWithoutRollout_;        // services that may have no rollout row
   base::Timer flushTimer_;
 };
 
