--- a/src/relay/table_freshness.h
+++ b/src/relay/table_freshness.h
@@ -39,7 +39,7 @@
 
   wire::Freshness value_;
   base::TimePoint heardAt_{};
-  std::deque<PendingHeartbeat> pending_;  // not covered yet, oldest first; when full, newer ones replace the last
+  std::deque<PendingHeartbeat> waiting_;  // not covered yet, oldest first; when full, newer ones replace the last
 };
 
 }  // namespace driftlug::relay
