--- a/test/membership/peer_links_test.cc
+++ b/test/membership/peer_links_test.cc
@@ -36,24 +36,24 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(Fixture, "a peer that connects is connected to at once, whatever hangs") {
+TEST_CASE_METHOD(Fixture, "a hanging attempt to a peer is replaced at once when the peer connects") {
   REQUIRE(network.connected.size() == 1);
   const auto hanging = network.connected.begin()->first;
   links->onOpen(kIncoming, hello);
-  CHECK(network.connected.begin()->first == hanging);  // it has only just begun
+  CHECK(network.connected.begin()->first == hanging);  // it has only just started
   runFor(base::milliseconds(150));
   links->onOpen(kIncoming, hello);
-  REQUIRE(network.connected.size() == 1);  // the hanging one is closed
+  REQUIRE(network.connected.size() == 1);  // the hanging attempt is closed
   const auto fresh = network.connected.begin()->first;
   CHECK(fresh != hanging);
   CHECK(network.connected.at(fresh).host == "10.0.0.2");
   links->onOpen(fresh, hello);
   CHECK(links->helloOf({"10.0.0.2", 7000}) != nullptr);
-  links->onOpen(kIncoming, hello);  // a second time, while the link is up: nothing to do
+  links->onOpen(kIncoming, hello);  // while the link is up: no new attempt
   CHECK(network.connected.begin()->first == fresh);
 }
 
-TEST_CASE_METHOD(Fixture, "a stranger that connects is not connected to") {
+TEST_CASE_METHOD(Fixture, "a peer at an unknown address that connects is not connected to") {
   hello.address = "10.0.0.3";
   links->onOpen(kIncoming, hello);
   REQUIRE(network.connected.size() == 1);
@@ -62,7 +62,7 @@
 
 namespace {
 
-/// Links over a network on which openings take their time.
+/// Links over a network with a configurable connection delay.
 struct SlowFixture : public base::ConnectionHandler {
   SlowFixture() : process(queue, "controller", {"zone", "region"}, {"10.0.0.1", 1}), network(process) {
     process.start();
@@ -74,7 +74,7 @@
   void onMessage(base::ConnectionId /*connection*/, wire::Message /*message*/) override {}
   void onClose(base::ConnectionId connection) override { links->onClose(connection); }
 
-  /// @return whether the link is up within a time
+  /// @return whether the link is open after the given time
   bool connectedWithin(base::Duration duration) {
     const auto until = queue.now() + duration;
     while (queue.runNext(until)) {
@@ -95,7 +95,7 @@
   network.openDelay = base::milliseconds(1500);
   links->setAddresses({kPeer});
   CHECK(connectedWithin(base::milliseconds(1600)));
-  CHECK(network.connected.size() == 1);  // what was begun beside it is closed
+  CHECK(network.connected.size() == 1);  // the other attempts are closed
   CHECK(connectedWithin(base::seconds(10)));
   CHECK(network.connected.size() == 1);
 }
--- a/test/membership/slow_network.h
+++ b/test/membership/slow_network.h
@@ -1,4 +1,4 @@
-/// A network on which openings take their time.
+/// A network with a configurable connection delay.
 #pragma once
 
 #include "base/network.h"
@@ -6,7 +6,7 @@
 
 namespace driftlug::test {
 
-/// Each opening needs `openDelay`, and fails where its time is shorter.
+/// Each connection opens after `openDelay`, or fails after its timeout if that is shorter.
 class SlowNetwork : public RecordingNetwork {
  public:
   explicit SlowNetwork(base::Scheduler& scheduler) : scheduler_(scheduler) {}
@@ -30,11 +30,11 @@
 
   base::Duration openDelay{0};
   size_t maxConcurrentAttempts = 0;
-  wire::Hello hello;  // of whoever is reached
+  wire::Hello hello;  // of the peer that is reached
   base::ConnectionHandler* handler = nullptr;
 
  private:
-  static constexpr base::Duration kDefaultTimeout = base::milliseconds(700);  // as of the frame transport
+  static constexpr base::Duration kDefaultTimeout = base::milliseconds(700);  // default of the frame transport
 
   base::Scheduler& scheduler_;
 };
--- a/test/relay/controller_links_test.cc
+++ b/test/relay/controller_links_test.cc
@@ -15,7 +15,7 @@
   return freshness;
 }
 
-/// A relay's links to two controllers, of which the first leads.
+/// A relay's links to two controllers; the first is the leader.
 struct Fixture {
   Fixture()
       : process(queue, "relay", {"zone", "region"}, {"10.0.0.9", 7001}),
@@ -43,7 +43,7 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(Fixture, "a relay that was suspended reads no word of controllers that has waited, and asks anew") {
+TEST_CASE_METHOD(Fixture, "a relay that was suspended ignores queued controller messages and reconnects") {
   CHECK(fresh());
   process.setFrozen(true);
   const auto leader = links.source();
@@ -63,7 +63,7 @@
   CHECK(fresh());
 }
 
-TEST_CASE_METHOD(Fixture, "a relay on a clock that stands while the machine is suspended believes old word") {
+TEST_CASE_METHOD(Fixture, "a relay whose clock stops while the machine is suspended treats stale messages as fresh") {
   process.letClockStand(true);
   process.setFrozen(true);
   runFor(base::seconds(10));
@@ -73,7 +73,7 @@
 
 namespace {
 
-/// A relay's link to one controller over a network on which openings take their time.
+/// A relay's link to one controller over a network with a configurable connection delay.
 struct SlowFixture : public base::ConnectionHandler {
   SlowFixture()
       : process(queue, "relay", {"zone", "region"}, {"10.0.0.9", 7001}),
--- a/test/relay/dynamic_endpoints_test.cc
+++ b/test/relay/dynamic_endpoints_test.cc
@@ -7,7 +7,7 @@
 namespace driftlug::relay {
 namespace {
 
-/// A relay that serves every zone, its source, a peer and nodes, all played by the test.
+/// A relay that serves every zone; the test plays its controller, a peer and the nodes.
 struct Fixture {
   explicit Fixture(bool confirmRestartedNodes = false)
       : process(queue, "relay", {"zone-1", "region"}, {"10.0.0.1", 7001}) {
@@ -55,7 +55,7 @@
     return connection;
   }
 
-  /// The leader sends a table with a route to a service.
+  /// Sends the relay a table with a route to a service, as the leader.
   void update(int64_t revision, const std::string& service) {
     wire::TableUpdate update;
     update.toRevision = revision;
@@ -100,7 +100,7 @@
     relay->onMessage(node, states);
   }
 
-  /// @return the conditions that one connection was told of.
+  /// @return the endpoint conditions that were sent on a connection.
   std::vector<wire::EndpointCondition::type> receivedConditions(base::ConnectionId connection) {
     std::vector<wire::EndpointCondition::type> conditions;
     for (const auto& sent : network.sent) {
@@ -121,14 +121,14 @@
 
 using wire::EndpointCondition;
 
-/// Nodes without a version wait for the leader's word, and there is no leader yet.
+/// No leader is known yet, so nodes without a version wait for a confirmation.
 struct LeaderlessFixture : public Fixture {
   LeaderlessFixture() : Fixture(true) {}
 };
 
 }  // namespace
 
-TEST_CASE_METHOD(LeaderlessFixture, "nodes that wait are asked about as soon as a leader is found") {
+TEST_CASE_METHOD(LeaderlessFixture, "confirmation for waiting nodes is requested as soon as a leader is found") {
   attach(100, "waiting");
   runFor(base::milliseconds(1100));
   const auto before = network.all<wire::ConfirmRequest>().size();
@@ -136,12 +136,12 @@
   heartbeat.freshness.term = 2;
   heartbeat.freshness.round = 1;
   relay->onMessage(source, heartbeat);
-  // One question for the relay's own table, one for the nodes that wait.
+  // One request for the relay's own table, one for the waiting nodes.
   CHECK(network.all<wire::ConfirmRequest>().size() == before + 2);
 }
 
 TEST_CASE_METHOD(LeaderlessFixture,
-                 "a node that waits for its first version hears of a leader only while there is one") {
+                 "a node that waits for its first version receives freshness only while there is a leader") {
   wire::ControllerHeartbeat leaderHeartbeat;
   leaderHeartbeat.freshness.term = 2;
   leaderHeartbeat.freshness.round = 1;
@@ -183,7 +183,7 @@
   CHECK(receivedConditions(late) == std::vector<EndpointCondition::type>{EndpointCondition::LIVE});
 }
 
-TEST_CASE_METHOD(Fixture, "when routes begin to need a service, its endpoints are told") {
+TEST_CASE_METHOD(Fixture, "when routes begin to need a service, its endpoints are sent") {
   update(1, "records");
   const auto reader = attach(100, "reader");
   const auto announcer = attach(101, "announcer");
@@ -215,12 +215,13 @@
   CHECK(connectionTo({"10.0.0.1", 7001}) == 0);
   relay->onMessage(source, list);
   CHECK(network.all<wire::RelayList>().size() == 1);
-  // A node that comes later is told at once.
+  // A node that attaches later is sent the list at once.
   attach(103, "late");
   CHECK(network.all<wire::RelayList>().size() == 2);
 }
 
-/// A node announces its endpoint on one connection, opens another and greets on it; both ends of it are then lost.
+/// A node announces its endpoint on one connection, opens a second one and sends its hello on it. The first connection
+/// then closes, and the second stays silent.
 struct SilentConnectionFixture : public Fixture {
   SilentConnectionFixture() {
     update(1, "records");
@@ -235,7 +236,7 @@
     relay->onClose(kFirst);
   }
 
-  /// The reader stays heard meanwhile.
+  /// Lets seconds pass while the reader sends keep-alives.
   void runWithReaderAlive(int seconds) {
     for (int i = 0; i < seconds; ++i) {
       relay->onMessage(kReader, wire::KeepAlive());
--- a/test/relay/endpoint_state_distributor_test.cc
+++ b/test/relay/endpoint_state_distributor_test.cc
@@ -1,4 +1,4 @@
-/// News of endpoints from a relay to its nodes, counted at two sizes of the fleet.
+/// Counts the endpoint state messages from a relay to its nodes at two fleet sizes.
 #include <catch2/catch.hpp>
 
 #include <memory>
@@ -38,7 +38,7 @@
     }
   }
 
-  /// Endpoints announce themselves one after the other within a time.
+  /// Announces endpoints one after the other within a time.
   void announce(int endpoints, base::Duration within) {
     for (int i = 0; i < endpoints; ++i) {
       wire::EndpointState state;
@@ -97,7 +97,7 @@
   CHECK(messagesPerNodeAtStartOf(2000) <= messagesPerNodeAtStartOf(250));
 }
 
-TEST_CASE_METHOD(Fixture, "news after a calm time leave at once") {
+TEST_CASE_METHOD(Fixture, "a change after a quiet period is sent at once") {
   announce(1, base::Duration(0));
   const auto before = messagesTo(kFirstNode);
   wire::EndpointState state;
@@ -112,7 +112,7 @@
   CHECK(messagesTo(kFirstNode) == before + 1);
 }
 
-TEST_CASE_METHOD(Fixture, "of an endpoint that changes while news are gathered the newest state leaves, once") {
+TEST_CASE_METHOD(Fixture, "of an endpoint that changes within the batch delay only the newest state is sent") {
   announce(800, base::milliseconds(1));
   network.sent.clear();
   wire::EndpointState state;
@@ -127,7 +127,7 @@
     distributor.add({state}, false);
   }
   runFor(base::seconds(1));
-  // The first leaves at once, the three behind it as one.
+  // The first change is sent at once, the three that follow as one.
   CHECK(statesTo(kFirstNode) == 2);
 }
 
--- a/test/relay/shared_table_test.cc
+++ b/test/relay/shared_table_test.cc
@@ -11,7 +11,7 @@
 
 constexpr base::ConnectionId kNode = 100;
 
-/// A relay that serves the table of the controller in its process; the test plays the controller.
+/// A relay that serves the table of a controller in the same process; the test plays the controller.
 struct Fixture {
   Fixture() : process(queue, "relay", {"zone-1", "region"}, {"10.0.0.1", 7001}) {
     process.start();
@@ -43,7 +43,7 @@
     relay->onTableChange(change.commit());
   }
 
-  /// The leader gives its word, at a revision of its table.
+  /// Sends the relay a heartbeat of the leader with the revision of its table.
   void heartbeat(int64_t round, int64_t revision) {
     wire::ControllerHeartbeat heartbeat;
     heartbeat.revision = revision;
@@ -90,7 +90,7 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(Fixture, "a relay beside a controller hands out its versions while no leader is known") {
+TEST_CASE_METHOD(Fixture, "a relay in a controller's process serves its versions while no leader is known") {
   attach(1, table.digest());
   relay->onClose(source);
   put(test::routeRow("r", "h", "/", {{"s", 100}}, 2));
@@ -98,14 +98,14 @@
   CHECK(revisionsSent().back() == 2);
 }
 
-TEST_CASE_METHOD(Fixture, "a relay beside a controller asks the leader for no updates") {
+TEST_CASE_METHOD(Fixture, "a relay in a controller's process requests no updates from the leader") {
   heartbeat(1, 1);
   const auto subscribed = network.all<wire::RelaySubscribe>();
   REQUIRE(subscribed.size() == 1);
   CHECK(subscribed.front().sharesTable);
 }
 
-TEST_CASE_METHOD(Fixture, "a relay whose table is behind the leader's passes no newer word of the controllers on") {
+TEST_CASE_METHOD(Fixture, "a relay whose table is behind the leader's does not forward newer freshness") {
   heartbeat(1, 1);
   attach(1, table.digest());
   CHECK(network.all<wire::NodeHeartbeat>().back().freshness.round == 1);
@@ -117,7 +117,7 @@
   CHECK(network.all<wire::NodeHeartbeat>().back().freshness.round == 2);
 }
 
-TEST_CASE_METHOD(Fixture, "a relay tells how long ago it heard of the controllers") {
+TEST_CASE_METHOD(Fixture, "a relay reports the age of the controllers' freshness") {
   heartbeat(1, 1);
   attach(1, table.digest());
   CHECK(network.all<wire::NodeHeartbeat>().back().ageMs == 0);
@@ -127,7 +127,7 @@
   CHECK(last.ageMs <= 1300);
 }
 
-TEST_CASE_METHOD(Fixture, "word that a controller repeats is no younger for that") {
+TEST_CASE_METHOD(Fixture, "freshness that a controller repeats does not become younger") {
   heartbeat(1, 1);
   attach(1, table.digest());
   for (int i = 0; i < 13; ++i) {
@@ -135,7 +135,7 @@
     heartbeat(1, 1);
   }
   runFor(base::milliseconds(200));
-  // Nodes are told every 400 ms.
+  // Nodes are sent a heartbeat every 400 ms.
   CHECK(network.all<wire::NodeHeartbeat>().back().ageMs >= 1100);
 }
 
@@ -150,7 +150,7 @@
   CHECK(network.all<wire::RetryLater>().size() == 1);
 }
 
-TEST_CASE_METHOD(Fixture, "a node without a version waits until the table beside the relay is proven recent") {
+TEST_CASE_METHOD(Fixture, "a node without a version waits until the shared table is confirmed to be recent") {
   heartbeat(1, 2);
   attach(0, {});
   answerConfirms(2);
