--- a/src/relay/relay.cc
+++ b/src/relay/relay.cc
@@ -40,7 +40,7 @@
         sendReport();
       }) {
   nodes_.useFullPush(options_.fullPush);
-  if (!options_.releaseQuorum) releases_.disable();
+  if (!options_.releaseQuorum) releases_.disableQuorum();
   if (options_.everyZone) releases_.serveEveryZone();
   if (!options_.refuseOlder) nodes_.allowOlderVersions();
 }
--- a/src/relay/release_group.h
+++ b/src/relay/release_group.h
@@ -60,7 +60,7 @@
   const ReleaseGroup* group(const std::string& zone) const;
 
   /// Releases every held revision without a quorum; only for the simulator, to verify that its checker detects it.
-  void disable() { quorumDisabled_ = true; }
+  void disableQuorum() { quorumDisabled_ = true; }
 
  private:
   void recompute();
