--- a/src/relay/freshness_confirmer.h
+++ b/src/relay/freshness_confirmer.h
@@ -1,4 +1,4 @@
-/// Proof that a relay's table is recent enough for a node that restarted without memory.
+/// Confirms that a relay's table is recent enough for a node that restarted without a stored version.
 #pragma once
 
 #include <cstdint>
@@ -12,47 +12,48 @@
 
 namespace driftlug::relay {
 
-/// Asks the leading controller, and the members of a zone's release group, in parallel; either proof is enough.
+/// Queries the leading controller and the members of a zone's release group in parallel; either confirmation suffices.
 ///
-/// Invariant: a waiter is served only by answers to questions that were asked after it came, and only once the
-/// own table has reached the revision they named.
+/// Invariant: a callback runs only on replies to requests that were sent after it was registered, and only once this
+/// relay's table has reached the revision in those replies.
 class FreshnessConfirmer {
  public:
-  /// Sends the questions of a round.
+  /// Sends the requests of a round.
   /// @return their token, never used before by this relay
-  using AskFunction = std::function<int64_t()>;
-  using Waiter = std::function<void()>;
+  using SendRequests = std::function<int64_t()>;
+  using Callback = std::function<void()>;
 
-  FreshnessConfirmer(base::Scheduler& scheduler, const ReleaseGroup* group, std::string ownId, AskFunction ask);
+  FreshnessConfirmer(base::Scheduler& scheduler, const ReleaseGroup* group, std::string ownId, SendRequests ask);
 
-  /// Calls back once the table is proven recent.
-  void confirm(Waiter waiter);
+  /// Runs the callback once the table is confirmed to be recent.
+  void confirm(Callback callback);
 
-  /// Somebody new can be asked: those who wait are not kept until the next round.
-  void askAgain();
+  /// Starts a new round at once if callbacks are pending, as when a new leader can be queried.
+  void restartRound();
 
-  /// The leading controller answered: its committed revision after the question.
-  void onController(int64_t token, int64_t revision);
+  /// Handles the leading controller's reply.
+  /// @param revision its committed revision after it received the request
+  void onControllerReply(int64_t token, int64_t revision);
 
-  /// A member of the group answered.
-  void onMember(int64_t token, const std::string& relayId, int64_t revision, bool recovered);
+  /// Handles the reply of a group member.
+  void onMemberReply(int64_t token, const std::string& relayId, int64_t revision, bool recovered);
 
-  /// The own table is at this revision.
-  void onOwn(int64_t revision, bool recovered);
+  /// Sets the revision of this relay's own table.
+  void onOwnRevision(int64_t revision, bool recovered);
 
-  size_t waiting() const { return waiting_.size() + asked_.size(); }
+  size_t waiting() const { return nextRound_.size() + inRound_.size(); }
 
  private:
   void startRound();
   void evaluate();
 
   base::Scheduler& scheduler_;
-  const ReleaseGroup* group_;  // null for a confirmer that trusts controllers alone
+  const ReleaseGroup* group_;  // null if only the leading controller can confirm
   std::string ownId_;
-  AskFunction ask_;
+  SendRequests sendRequests_;
   base::Timer retryTimer_;
-  std::vector<Waiter> waiting_;  // came after the current round was asked
-  std::vector<Waiter> asked_;    // covered by the current round
+  std::vector<Callback> nextRound_;  // registered after the current round started
+  std::vector<Callback> inRound_;    // covered by the current round
   int64_t token_ = 0;
   bool controllerAnswered_ = false;
   int64_t controllerRevision_ = 0;
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -1,4 +1,4 @@
-/// The relay: reads the table from the leading controller and hands slices to the nodes of its zones.
+/// The relay replicates the table from the leading controller and serves slices of it to the nodes of its zones.
 #pragma once
 
 #include <map>
@@ -15,13 +15,13 @@
 #include "membership/endpoint_directory.h"
 #include "membership/peer_links.h"
 #include "quota/quota_queue.h"
-#include "relay/covered_freshness.h"
-#include "relay/crash_spread.h"
+#include "relay/controller_links.h"
+#include "relay/crash_report_distributor.h"
+#include "relay/endpoint_state_distributor.h"
 #include "relay/freshness_confirmer.h"
 #include "relay/node_sessions.h"
 #include "relay/release_group.h"
-#include "relay/source.h"
-#include "relay/state_spread.h"
+#include "relay/table_freshness.h"
 #include "relay/table_replica.h"
 #include "relay/version_reports.h"
 #include "table/table_observer.h"
@@ -36,14 +36,14 @@
   std::vector<base::Address> peers;         ///< all other relays
   std::vector<ReleaseGroup> releaseGroups;  ///< groups that this relay is a member of
   bool everyZone = false;                   ///< serve the nodes of every zone without a release group
-  base::Address listening;                  ///< where nodes and other relays reach this one; port 0 when not known
+  base::Address listening;                  ///< address for nodes and other relays; port 0 when not known
   base::Duration nodeHeartbeat = base::milliseconds(600);
   base::Duration nodeTimeout = base::seconds(4);          ///< a node that is silent for longer is dropped
-  base::Duration reportInterval = base::seconds(5);       ///< changes are reported at once besides
+  base::Duration reportInterval = base::seconds(5);       ///< of periodic reports; changes are reported immediately
   base::Duration nodeLease = base::seconds(8);            ///< a full report lists nodes lost within this time
-  base::Duration endpointLease = base::seconds(2);        ///< after a node's connection was lost
-  base::Duration peerLease = base::seconds(5);            ///< after a relay's connection was lost
-  base::Duration blockedLimit = base::milliseconds(800);  ///< nodes are sent away when releases stall for longer
+  base::Duration endpointLease = base::seconds(2);        ///< of a node's endpoints after its connection is lost
+  base::Duration peerLease = base::seconds(5);            ///< of a relay's endpoints after its connection is lost
+  base::Duration stallTimeout = base::milliseconds(800);  ///< nodes are redirected when releases stall for longer
   int admissionsPerSecond = 2000;
   int admissionBurst = 400;
   bool fullPush = false;              ///< baseline for experiments
@@ -53,40 +53,40 @@
   bool reportLag = true;              ///< off only in the simulator
 };
 
-/// One relay process without its sockets. All state is soft.
+/// One relay process without its sockets. All state is soft: it is rebuilt after a restart.
 class Relay : public base::ConnectionHandler, public table::TableObserver {
  public:
   Relay(RelayOptions options, base::Scheduler& scheduler, base::RandomSource random, base::Network& network);
   ~Relay() override;
 
-  /// Serves the table of a controller in the same process, which outlives this object and notifies it of changes. Must
-  /// be called before start().
+  /// Serves the table of a controller in the same process. The table must outlive this object, and the controller must
+  /// notify this object of changes. Must be called before start().
   void shareTable(const table::Table& table) { replica_.share(table); }
 
-  /// Connects to controllers and peers.
+  /// Opens connections to the controllers and the other relays.
   void start();
 
-  /// Prepares a planned stop: nodes are asked to move elsewhere.
+  /// Prepares a planned stop: redirects all nodes to other relays.
   void prepareStop();
 
   const TableReplica& replica() const { return replica_; }
   const NodeSessions& nodes() const { return nodes_; }
   const ReleaseTracker& releases() const { return releases_; }
   const membership::EndpointDirectory& endpoints() const { return endpoints_; }
-  const CrashSpread& crashes() const { return crashes_; }
-  const ControllerLinks& source() const { return source_; }
+  const CrashReportDistributor& crashes() const { return crashDistributor_; }
+  const ControllerLinks& controllerLinks() const { return controllerLinks_; }
 
-  /// @return whether the table was confirmed by a controller since the start.
+  /// @return whether a controller has confirmed the table since the start.
   bool recovered() const { return recovered_; }
 
-  /// Uses other controllers and relays, as after a change of the settings; those learned stay in use.
-  void useSettings(const std::vector<base::Address>& controllers, const std::vector<base::Address>& peers);
+  /// Replaces the configured controllers and relays; those learned from the member list stay in use.
+  void applySettings(const std::vector<base::Address>& controllers, const std::vector<base::Address>& peers);
 
-  /// This process was stopped, or its machine suspended, for more than a second.
+  /// Handles a wake-up after this process was stopped, or its machine suspended, for more than a second.
   void onAway();
 
   /// @return whether freshness has advanced within the given time.
-  bool fresh(base::Duration within) const { return scheduler_.now() - source_.freshSince() <= within; }
+  bool fresh(base::Duration within) const { return scheduler_.now() - controllerLinks_.freshSince() <= within; }
 
   void onOpen(base::ConnectionId connection, const wire::Hello& peer) override;
   void onMessage(base::ConnectionId connection, wire::Message message) override;
@@ -96,22 +96,22 @@
   void onTableReplaced() override;
 
  private:
-  // Source
+  // Controllers
   void onControllerMessage(base::ConnectionId connection, const wire::Message& message);
-  void subscribeToSource(int64_t revision);
+  void subscribeToController(int64_t revision);
   void onTableUpdate(const wire::TableUpdate& update);
   void onConfirmReply(const wire::ConfirmReply& reply);
-  void takeChange(const table::ChangedRows& rows);
+  void updateSlices(const table::ChangedRows& rows);
   void onTableAdvanced();
-  void advanceSoon();
+  void scheduleTableAdvanced();
 
   void onMemberList(const wire::MemberList& list);
-  void usePeers();
+  void updatePeerAddresses();
 
   // Peers
   void onRelayMessage(const std::string& relayId, const wire::Message& message);
-  void announceHeld();
-  void sendHeld(const std::string& relayId, int64_t probe, bool wantsReply);
+  void broadcastHeldRevision();
+  void sendHeldRevision(const std::string& relayId, int64_t probe, bool wantsReply);
 
   // Nodes
   void onNodeMessage(base::ConnectionId connection, const wire::Message& message);
@@ -123,8 +123,8 @@
   void dropNode(base::ConnectionId connection);
   void closeNode(base::ConnectionId connection);
   void closeSilentNodes();
-  void forgetConnection(base::ConnectionId connection);
-  void sendAllAway();
+  void removeConnection(base::ConnectionId connection);
+  void redirectAllNodes();
   void onNodeTimer();
 
   // Ledger
@@ -139,9 +139,9 @@
   void sendReport();
 
   // Endpoint states
-  void tellOfCrashes();
-  void tellNewServices();
-  void tellServices(base::ConnectionId connection, NodeSession* session);
+  void sendCrashReports();
+  void sendServiceEndpointsToAll();
+  void sendServiceEndpoints(base::ConnectionId connection, NodeSession* session);
   void onEndpointStates(const std::vector<wire::EndpointState>& states, const std::string& origin, bool fromNode);
   void expireLater(const std::string& origin, base::Duration lease);
 
@@ -155,42 +155,42 @@
   SliceCache slices_;
   ReleaseTracker releases_;
   NodeSessions nodes_;
-  ControllerLinks source_;
+  ControllerLinks controllerLinks_;
   membership::PeerLinks peers_;
   membership::EndpointDirectory endpoints_;
-  StateSpread spread_;
-  CrashSpread crashes_;
+  EndpointStateDistributor stateDistributor_;
+  CrashReportDistributor crashDistributor_;
   VersionReportSender versions_;
   quota::quota_queue quotas_;                                              // of nodes, by their connection
   std::map<std::string, std::unique_ptr<FreshnessConfirmer>> confirmers_;  // by zone
   std::map<base::ConnectionId, wire::Hello> hellos_;                       // open connections
   std::map<base::ConnectionId, base::TimePoint> unsubscribed_;             // nodes' connections without a session
   std::map<std::string, int> connectionsOf_;                               // open connections by peer id, for leases
-  wire::RelayList relayList_;                                              // all relays, as the controllers tell
-  CoveredFreshness freshness_;  // of the controllers, as far as the table is at least as new
+  wire::RelayList relayList_;                                              // all relays of the last member list
+  TableFreshness freshness_;  // newest controller freshness that the table covers
   bool recovered_ = false;
-  std::optional<int64_t> provenAt_;  // by a controller: the table is recent once it has reached this revision
+  std::optional<int64_t> confirmedRevision_;  // by the leader; the table is recent once it reaches this revision
   bool advanceScheduled_ = false;
   bool stopping_ = false;
-  int64_t lastToken_ = 0;  // of all questions about freshness; never reused
+  int64_t lastToken_ = 0;  // of freshness confirmation requests; never reused
   bool reportScheduled_ = false;
-  base::TimePoint reportedAt_{};  // when the last report left
-  size_t reportedLagging_ = 0;    // nodes that it listed as lagging
+  base::TimePoint reportedAt_{};  // when the last report was sent
+  size_t reportedLagging_ = 0;    // lagging nodes in the last report
   bool reportFull_ = true;
   int64_t reportSequence_ = 0;
   std::set<std::string> newlyAttached_;
   std::set<std::string> newlyDetached_;
-  std::map<std::string, base::TimePoint> lostAt_;  // nodes lost within the lease of a node
+  std::map<std::string, base::TimePoint> lostAt_;  // nodes lost within nodeLease
   base::TimePoint startedAt_{};
   struct LedgerForward {
     base::ConnectionId connection;
-    int64_t requestId;  // as the node knows it
+    int64_t requestId;  // assigned by the node
   };
-  std::map<int64_t, LedgerForward> ledgerForwards_;  // by the id under which it was sent on, oldest first
+  std::map<int64_t, LedgerForward> ledgerForwards_;  // by forwarded request id, oldest first
   int64_t lastLedgerId_ = 0;
   double admissionTokens_ = 0;
   base::TimePoint admissionAt_{};
-  base::TimePoint releasedAt_{};  // when the table was last fully released
+  base::TimePoint fullyReleasedAt_{};  // when all held revisions were last released
   base::Timer nodeTimer_;
   base::Timer reportTimer_;
 };
--- a/test/relay/dynamic_endpoints_test.cc
+++ b/test/relay/dynamic_endpoints_test.cc
@@ -7,7 +7,7 @@
 namespace driftlug::relay {
 namespace {
 
-/// A relay that serves every zone, its source, a peer and nodes, all played by the test.
+/// A relay that serves every zone; the test plays its controller, a peer and the nodes.
 struct Fixture {
   explicit Fixture(bool confirmRestartedNodes = false)
       : process(queue, "relay", {"zone-1", "region"}, {"10.0.0.1", 7001}) {
@@ -55,7 +55,7 @@
     return connection;
   }
 
-  /// The leader sends a table with a route to a service.
+  /// Sends the relay a table with a route to a service, as the leader.
   void update(int64_t revision, const std::string& service) {
     wire::TableUpdate update;
     update.toRevision = revision;
@@ -100,8 +100,8 @@
     relay->onMessage(node, states);
   }
 
-  /// @return the conditions that one connection was told of.
-  std::vector<wire::EndpointCondition::type> told(base::ConnectionId connection) {
+  /// @return the endpoint conditions that were sent on a connection.
+  std::vector<wire::EndpointCondition::type> receivedConditions(base::ConnectionId connection) {
     std::vector<wire::EndpointCondition::type> conditions;
     for (const auto& sent : network.sent) {
       const auto* states = std::get_if<wire::EndpointStates>(&sent.message);
@@ -121,14 +121,14 @@
 
 using wire::EndpointCondition;
 
-/// Nodes without a version wait for the leader's word, and there is no leader yet.
+/// No leader is known yet, so nodes without a version wait for a confirmation.
 struct LeaderlessFixture : public Fixture {
   LeaderlessFixture() : Fixture(true) {}
 };
 
 }  // namespace
 
-TEST_CASE_METHOD(LeaderlessFixture, "nodes that wait are asked about as soon as a leader is found") {
+TEST_CASE_METHOD(LeaderlessFixture, "confirmation for waiting nodes is requested as soon as a leader is found") {
   attach(100, "waiting");
   runFor(base::milliseconds(1100));
   const auto before = network.all<wire::ConfirmRequest>().size();
@@ -136,16 +136,16 @@
   heartbeat.freshness.term = 2;
   heartbeat.freshness.round = 1;
   relay->onMessage(source, heartbeat);
-  // One question for the relay's own table, one for the nodes that wait.
+  // One request for the relay's own table, one for the waiting nodes.
   CHECK(network.all<wire::ConfirmRequest>().size() == before + 2);
 }
 
 TEST_CASE_METHOD(LeaderlessFixture,
-                 "a node that waits for its first version hears of a leader only while there is one") {
-  wire::ControllerHeartbeat word;
-  word.freshness.term = 2;
-  word.freshness.round = 1;
-  relay->onMessage(source, word);
+                 "a node that waits for its first version receives freshness only while there is a leader") {
+  wire::ControllerHeartbeat leaderHeartbeat;
+  leaderHeartbeat.freshness.term = 2;
+  leaderHeartbeat.freshness.round = 1;
+  relay->onMessage(source, leaderHeartbeat);
   const auto waiting = attach(100, "waiting");
   const auto lastTerm = [&] {
     int64_t term = -1;
@@ -168,11 +168,11 @@
   const auto reader = attach(100, "reader");
   const auto announcer = attach(101, "announcer");
   announce(announcer, "other", EndpointCondition::LIVE);
-  CHECK(told(reader).empty());
+  CHECK(receivedConditions(reader).empty());
   announce(announcer, "records", EndpointCondition::LIVE);
-  CHECK(told(reader) == std::vector<EndpointCondition::type>{EndpointCondition::LIVE});
+  CHECK(receivedConditions(reader) == std::vector<EndpointCondition::type>{EndpointCondition::LIVE});
   announce(announcer, "records", EndpointCondition::DRAINING);
-  CHECK(told(reader).back() == EndpointCondition::DRAINING);
+  CHECK(receivedConditions(reader).back() == EndpointCondition::DRAINING);
 }
 
 TEST_CASE_METHOD(Fixture, "a node that comes later is told of what was announced before") {
@@ -180,17 +180,17 @@
   const auto announcer = attach(101, "announcer");
   announce(announcer, "records", EndpointCondition::LIVE);
   const auto late = attach(102, "late");
-  CHECK(told(late) == std::vector<EndpointCondition::type>{EndpointCondition::LIVE});
+  CHECK(receivedConditions(late) == std::vector<EndpointCondition::type>{EndpointCondition::LIVE});
 }
 
-TEST_CASE_METHOD(Fixture, "when routes begin to need a service, its endpoints are told") {
+TEST_CASE_METHOD(Fixture, "when routes begin to need a service, its endpoints are sent") {
   update(1, "records");
   const auto reader = attach(100, "reader");
   const auto announcer = attach(101, "announcer");
   announce(announcer, "archive", EndpointCondition::LIVE);
-  CHECK(told(reader).empty());
+  CHECK(receivedConditions(reader).empty());
   update(2, "archive");
-  CHECK(told(reader) == std::vector<EndpointCondition::type>{EndpointCondition::LIVE});
+  CHECK(receivedConditions(reader) == std::vector<EndpointCondition::type>{EndpointCondition::LIVE});
 }
 
 TEST_CASE_METHOD(Fixture, "the controllers' members become the relays that nodes are told of, and peers") {
@@ -215,14 +215,15 @@
   CHECK(connectionTo({"10.0.0.1", 7001}) == 0);
   relay->onMessage(source, list);
   CHECK(network.all<wire::RelayList>().size() == 1);
-  // A node that comes later is told at once.
+  // A node that attaches later is sent the list at once.
   attach(103, "late");
   CHECK(network.all<wire::RelayList>().size() == 2);
 }
 
-/// A node announces its endpoint on one connection, opens another and greets on it; both ends of it are then lost.
-struct AbandonedFixture : public Fixture {
-  AbandonedFixture() {
+/// A node announces its endpoint on one connection, opens a second one and sends its hello on it. The first connection
+/// then closes, and the second stays silent.
+struct SilentConnectionFixture : public Fixture {
+  SilentConnectionFixture() {
     update(1, "records");
     attach(kReader, "reader");
     attach(kFirst, "announcer");
@@ -235,8 +236,8 @@
     relay->onClose(kFirst);
   }
 
-  /// The reader stays heard meanwhile.
-  void passSeconds(int seconds) {
+  /// Lets seconds pass while the reader sends keep-alives.
+  void runWithReaderAlive(int seconds) {
     for (int i = 0; i < seconds; ++i) {
       relay->onMessage(kReader, wire::KeepAlive());
       runFor(base::seconds(1));
@@ -248,20 +249,21 @@
   static constexpr base::ConnectionId kSecond = 102;
 };
 
-TEST_CASE_METHOD(AbandonedFixture, "a node that greets and is then lost in silence keeps no endpoint alive") {
-  passSeconds(3);
-  CHECK(told(kReader).back() == EndpointCondition::LIVE);
+TEST_CASE_METHOD(SilentConnectionFixture, "a node that greets and is then lost in silence keeps no endpoint alive") {
+  runWithReaderAlive(3);
+  CHECK(receivedConditions(kReader).back() == EndpointCondition::LIVE);
   CHECK(network.closed.count(kSecond) == 0);
-  passSeconds(4);
-  CHECK(told(kReader).back() == EndpointCondition::GONE);
+  runWithReaderAlive(4);
+  CHECK(receivedConditions(kReader).back() == EndpointCondition::GONE);
   CHECK(network.closed.count(kSecond) == 1);
 }
 
-TEST_CASE_METHOD(AbandonedFixture, "the end of a connection without a subscription starts the lease of endpoints too") {
-  passSeconds(3);
+TEST_CASE_METHOD(SilentConnectionFixture,
+                 "the end of a connection without a subscription starts the lease of endpoints too") {
+  runWithReaderAlive(3);
   relay->onClose(kSecond);
-  passSeconds(3);
-  CHECK(told(kReader).back() == EndpointCondition::GONE);
+  runWithReaderAlive(3);
+  CHECK(receivedConditions(kReader).back() == EndpointCondition::GONE);
 }
 
 }  // namespace driftlug::relay
