--- a/apps/node_daemon.cc
+++ b/apps/node_daemon.cc
@@ -87,7 +87,7 @@
       endpoint_.onWithdraw(connection, withdraw->callId);
     } else if (const auto* piece = std::get_if<wire::CallBodyPiece>(&message)) {
       endpoint_.onBodyPiece(connection, *piece);
-    } else if (std::holds_alternative<wire::KeepAlive>(message) && !entry_.leadsFrom(connection)) {
+    } else if (std::holds_alternative<wire::KeepAlive>(message) && !entry_.isOutbound(connection)) {
       endpoint_.onKeepAlive(connection);
     } else {
       entry_.onMessage(connection, std::move(message));
@@ -148,7 +148,7 @@
   page->counter("entry_over_quota_total", "calls refused since their tenant is beyond its limit", calls.overQuota);
   page->counter("entry_unknown_keys_total", "calls refused since no tenant holds their key", calls.unknownKeys);
   page->counter("entry_abandoned_total", "calls whose caller went away", calls.abandoned);
-  page->counter("entry_budget_spent_total", "retries that the budget did not allow", calls.budgetSpent);
+  page->counter("entry_budget_spent_total", "retries that the budget did not allow", calls.budgetDenials);
   page->histogram("entry_latency_seconds", "from a request to its answer, completed calls", calls.completedLatency);
   page->histogram("endpoint_wait_seconds", "from a call's arrival to its start", runs.waited);
   page->histogram("endpoint_run_seconds", "from a call's start to the back end's answer", runs.ran);
@@ -187,7 +187,7 @@
                 users.nodes.counters().refused);
   count("node_connections_opened", "connections to other nodes, open or being opened", users.nodes.opened());
   count("entry_links_max", "bound of links to endpoints", users.shares.links);
-  page->counter("entry_links_left_out_total", "endpoints left without a link at the bound", users.entry.linksLeftOut());
+  page->counter("entry_links_left_out_total", "endpoints left without a link at the bound", users.entry.skippedLinks());
   count("backend_connections", "connections to the back end, open or being opened", users.backend.connections());
   count("backend_connections_max", "bound of connections to the back end", users.backend.maxConnections());
   count("backend_requests_waiting", "requests that wait for a connection to the back end", users.backend.waiting());
@@ -309,7 +309,7 @@
     endpoint_.onColdTold(base::milliseconds(report.coldMs), false);
     versionReporter_.useBackend(endpoint, report.version, report.slots, report.coldMs);
   });
-  entry_.useFreshness([this] { return control_.fresh(); });
+  entry_.setFreshnessCheck([this] { return control_.fresh(); });
   if (makeReportPages) reportPages_ = makeReportPages(localBackend_);
   if (!FLAGS_identity_header.empty()) {
     localBackend_.setIdentityCheck(
--- a/apps/node_settings.cc
+++ b/apps/node_settings.cc
@@ -149,12 +149,12 @@
   options.retryBurst = FLAGS_retry_burst;
   options.retrySlack = FLAGS_retry_slack;
   options.links.maxLinks = descriptorSharesFromSettings().links;
-  options.mintKeys = FLAGS_ledger;
+  options.generateIdempotencyKeys = FLAGS_ledger;
   options.requestIdHeader = FLAGS_correlation_header;
   options.tenantHeader = FLAGS_tenant_header;
   options.hedgeAfterShare = FLAGS_hedge_percent / 100.0;
-  options.lateAfterShare = FLAGS_late_percent / 100.0;
-  options.inTimeFirst = FLAGS_in_time_first;
+  options.lateHedgeAfterShare = FLAGS_late_percent / 100.0;
+  options.deprioritizeLateCalls = FLAGS_in_time_first;
   options.inlineBodyBytes = inlineBodyBytesFromSettings();
   options.fullFor = base::milliseconds(FLAGS_full_for_ms);
   options.overloadRetryAfter = base::milliseconds(FLAGS_overload_retry_after_ms);
--- a/src/node/call_fingerprint.cc
+++ b/src/node/call_fingerprint.cc
@@ -5,7 +5,7 @@
 namespace driftlug::node {
 namespace {
 
-std::string_view hostIn(const std::vector<wire::HttpHeader>& headers) {
+std::string_view hostWithoutPort(const std::vector<wire::HttpHeader>& headers) {
   for (const auto& header : headers) {
     if (header.name == "host") return std::string_view(header.value).substr(0, header.value.find(':'));
   }
@@ -19,7 +19,7 @@
 }
 
 quarantine::request_fingerprint fingerprintOf(const wire::CallRequest& call) {
-  return quarantine::fingerprintOf({call.method, hostIn(call.headers), call.path, call.body});
+  return quarantine::fingerprintOf({call.method, hostWithoutPort(call.headers), call.path, call.body});
 }
 
 }  // namespace driftlug::node
--- a/src/node/call_types.h
+++ b/src/node/call_types.h
@@ -73,7 +73,7 @@
   virtual void cancel(uint64_t id) = 0;
 
   /// The back end has started again: idle connections lead nowhere.
-  virtual void forgetConnections() {}
+  virtual void dropIdleConnections() {}
 };
 
 }  // namespace driftlug::node
--- a/src/node/endpoint_calls.cc
+++ b/src/node/endpoint_calls.cc
@@ -122,7 +122,7 @@
 void EndpointCalls::onBackendRestarted() {
   limiter_.refuseWaiting();
   probation_.refuseWaiting();
-  backend_.forgetConnections();
+  backend_.dropIdleConnections();
   if (watch_ != nullptr && !leaving_) watch_->onRestart();
   std::vector<CallKey> lost;
   for (const auto& [key, call] : calls_) {
--- a/src/node/endpoint_links.cc
+++ b/src/node/endpoint_links.cc
@@ -12,33 +12,33 @@
 constexpr int kMaxBackoffDoublings = 4;
 /// News that come one by one, as at a start of the whole fleet, are taken together when they follow within this time:
 /// each costs a pass over all endpoints.
-constexpr base::Duration kGatherNews = base::milliseconds(20);
+constexpr base::Duration kMinBatchDelay = base::milliseconds(20);
 /// Where there are many endpoints, a pass costs about a microsecond for each: a node spends less than a hundredth of
 /// its time on passes.
-constexpr base::Duration kGatherPerEndpoint = base::microseconds(125);
-constexpr base::Duration kLongestGather = base::milliseconds(250);
+constexpr base::Duration kBatchDelayPerEndpoint = base::microseconds(125);
+constexpr base::Duration kMaxBatchDelay = base::milliseconds(250);
 /// States that come together are logged one by one up to this number.
-constexpr size_t kMostStatesLogged = 4;
+constexpr size_t kMaxStatesLogged = 4;
 /// Links added at once to a service whose chosen endpoints are full, and the most that are added.
-constexpr size_t kMoreAtOnce = 4;
-constexpr size_t kMostMore = 16;
+constexpr size_t kExtraLinksStep = 4;
+constexpr size_t kMaxExtraLinks = 16;
 /// Pause after which links that the bound left no room for are tried again.
-constexpr base::Duration kRoomInterval = base::seconds(1);
+constexpr base::Duration kLinkLimitRetryInterval = base::seconds(1);
 /// How long they stay behind the last sign that they are needed: longer than a burst of some seconds.
-constexpr base::Duration kMoreFor = base::seconds(10);
+constexpr base::Duration kExtraLinksHoldTime = base::seconds(10);
 /// Interval at which links with calls in progress are looked at.
-constexpr base::Duration kWatchInterval = base::milliseconds(100);
+constexpr base::Duration kLivenessCheckInterval = base::milliseconds(100);
 /// An acknowledgement comes within a few milliseconds; one that was lost on the way comes after TCP's least
 /// retransmission time of 200 ms.
-constexpr base::Duration kSilentAfter = base::milliseconds(250);
+constexpr base::Duration kSilenceTimeout = base::milliseconds(250);
 /// A link on which calls run is asked for a sign of life when nothing was heard for so long.
-constexpr base::Duration kAskAfter = base::milliseconds(500);
+constexpr base::Duration kKeepAliveAfter = base::milliseconds(500);
 /// A link that has been awaited for so long gets another connection: a connection can be lost for good without a reset
 /// while new ones work, and a node that was only slow for a moment is heard before. At 300 nodes that lose one link
 /// each, a connection costs 300 greetings of some 200 bytes, once.
-constexpr base::Duration kReplaceAfter = base::seconds(1);
+constexpr base::Duration kReplaceConnectionAfter = base::seconds(1);
 /// Calls that may not run twice are waited for on the former connection for so long; most have ended at their deadline.
-constexpr base::Duration kFormerFor = base::seconds(30);
+constexpr base::Duration kReplacedConnectionTimeout = base::seconds(30);
 
 const char* conditionName(wire::EndpointCondition::type condition) {
   switch (condition) {
@@ -65,16 +65,16 @@
       onLost_(std::move(onLost)),
       onSilent_(std::move(onSilent)),
       subset_(options_.subset, options_.nodeId, options_.zone),
-      subsetEndpoints_(options_.subset.endpoints),
-      chooseTimer_(scheduler, [this] { takeNews(); }),
-      watchTimer_(scheduler, [this] { watch(); }),
-      boundLog_("entry", scheduler, base::kOneLineASecond) {}
+      subsetSize_(options_.subset.endpoints),
+      chooseTimer_(scheduler, [this] { applyPendingChanges(); }),
+      livenessTimer_(scheduler, [this] { checkLiveness(); }),
+      linkLimitLog_("entry", scheduler, base::kOneLineASecond) {}
 
 EndpointLinks::~EndpointLinks() { alive_.reset(); }
 
 void EndpointLinks::useTable(const routing::RoutingTablePtr& table) {
   table_ = table;
-  collect();
+  rebuildKnownEndpoints();
 }
 
 void EndpointLinks::onStates(const std::vector<wire::EndpointState>& states) {
@@ -82,13 +82,13 @@
   for (const auto& state : states) {
     const auto known = states_.find(state.endpoint);
     if (known != states_.end() && !membership::supersedes(state, known->second)) continue;
-    const bool firstWord = known == states_.end();
-    const bool starts = state.condition == wire::EndpointCondition::LIVE &&
-                        (firstWord || known->second.incarnation != state.incarnation);
-    if (known != states_.end()) noteChange(known->second);
+    const bool firstState = known == states_.end();
+    const bool newIncarnation = state.condition == wire::EndpointCondition::LIVE &&
+                                (firstState || known->second.incarnation != state.incarnation);
+    if (known != states_.end()) markChanged(known->second);
     states_[state.endpoint] = state;
-    noteChange(state);
-    if (states.size() <= kMostStatesLogged) {
+    markChanged(state);
+    if (states.size() <= kMaxStatesLogged) {
       log_.info("endpoint={} service={} address={}:{} condition={} incarnation={} sequence={}", state.endpoint,
                 state.serviceName, state.address, state.port, conditionName(state.condition), state.incarnation,
                 state.sequence);
@@ -96,27 +96,27 @@
     picker_.setAvailable(state.endpoint, state.condition == wire::EndpointCondition::LIVE);
     announced = announced || !state.address.empty();
     // Of what lived before this node started, attempts have just begun: they are not begun twice.
-    if (starts && !firstWord) dropAttempt(state.endpoint);
-    if (starts) endPause(state.endpoint);
+    if (newIncarnation && !firstState) abortConnectAttempt(state.endpoint);
+    if (newIncarnation) reconnectNow(state.endpoint);
   }
-  if (states.size() > kMostStatesLogged) {
+  if (states.size() > kMaxStatesLogged) {
     log_.info("{} states of endpoints came together, {} endpoints are known", states.size(), states_.size());
   }
-  if (announced) chooseSoon();
+  if (announced) scheduleChoice();
 }
 
-void EndpointLinks::chooseSoon() {
+void EndpointLinks::scheduleChoice() {
   if (chooseTimer_.running()) return;
-  const auto gather = std::clamp<base::Duration>(kGatherPerEndpoint * static_cast<int64_t>(states_.size()), kGatherNews,
-                                                 kLongestGather);
-  if (newsAt_ && scheduler_.now() - *newsAt_ < gather) return chooseTimer_.start(gather);
-  takeNews();
+  const auto batchDelay = std::clamp<base::Duration>(kBatchDelayPerEndpoint * static_cast<int64_t>(states_.size()),
+                                                     kMinBatchDelay, kMaxBatchDelay);
+  if (lastAppliedAt_ && scheduler_.now() - *lastAppliedAt_ < batchDelay) return chooseTimer_.start(batchDelay);
+  applyPendingChanges();
 }
 
-void EndpointLinks::takeNews() {
-  newsAt_ = scheduler_.now();
-  auto services = collectChanged();
-  services.merge(std::exchange(unsettled_, {}));
+void EndpointLinks::applyPendingChanges() {
+  lastAppliedAt_ = scheduler_.now();
+  auto services = updateChangedEndpoints();
+  services.merge(std::exchange(pendingServices_, {}));
   choose(services);
 }
 
@@ -125,21 +125,21 @@
 }
 
 /// @return whether each service gets another number of links than before
-bool EndpointLinks::fitSubset() {
-  const auto fitting = std::min(options_.subset.endpoints, linksPerService());
-  if (fitting == subsetEndpoints_) return false;
+bool EndpointLinks::resizeSubset() {
+  const auto subsetSize = std::min(options_.subset.endpoints, linksPerService());
+  if (subsetSize == subsetSize_) return false;
   auto subset = options_.subset;
-  subset.mostOfOwnZone = std::max<size_t>(1, subset.mostOfOwnZone * fitting / subset.endpoints);
-  subset.endpoints = fitting;
+  subset.mostOfOwnZone = std::max<size_t>(1, subset.mostOfOwnZone * subsetSize / subset.endpoints);
+  subset.endpoints = subsetSize;
   subset_ = subsetting::endpoint_subset(subset, options_.nodeId, options_.zone);
-  subsetEndpoints_ = fitting;
-  log_.warn("links to {} of each of {} services, max_links={}", fitting, known_.size(), options_.maxLinks);
+  subsetSize_ = subsetSize;
+  log_.warn("links to {} of each of {} services, max_links={}", subsetSize, known_.size(), options_.maxLinks);
   return true;
 }
 
 void EndpointLinks::chooseAll() {
   chosen_.clear();
-  ofVersion_.clear();
+  chosenByVersion_.clear();
   std::set<std::string> services;
   for (const auto& [service, endpoints] : known_) services.insert(service);
   choose(services);
@@ -149,10 +149,10 @@
 void EndpointLinks::choose(const std::set<std::string>& services) {
   knownEndpoints_ = 0;
   for (const auto& [service, endpoints] : known_) knownEndpoints_ += endpoints.size();
-  if (fitSubset()) return chooseAll();
+  if (resizeSubset()) return chooseAll();
   for (const auto& service : services) {
     chosen_.erase(service);
-    ofVersion_.erase(service);
+    chosenByVersion_.erase(service);
     const auto known = known_.find(service);
     if (known == known_.end()) continue;
     const auto* policy = table_ ? table_->versions(service) : nullptr;
@@ -167,8 +167,8 @@
 
 std::vector<routing::EndpointTarget> EndpointLinks::chooseFrom(const std::string& service,
                                                                const std::vector<routing::EndpointTarget>& endpoints) {
-  const auto unreached = [this](const std::string& endpoint) { return outOfReach(endpoint); };
-  return subset_.choose(endpoints, moreFor(service), unreached);
+  const auto unreachable = [this](const std::string& endpoint) { return isUnreachable(endpoint); };
+  return subset_.choose(endpoints, extraLinksFor(service), unreachable);
 }
 
 /// Each version has links to a subset of its own, made before it gets its share, and the one on trial besides to the
@@ -180,64 +180,63 @@
     if (policy.covers(endpoint.version)) known[endpoint.version].push_back(endpoint);
   }
   auto& chosen = chosen_[service];
-  for (const auto& [version, ofVersion] : known) {
-    auto linked = chooseFrom(service, ofVersion);
+  for (const auto& [version, versionEndpoints] : known) {
+    auto linked = chooseFrom(service, versionEndpoints);
     if (!policy.running || version != policy.target || policy.groupSize == 0) {
       chosen.insert(chosen.end(), linked.begin(), linked.end());
-      if (policy.running) ofVersion_[service][version] = std::move(linked);
+      if (policy.running) chosenByVersion_[service][version] = std::move(linked);
       continue;
     }
     std::vector<std::string> names;
-    for (const auto& endpoint : ofVersion) names.push_back(endpoint.name);
+    for (const auto& endpoint : versionEndpoints) names.push_back(endpoint.name);
     const auto group = rollout::chooseTrialGroup(std::move(names), policy.groupOffset, policy.groupSize);
-    for (const auto& endpoint : ofVersion) {
+    for (const auto& endpoint : versionEndpoints) {
       const bool onTrial = group.count(endpoint.name) > 0;
-      const bool among = std::any_of(linked.begin(), linked.end(),
-                                     [&](const auto& candidate) { return candidate.name == endpoint.name; });
-      if (onTrial) ofVersion_[service][version].push_back(endpoint);
-      if (onTrial || among) chosen.push_back(endpoint);
+      const bool isLinked = std::any_of(linked.begin(), linked.end(),
+                                        [&](const auto& candidate) { return candidate.name == endpoint.name; });
+      if (onTrial) chosenByVersion_[service][version].push_back(endpoint);
+      if (onTrial || isLinked) chosen.push_back(endpoint);
     }
   }
 }
 
-size_t EndpointLinks::moreFor(const std::string& service) {
-  const auto found = more_.find(service);
-  if (found == more_.end()) return 0;
-  if (found->second.until > scheduler_.now())
-    return std::min(found->second.count, linksPerService() - subsetEndpoints_);
-  more_.erase(found);
+size_t EndpointLinks::extraLinksFor(const std::string& service) {
+  const auto found = extraLinks_.find(service);
+  if (found == extraLinks_.end()) return 0;
+  if (found->second.until > scheduler_.now()) return std::min(found->second.count, linksPerService() - subsetSize_);
+  extraLinks_.erase(found);
   return 0;
 }
 
 void EndpointLinks::onFull(const std::string& service) {
   const auto known = known_.find(service);
   if (known == known_.end() || chosen_[service].size() >= known->second.size()) return;
-  auto& more = more_[service];
-  more.until = scheduler_.now() + kMoreFor;
-  unsettled_.insert(service);
-  if (more.count >= kMostMore || chooseTimer_.running()) return;
-  more.count = std::min(kMostMore, more.count + kMoreAtOnce);
-  chooseTimer_.start(kGatherNews);
+  auto& extra = extraLinks_[service];
+  extra.until = scheduler_.now() + kExtraLinksHoldTime;
+  pendingServices_.insert(service);
+  if (extra.count >= kMaxExtraLinks || chooseTimer_.running()) return;
+  extra.count = std::min(kMaxExtraLinks, extra.count + kExtraLinksStep);
+  chooseTimer_.start(kMinBatchDelay);
 }
 
-bool EndpointLinks::outOfReach(const std::string& endpoint) const {
+bool EndpointLinks::isUnreachable(const std::string& endpoint) const {
   const auto found = links_.find(endpoint);
   return found != links_.end() && !found->second.open && found->second.failures > 0;
 }
 
-const std::vector<routing::EndpointTarget>& EndpointLinks::of(const std::string& service) const {
+const std::vector<routing::EndpointTarget>& EndpointLinks::chosenEndpoints(const std::string& service) const {
   static const std::vector<routing::EndpointTarget> none;
   const auto found = chosen_.find(service);
   return found == chosen_.end() ? none : found->second;
 }
 
-const std::vector<routing::EndpointTarget>& EndpointLinks::of(const std::string& service,
-                                                              const std::string& version) const {
+const std::vector<routing::EndpointTarget>& EndpointLinks::chosenEndpoints(const std::string& service,
+                                                                           const std::string& version) const {
   static const std::vector<routing::EndpointTarget> none;
-  const auto found = ofVersion_.find(service);
-  if (found == ofVersion_.end()) return none;
-  const auto ofVersion = found->second.find(version);
-  return ofVersion == found->second.end() ? none : ofVersion->second;
+  const auto found = chosenByVersion_.find(service);
+  if (found == chosenByVersion_.end()) return none;
+  const auto versionEndpoints = found->second.find(version);
+  return versionEndpoints == found->second.end() ? none : versionEndpoints->second;
 }
 
 const EndpointLinks::Link& EndpointLinks::link(const std::string& endpoint) const {
@@ -263,24 +262,24 @@
 }
 
 void EndpointLinks::addLinks(const std::map<std::string, base::Address>& wanted) {
-  size_t leftOut = 0;
+  size_t skipped = 0;
   for (const auto& [name, address] : wanted) {
     if (links_.count(name) > 0) continue;
     if (links_.size() >= options_.maxLinks) {
-      ++leftOut;
+      ++skipped;
       continue;
     }
     links_[name].address = address;
     links_[name].lostAt = scheduler_.now();
     connect(name);
   }
-  if (leftOut == 0) return;
-  leftOut_ += static_cast<int64_t>(leftOut);
-  boundLog_.write(base::LineWorth::kFailure, [&] {
-    return fmt::format("no room for links to {} endpoints, links={} max_links={}", leftOut, links_.size(),
+  if (skipped == 0) return;
+  skippedEndpoints_ += static_cast<int64_t>(skipped);
+  linkLimitLog_.write(base::LineWorth::kFailure, [&] {
+    return fmt::format("no room for links to {} endpoints, links={} max_links={}", skipped, links_.size(),
                        options_.maxLinks);
   });
-  if (!chooseTimer_.running()) chooseTimer_.start(kRoomInterval);
+  if (!chooseTimer_.running()) chooseTimer_.start(kLinkLimitRetryInterval);
 }
 
 void EndpointLinks::closeLink(const std::string& endpoint) {
@@ -296,10 +295,10 @@
 void EndpointLinks::forget(const std::string& endpoint) {
   const auto state = states_.find(endpoint);
   if (state == states_.end() || state->second.address.empty()) return;
-  noteChange(state->second);
+  markChanged(state->second);
   states_.erase(state);
   picker_.forget(endpoint);
-  choose(collectChanged());
+  choose(updateChangedEndpoints());
 }
 
 void EndpointLinks::connect(const std::string& endpoint) {
@@ -311,14 +310,14 @@
 
 /// Pauses between attempts, and attempts that hang, are those of the time when the node was away: waiting for them left
 /// all endpoints of a service without a link for up to 2.0 s behind their word that they are live (logs of four nodes).
-void EndpointLinks::endPause(const std::string& endpoint) {
+void EndpointLinks::reconnectNow(const std::string& endpoint) {
   const auto found = links_.find(endpoint);
   if (found == links_.end() || found->second.open) return;
   found->second.failures = std::min(found->second.failures, 1);  // out of reach until it is up
   connect(endpoint);
 }
 
-void EndpointLinks::dropAttempt(const std::string& endpoint) {
+void EndpointLinks::abortConnectAttempt(const std::string& endpoint) {
   const auto found = links_.find(endpoint);
   if (found == links_.end() || found->second.open || found->second.connection == 0) return;
   const auto attempt = std::exchange(found->second.connection, 0);
@@ -333,12 +332,12 @@
   link.open = true;
   // Bodies for the back end beside this node cross no link.
   link.takesBodyPieces = peer.takesBodyPieces && peer.id != options_.nodeId;
-  link.takesWithdrawals = peer.acknowledgesCalls;  // came with the same version
+  link.supportsWithdrawals = peer.acknowledgesCalls;  // came with the same version
   link.acknowledges = peer.acknowledgesCalls && peer.id != options_.nodeId;
-  if (link.failures > 0) unsettled_.insert(serviceOf(endpoint->second));  // what stands in for it may go
+  if (link.failures > 0) pendingServices_.insert(serviceOf(endpoint->second));  // what stands in for it may go
   link.failures = 0;
-  link.heardAt = scheduler_.now();
-  link.awaitedSince.reset();
+  link.lastReceivedAt = scheduler_.now();
+  link.unacknowledgedSince.reset();
   link.silent = false;
   picker_.setSilent(endpoint->second, false);
   if (peer.id == options_.nodeId) picker_.setBeside(endpoint->second);
@@ -347,7 +346,7 @@
 }
 
 void EndpointLinks::onClose(base::ConnectionId connection) {
-  if (dropFormer(connection)) return;
+  if (dropReplacedConnection(connection)) return;
   const auto found = endpointOf_.find(connection);
   if (found == endpointOf_.end()) return;
   const auto endpoint = found->second;
@@ -372,54 +371,54 @@
                         if (!alive.expired()) connect(endpoint);
                       });
   if (link.failures > 1) return;
-  unsettled_.insert(serviceOf(endpoint));
-  chooseSoon();  // another endpoint stands in for it
+  pendingServices_.insert(serviceOf(endpoint));
+  scheduleChoice();  // another endpoint stands in for it
 }
 
 void EndpointLinks::onSent(const std::string& endpoint) {
   const auto found = links_.find(endpoint);
   if (found == links_.end() || !found->second.acknowledges) return;
-  if (!found->second.awaitedSince) found->second.awaitedSince = scheduler_.now();
-  if (!watchTimer_.running()) watchLater();
+  if (!found->second.unacknowledgedSince) found->second.unacknowledgedSince = scheduler_.now();
+  if (!livenessTimer_.running()) scheduleLivenessCheck();
 }
 
-void EndpointLinks::watchLater() { watchTimer_.start(kWatchInterval); }
+void EndpointLinks::scheduleLivenessCheck() { livenessTimer_.start(kLivenessCheckInterval); }
 
-void EndpointLinks::onHeard(base::ConnectionId connection) {
+void EndpointLinks::onMessageReceived(base::ConnectionId connection) {
   const auto found = endpointOf_.find(connection);
   if (found == endpointOf_.end()) return;
   auto& link = links_[found->second];
-  link.heardAt = scheduler_.now();
-  link.awaitedSince.reset();
+  link.lastReceivedAt = scheduler_.now();
+  link.unacknowledgedSince.reset();
   if (!link.silent) return;
   link.silent = false;
   picker_.setSilent(found->second, false);
   log_.info("link endpoint={} is heard again", found->second);
 }
 
-void EndpointLinks::watch() {
-  std::vector<std::string> busy;
+void EndpointLinks::checkLiveness() {
+  std::vector<std::string> checked;
   for (auto& [name, link] : links_) {
-    const bool awaited = picker_.inFlight(name) > 0 || link.silent;
-    if (!link.open || !link.acknowledges || !awaited) continue;
-    busy.push_back(name);
+    const bool needsCheck = picker_.inFlight(name) > 0 || link.silent;
+    if (!link.open || !link.acknowledges || !needsCheck) continue;
+    checked.push_back(name);
   }
-  for (const auto& name : busy) {
+  for (const auto& name : checked) {
     // What is done for one link may close another.
-    if (const auto found = links_.find(name); found != links_.end()) watchLink(name, &found->second);
+    if (const auto found = links_.find(name); found != links_.end()) checkLinkLiveness(name, &found->second);
   }
-  if (!busy.empty()) watchLater();
+  if (!checked.empty()) scheduleLivenessCheck();
 }
 
-void EndpointLinks::watchLink(const std::string& endpoint, Link* link) {
-  const auto heardUntil = scheduler_.inputReadUntil();
-  if (!link->awaitedSince) {
-    if (heardUntil - link->heardAt < kAskAfter) return;
-    link->awaitedSince = scheduler_.now();
+void EndpointLinks::checkLinkLiveness(const std::string& endpoint, Link* link) {
+  const auto readUntil = scheduler_.inputReadUntil();
+  if (!link->unacknowledgedSince) {
+    if (readUntil - link->lastReceivedAt < kKeepAliveAfter) return;
+    link->unacknowledgedSince = scheduler_.now();
     return network_.send(link->connection, wire::encodeFrame(wire::KeepAlive()));
   }
-  if (heardUntil - *link->awaitedSince >= kReplaceAfter) return replaceConnection(endpoint, link);
-  if (link->silent || heardUntil - *link->awaitedSince < kSilentAfter) return;
+  if (readUntil - *link->unacknowledgedSince >= kReplaceConnectionAfter) return replaceConnection(endpoint, link);
+  if (link->silent || readUntil - *link->unacknowledgedSince < kSilenceTimeout) return;
   link->silent = true;
   picker_.setSilent(endpoint, true);
   log_.warn("link endpoint={} is silent, {} calls in progress", endpoint, picker_.inFlight(endpoint));
@@ -439,19 +438,19 @@
   if (0 == calls) {
     network_.close(connection);
   } else {
-    former_[connection] = endpoint;
-    scheduler_.schedule(kFormerFor, [this, alive = std::weak_ptr<bool>(alive_), connection] {
-      if (!alive.expired() && dropFormer(connection)) network_.close(connection);
+    replacedConnections_[connection] = endpoint;
+    scheduler_.schedule(kReplacedConnectionTimeout, [this, alive = std::weak_ptr<bool>(alive_), connection] {
+      if (!alive.expired() && dropReplacedConnection(connection)) network_.close(connection);
     });
   }
   connect(endpoint);
 }
 
 /// @return whether it was a connection that has been replaced; its calls have failed then
-bool EndpointLinks::dropFormer(base::ConnectionId connection) {
-  const auto former = former_.extract(connection);
-  if (former.empty()) return false;
-  onLost_(connection, former.mapped());
+bool EndpointLinks::dropReplacedConnection(base::ConnectionId connection) {
+  const auto replaced = replacedConnections_.extract(connection);
+  if (replaced.empty()) return false;
+  onLost_(connection, replaced.mapped());
   return true;
 }
 
--- a/src/node/endpoint_links.h
+++ b/src/node/endpoint_links.h
@@ -45,14 +45,14 @@
     base::ConnectionId connection = 0;  ///< 0 while waiting to reconnect
     bool open = false;
     bool takesBodyPieces = false;  ///< its node grants bodies as its link has room
-    bool takesWithdrawals = false;
+    bool supportsWithdrawals = false;
     bool acknowledges = false;  ///< its node acknowledges what it gets, so its silence tells something
     int failures = 0;           ///< connections lost in a row
     base::TimePoint lostAt{};
-    base::TimePoint heardAt{};
+    base::TimePoint lastReceivedAt{};
     std::optional<base::TimePoint>
-        awaitedSince;     ///< when the first message since heardAt was sent that is acknowledged
-    bool silent = false;  ///< it has been awaited for too long
+        unacknowledgedSince;  ///< when the first message since lastReceivedAt was sent that is acknowledged
+    bool silent = false;      ///< it has been awaited for too long
   };
 
   /// Called when a connection is gone, with the endpoint it led to.
@@ -78,18 +78,19 @@
   void onSent(const std::string& endpoint);
 
   /// Something arrived.
-  void onHeard(base::ConnectionId connection);
+  void onMessageReceived(base::ConnectionId connection);
 
   /// @return whether this node opened the connection.
-  bool leadsFrom(base::ConnectionId connection) const {
-    return endpointOf_.count(connection) > 0 || former_.count(connection) > 0;
+  bool isOutbound(base::ConnectionId connection) const {
+    return endpointOf_.count(connection) > 0 || replacedConnections_.count(connection) > 0;
   }
 
   /// @return the chosen endpoints of a service, of all versions that take requests or soon may.
-  const std::vector<routing::EndpointTarget>& of(const std::string& service) const;
+  const std::vector<routing::EndpointTarget>& chosenEndpoints(const std::string& service) const;
 
   /// @return those of one version, while a rollout of the service runs; of the one on trial those whose turn it is.
-  const std::vector<routing::EndpointTarget>& of(const std::string& service, const std::string& version) const;
+  const std::vector<routing::EndpointTarget>& chosenEndpoints(const std::string& service,
+                                                              const std::string& version) const;
 
   /// @return the link to a chosen endpoint.
   const Link& link(const std::string& endpoint) const;
@@ -103,26 +104,26 @@
   size_t size() const { return links_.size(); }
 
   /// @return endpoints of all services, chosen or not.
-  size_t known() const { return knownEndpoints_; }
+  size_t knownEndpointCount() const { return knownEndpoints_; }
 
   /// @return how often a chosen endpoint was left without a link at the bound.
-  int64_t leftOut() const { return leftOut_; }
+  int64_t skippedEndpoints() const { return skippedEndpoints_; }
 
  private:
   using Endpoints = std::map<std::string, std::vector<routing::EndpointTarget>>;
 
   /// Links beyond the usual number, for a service whose chosen endpoints were full.
-  struct More {
+  struct ExtraLinks {
     size_t count = 0;
     base::TimePoint until{};
   };
 
-  void collect();
+  void rebuildKnownEndpoints();
   void choose(const std::set<std::string>& services);
   void chooseAll();
-  void noteChange(const wire::EndpointState& state);
-  std::set<std::string> collectChanged();
-  void dropKnown(const std::string& service, const std::string& endpoint);
+  void markChanged(const wire::EndpointState& state);
+  std::set<std::string> updateChangedEndpoints();
+  void removeKnown(const std::string& service, const std::string& endpoint);
   void addKnown(const wire::EndpointState& state);
   bool isKnown(const wire::EndpointState& state) const;
   std::string serviceOf(const std::string& endpoint) const;
@@ -130,23 +131,23 @@
                        const rollout::version_policy& policy);
   std::vector<routing::EndpointTarget> chooseFrom(const std::string& service,
                                                   const std::vector<routing::EndpointTarget>& endpoints);
-  bool fitSubset();
-  void chooseSoon();
-  void takeNews();
-  size_t moreFor(const std::string& service);
+  bool resizeSubset();
+  void scheduleChoice();
+  void applyPendingChanges();
+  size_t extraLinksFor(const std::string& service);
   size_t linksPerService() const;
   void addLinks(const std::map<std::string, base::Address>& wanted);
-  bool outOfReach(const std::string& endpoint) const;
+  bool isUnreachable(const std::string& endpoint) const;
   void updateLinks();
   void closeLink(const std::string& endpoint);
   void connect(const std::string& endpoint);
-  void endPause(const std::string& endpoint);
-  void dropAttempt(const std::string& endpoint);
-  void watchLater();
-  void watch();
-  void watchLink(const std::string& endpoint, Link* link);
+  void reconnectNow(const std::string& endpoint);
+  void abortConnectAttempt(const std::string& endpoint);
+  void scheduleLivenessCheck();
+  void checkLiveness();
+  void checkLinkLiveness(const std::string& endpoint, Link* link);
   void replaceConnection(const std::string& endpoint, Link* link);
-  bool dropFormer(base::ConnectionId connection);
+  bool dropReplacedConnection(base::ConnectionId connection);
 
   LinkOptions options_;
   base::Scheduler& scheduler_;
@@ -156,25 +157,25 @@
   LostHandler onLost_;
   SilentHandler onSilent_;
   subsetting::endpoint_subset subset_;
-  size_t subsetEndpoints_;                             // of each service, by the bound of links
-  routing::RoutingTablePtr table_;                     // null before the first version
-  std::map<std::string, wire::EndpointState> states_;  // newest said of each endpoint
-  Endpoints known_;                                    // by service: those of the table and those announced
-  std::map<std::string, std::string> changed_;         // services of endpoints whose states known_ does not show yet
-  size_t knownEndpoints_ = 0;                          // in known_
-  std::set<std::string> unsettled_;                    // services to be chosen for anew
-  Endpoints chosen_;                                   // by service: those with links
-  std::map<std::string, Endpoints> ofVersion_;         // by service, then by version: while a rollout runs
-  std::map<std::string, More> more_;                   // by service
-  std::map<std::string, Link> links_;                  // by endpoint
+  size_t subsetSize_;                                    // of each service, by the bound of links
+  routing::RoutingTablePtr table_;                       // null before the first version
+  std::map<std::string, wire::EndpointState> states_;    // newest said of each endpoint
+  Endpoints known_;                                      // by service: those of the table and those announced
+  std::map<std::string, std::string> changedEndpoints_;  // services of endpoints whose states known_ does not show yet
+  size_t knownEndpoints_ = 0;                            // in known_
+  std::set<std::string> pendingServices_;                // services to be chosen for anew
+  Endpoints chosen_;                                     // by service: those with links
+  std::map<std::string, Endpoints> chosenByVersion_;     // by service, then by version: while a rollout runs
+  std::map<std::string, ExtraLinks> extraLinks_;         // by service
+  std::map<std::string, Link> links_;                    // by endpoint
   std::map<base::ConnectionId, std::string> endpointOf_;
-  std::map<base::ConnectionId, std::string> former_;  // silent ones that calls are still in progress on
-  std::optional<base::TimePoint> newsAt_;             // when news were taken, the last time
-  base::Timer chooseTimer_;                           // runs while more news are gathered
-  base::Timer watchTimer_;                            // runs while calls are in progress, or a link is silent
+  std::map<base::ConnectionId, std::string> replacedConnections_;  // silent ones that calls are still in progress on
+  std::optional<base::TimePoint> lastAppliedAt_;                   // when news were taken, the last time
+  base::Timer chooseTimer_;                                        // runs while more news are gathered
+  base::Timer livenessTimer_;  // runs while calls are in progress, or a link is silent
   base::Logger log_{"entry"};
-  base::DecisionLog boundLog_;
-  int64_t leftOut_ = 0;
+  base::DecisionLog linkLimitLog_;
+  int64_t skippedEndpoints_ = 0;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/node/endpoint_links_known.cc
+++ b/src/node/endpoint_links_known.cc
@@ -11,8 +11,8 @@
   return !gone && !(table_ && table_->evacuated(state.zone));
 }
 
-void EndpointLinks::collect() {
-  changed_.clear();
+void EndpointLinks::rebuildKnownEndpoints() {
+  changedEndpoints_.clear();
   known_.clear();
   if (table_) known_ = table_->endpointsByService();
   for (auto& [service, endpoints] : known_) {
@@ -24,28 +24,28 @@
   chooseAll();
 }
 
-void EndpointLinks::noteChange(const wire::EndpointState& state) {
-  if (!state.address.empty()) changed_[state.endpoint] = state.serviceName;
+void EndpointLinks::markChanged(const wire::EndpointState& state) {
+  if (!state.address.empty()) changedEndpoints_[state.endpoint] = state.serviceName;
 }
 
 /// Brings known_ up to date for what has changed only: at a thousand endpoints a whole pass for each of their states
 /// costs a node more than its calls.
 /// @return services whose endpoints changed
-std::set<std::string> EndpointLinks::collectChanged() {
+std::set<std::string> EndpointLinks::updateChangedEndpoints() {
   std::set<std::string> services;
-  for (const auto& [endpoint, service] : std::exchange(changed_, {})) {
-    dropKnown(service, endpoint);
+  for (const auto& [endpoint, service] : std::exchange(changedEndpoints_, {})) {
+    removeKnown(service, endpoint);
     services.insert(service);
     const auto state = states_.find(endpoint);
     if (state == states_.end() || !isKnown(state->second)) continue;
-    dropKnown(state->second.serviceName, endpoint);
+    removeKnown(state->second.serviceName, endpoint);
     addKnown(state->second);
     services.insert(state->second.serviceName);
   }
   return services;
 }
 
-void EndpointLinks::dropKnown(const std::string& service, const std::string& endpoint) {
+void EndpointLinks::removeKnown(const std::string& service, const std::string& endpoint) {
   const auto found = known_.find(service);
   if (found == known_.end()) return;
   std::erase_if(found->second, [&](const auto& known) { return known.name == endpoint; });
--- a/src/node/entry_calls.cc
+++ b/src/node/entry_calls.cc
@@ -51,7 +51,7 @@
           linkOptionsOf(options_), scheduler, base::RandomSource(random_.bits()), network, picker_,
           [this](base::ConnectionId connection, const std::string& endpoint) { onLinkLost(connection, endpoint); },
           [this](base::ConnectionId connection, const std::string&) { onLinkSilent(connection); }),
-      decisions_("entry", scheduler) {}
+      decisionLog_("entry", scheduler) {}
 
 EntryCalls::~EntryCalls() { alive_.reset(); }
 
@@ -72,15 +72,15 @@
   for (const auto attemptId : lost) {
     const auto attempt = attempts_[attemptId];
     attempts_.erase(attemptId);
-    dropAttempt(attempt.call, attemptId);
+    removeAttempt(attempt.call, attemptId);
     picker_.onDone(endpoint, base::Duration(0), true);
-    if (!bodyHasLeft(attempt)) {
-      onAttemptFailed(attempt.call, Reach::kNode,
+    if (!isBodySent(attempt)) {
+      onAttemptFailed(attempt.call, AttemptProgress::kBeforeBackend,
                       failureAnswer(CallOutcome::NOT_RUN, ErrorCode::kConnectionLost, kUnavailableStatus,
-                                    base::millisecondsOf(spread(options_.overloadRetryAfter))));
+                                    base::millisecondsOf(withJitter(options_.overloadRetryAfter))));
       continue;
     }
-    onAttemptFailed(attempt.call, Reach::kMayHaveRun,
+    onAttemptFailed(attempt.call, AttemptProgress::kMayHaveRun,
                     failureAnswer(CallOutcome::UNKNOWN, ErrorCode::kConnectionLost, kBadGatewayStatus, 0));
   }
 }
@@ -96,12 +96,14 @@
   return call.priority * kTargets + call.targetLatencyMs + (late ? kLateRank : 0);
 }
 
-base::Duration EntryCalls::spread(base::Duration duration) {
+base::Duration EntryCalls::withJitter(base::Duration duration) {
   // Callers that were refused together should not come back together.
   return duration * 3 / 4 + random_.duration(duration / 2 + base::Duration(1));
 }
 
-std::string EntryCalls::mintKey() { return options_.nodeId + "-" + absl::StrFormat("%016x", random_.bits()); }
+std::string EntryCalls::generateIdempotencyKey() {
+  return options_.nodeId + "-" + absl::StrFormat("%016x", random_.bits());
+}
 
 const routing::Route* EntryCalls::findRoute(const InboundCall& inbound) const {
   if (!table_) return nullptr;
@@ -117,11 +119,11 @@
   call.done = std::move(done);
   call.table = table_;
   const auto now = scheduler_.now();
-  call.begunAt = now;
+  call.startedAt = now;
   const auto* route = findRoute(call.inbound);
-  if (refusing_ || !table_) {
-    const auto error = refusing_ ? ErrorCode::kDraining : ErrorCode::kNoTable;
-    const int retryAfterMs = refusing_ ? kDefaultRetryAfterMs : kNoTableRetryAfterMs;
+  if (refusingNewCalls_ || !table_) {
+    const auto error = refusingNewCalls_ ? ErrorCode::kDraining : ErrorCode::kNoTable;
+    const int retryAfterMs = refusingNewCalls_ ? kDefaultRetryAfterMs : kNoTableRetryAfterMs;
     finishLater(id, failureAnswer(CallOutcome::NOT_RUN, error, kUnavailableStatus, retryAfterMs));
     return id;
   }
@@ -141,22 +143,23 @@
   call.route = route->name;
   call.repeatable = route->repeatable;
   call.targetLatencyMs = route->targetLatencyMs;
-  if (options_.inTimeFirst) call.waitedMs = patience_[route->name].onCall(call.inbound.deadlineMs);
-  call.service = splits_[route->name].pick(route->shares);
+  if (options_.deprioritizeLateCalls) call.waitedMs = callerPatience_[route->name].onCall(call.inbound.deadlineMs);
+  call.service = routeSplits_[route->name].pick(route->shares);
   const auto rule = table_->retryRule(call.service).value_or(options_.defaultRetry);
   call.maxAttempts = route->maxAttempts > 0 ? route->maxAttempts : rule.maxAttempts;
   call.idempotencyKey = headerValue(call.inbound.headers, kIdempotencyHeader);
-  if (!call.repeatable && call.idempotencyKey.empty() && options_.mintKeys) call.idempotencyKey = mintKey();
+  if (!call.repeatable && call.idempotencyKey.empty() && options_.generateIdempotencyKeys)
+    call.idempotencyKey = generateIdempotencyKey();
   if (call.repeatable) call.idempotencyKey.clear();
   call.timer = scheduler_.schedule(call.deadline - now, [this, alive = std::weak_ptr<bool>(alive_), id] {
     if (!alive.expired()) onDeadline(id);
   });
-  auto& budget = budgets_.try_emplace(call.service, options_.retryBurst).first->second;
+  auto& budget = retryBudgets_.try_emplace(call.service, options_.retryBurst).first->second;
   budget.useBurst(retryBurst());
   budget.onRequest(rule.budgetPercent);
   const auto* tenant = call.tenant.empty() ? nullptr : table_->tenants().named(call.tenant);
   if (quotas_ != nullptr && tenant != nullptr && tenant->limited()) {
-    askForPermit(id, call.tenant);
+    requestPermit(id, call.tenant);
     return id;
   }
   scheduler_.schedule(base::Duration(0), [this, alive = std::weak_ptr<bool>(alive_), id] {
@@ -168,7 +171,7 @@
 /// About as many nodes send as there are endpoints, with a node beside each.
 double EntryCalls::retryBurst() const {
   if (options_.retrySlack <= 0) return options_.retryBurst;
-  const auto nodes = static_cast<double>(std::max<size_t>(1, links_.known()));
+  const auto nodes = static_cast<double>(std::max<size_t>(1, links_.knownEndpointCount()));
   return std::clamp(options_.retrySlack / nodes, 1.0, std::max(1.0, options_.retryBurst));
 }
 
@@ -182,7 +185,7 @@
   const auto found = calls_.find(id);
   if (found == calls_.end()) return;
   auto& call = found->second;
-  switch (judge(&call)) {
+  switch (quarantineStanding(&call)) {
     case quarantine::standing::held:
       return finishHeld(id, base::millisecondsOf(quarantine_->retryAfter(fingerprintOfCall(&call))));
     case quarantine::standing::suspect:
@@ -191,21 +194,21 @@
       break;
   }
   // The newest version decides where a request may go now; a retry must not go to an endpoint that has left.
-  if (call.tried.empty()) call.onTrial = drawsTrial(call.service);
+  if (call.tried.empty()) call.useTargetVersion = drawsTargetVersion(call.service);
   const auto* target = pickEndpoint(call);
   if (target == nullptr) {
     links_.onFull(call.service);
     if (!call.tried.empty()) return finish(id, call.lastFailure);
     return finish(id, failureAnswer(CallOutcome::NOT_RUN, ErrorCode::kNoEndpoint, kUnavailableStatus,
-                                    base::millisecondsOf(spread(options_.overloadRetryAfter))));
+                                    base::millisecondsOf(withJitter(options_.overloadRetryAfter))));
   }
   send(id, &call, *target);
-  armHedge(id, &call);
+  startHedgeTimer(id, &call);
 }
 
-bool EntryCalls::drawsTrial(const std::string& service) {
+bool EntryCalls::drawsTargetVersion(const std::string& service) {
   const auto* versions = table_->versions(service);
-  if (versions == nullptr || !versions->running || (fresh_ && !fresh_())) return false;
+  if (versions == nullptr || !versions->running || (isFresh_ && !isFresh_())) return false;
   const int standing = rollout::kWholePermille - versions->targetPermille;
   const auto drawn =
       versionSplits_[service].pick({{versions->standing, standing}, {versions->target, versions->targetPermille}});
@@ -215,11 +218,11 @@
 /// A call that was refused or failed on trial goes on with the version that is known to be well.
 const std::vector<routing::EndpointTarget>& EntryCalls::candidatesFor(const Call& call) const {
   const auto* versions = table_->versions(call.service);
-  if (versions == nullptr || !versions->running) return links_.of(call.service);
-  if (versions->retiring) return links_.of(call.service, versions->target);
-  const auto& onTrial = links_.of(call.service, versions->target);
-  const bool first = call.onTrial && call.tried.empty();
-  return first && !onTrial.empty() ? onTrial : links_.of(call.service, versions->standing);
+  if (versions == nullptr || !versions->running) return links_.chosenEndpoints(call.service);
+  if (versions->retiring) return links_.chosenEndpoints(call.service, versions->target);
+  const auto& targetEndpoints = links_.chosenEndpoints(call.service, versions->target);
+  const bool first = call.useTargetVersion && call.tried.empty();
+  return first && !targetEndpoints.empty() ? targetEndpoints : links_.chosenEndpoints(call.service, versions->standing);
 }
 
 const routing::EndpointTarget* EntryCalls::pickEndpoint(const Call& call) {
@@ -228,7 +231,7 @@
                       bytes > options_.inlineBodyBytes ? bytes : 0);
 }
 
-void EntryCalls::dropAttempt(CallId call, int64_t attemptId) {
+void EntryCalls::removeAttempt(CallId call, int64_t attemptId) {
   const auto found = calls_.find(call);
   if (found != calls_.end()) std::erase(found->second.inFlight, attemptId);
 }
@@ -273,7 +276,7 @@
 }
 
 void EntryCalls::onMessage(base::ConnectionId connection, wire::Message message) {
-  links_.onHeard(connection);
+  links_.onMessageReceived(connection);
   if (const auto* response = std::get_if<wire::CallResponse>(&message)) onResponse(connection, *response);
   if (const auto* grant = std::get_if<wire::CallBodyGrant>(&message)) onBodyGrant(connection, *grant);
 }
@@ -284,34 +287,34 @@
   auto& attempt = found->second;
   const auto& body = calls_.at(attempt.call).inbound.body;
   const size_t upTo = std::min(body.size(), static_cast<size_t>(std::max<int64_t>(0, grant.upToBytes)));
-  if (upTo <= attempt.bodySent) return;
+  if (upTo <= attempt.bodyBytesSent) return;
   wire::CallBodyPiece piece;
   piece.callId = grant.callId;
-  piece.data = body.substr(attempt.bodySent, upTo - attempt.bodySent);
-  attempt.bodySent = upTo;
+  piece.data = body.substr(attempt.bodyBytesSent, upTo - attempt.bodyBytesSent);
+  attempt.bodyBytesSent = upTo;
   network_.send(connection, wire::encodeFrame(piece));
 }
 
-bool EntryCalls::bodyHasLeft(const Attempt& attempt) const {
+bool EntryCalls::isBodySent(const Attempt& attempt) const {
   const auto call = calls_.find(attempt.call);
-  return call == calls_.end() || attempt.bodySent == call->second.inbound.body.size();
+  return call == calls_.end() || attempt.bodyBytesSent == call->second.inbound.body.size();
 }
 
 void EntryCalls::refuseWaiting() {
-  ending_ = true;
+  stopping_ = true;
   std::vector<CallId> unsent;
   for (const auto& [id, call] : calls_) {
-    const bool left = std::any_of(call.inFlight.begin(), call.inFlight.end(), [this](int64_t attemptId) {
+    const bool mayHaveArrived = std::any_of(call.inFlight.begin(), call.inFlight.end(), [this](int64_t attemptId) {
       const auto attempt = attempts_.find(attemptId);
-      return attempt == attempts_.end() || bodyHasLeft(attempt->second);
+      return attempt == attempts_.end() || isBodySent(attempt->second);
     });
-    if (!left) unsent.push_back(id);
+    if (!mayHaveArrived) unsent.push_back(id);
   }
   for (const auto id : unsent) {
     finish(id, failureAnswer(CallOutcome::NOT_RUN, ErrorCode::kDraining, kUnavailableStatus, kDefaultRetryAfterMs));
   }
   for (const auto& [attemptId, attempt] : attempts_) {
-    if (!links_.link(attempt.endpoint).takesWithdrawals) continue;
+    if (!links_.link(attempt.endpoint).supportsWithdrawals) continue;
     wire::CallWithdraw withdraw;
     withdraw.callId = attemptId;
     network_.send(attempt.connection, wire::encodeFrame(withdraw));
@@ -326,15 +329,15 @@
   }
   const auto attempt = found->second;
   attempts_.erase(found);
-  dropAttempt(attempt.call, response.callId);
+  removeAttempt(attempt.call, response.callId);
   const auto error = static_cast<ErrorCode>(response.errorCode);
   const auto latency = scheduler_.now() - attempt.sentAt;
   if (response.outcome == CallOutcome::COMPLETED) return onCompleted(attempt, response);
   if (response.outcome == CallOutcome::NOT_RUN) return onNotRun(attempt, response);
   picker_.onDone(attempt.endpoint, latency, true);
-  if (error == ErrorCode::kBackendCrashed) noteCrash(attempt, response);
+  if (error == ErrorCode::kBackendCrashed) recordCrash(attempt, response);
   const int status = error == ErrorCode::kDeadlineExceeded ? kGatewayTimeoutStatus : kBadGatewayStatus;
-  onAttemptFailed(attempt.call, Reach::kMayHaveRun, failureAnswer(CallOutcome::UNKNOWN, error, status, 0));
+  onAttemptFailed(attempt.call, AttemptProgress::kMayHaveRun, failureAnswer(CallOutcome::UNKNOWN, error, status, 0));
 }
 
 void EntryCalls::onCompleted(const Attempt& attempt, const wire::CallResponse& response) {
@@ -349,9 +352,9 @@
   if (found == calls_.end()) return;
   auto& call = found->second;
   const bool failed = response.httpStatus >= kFirstServerError;
-  const bool another = !call.inFlight.empty() || (mayHedge(&call) && idleEndpoint(call) != nullptr);
-  if (!failed || !call.repeatable || !another) return finish(attempt.call, std::move(answer));
-  onAttemptFailed(attempt.call, Reach::kMayHaveRun, std::move(answer));
+  const bool hasAlternative = !call.inFlight.empty() || (hedgingAllowed(&call) && pickIdleEndpoint(call) != nullptr);
+  if (!failed || !call.repeatable || !hasAlternative) return finish(attempt.call, std::move(answer));
+  onAttemptFailed(attempt.call, AttemptProgress::kMayHaveRun, std::move(answer));
 }
 
 void EntryCalls::onNotRun(const Attempt& attempt, const wire::CallResponse& response) {
@@ -364,7 +367,7 @@
   if (error == ErrorCode::kOverloaded) {
     picker_.onReport(attempt.endpoint, response.inFlight);
     const auto call = calls_.find(attempt.call);
-    const auto fullFor = std::max(options_.fullFor, spread(base::milliseconds(response.fullForMs)));
+    const auto fullFor = std::max(options_.fullFor, withJitter(base::milliseconds(response.fullForMs)));
     if (response.fullForBodies) {
       picker_.onFullForBodies(attempt.endpoint, fullFor);
     } else if (call != calls_.end()) {
@@ -380,42 +383,42 @@
   if (leaving) picker_.setAvailable(attempt.endpoint, false);
   if (error == ErrorCode::kWrongEndpoint) links_.forget(attempt.endpoint);
   const bool reachedBackend = error == ErrorCode::kBackendRefused;
-  const int askedMs = response.retryAfterMs > 0 ? response.retryAfterMs : kDefaultRetryAfterMs;
-  const int retryAfterMs = base::millisecondsOf(spread(base::milliseconds(askedMs)));
-  onAttemptFailed(attempt.call, reachedBackend ? Reach::kRefusedByBackend : Reach::kNode,
+  const int suggestedMs = response.retryAfterMs > 0 ? response.retryAfterMs : kDefaultRetryAfterMs;
+  const int retryAfterMs = base::millisecondsOf(withJitter(base::milliseconds(suggestedMs)));
+  onAttemptFailed(attempt.call, reachedBackend ? AttemptProgress::kRefusedByBackend : AttemptProgress::kBeforeBackend,
                   failureAnswer(CallOutcome::NOT_RUN, error, kUnavailableStatus, retryAfterMs));
 }
 
-void EntryCalls::onAttemptFailed(CallId id, Reach reach, CallAnswer failure) {
+void EntryCalls::onAttemptFailed(CallId id, AttemptProgress progress, CallAnswer failure) {
   const auto found = calls_.find(id);
   if (found == calls_.end()) return;
   auto& call = found->second;
   // A back end's own answer tells the caller more than a refusal that comes behind it.
   const bool answered = call.lastFailure.outcome == CallOutcome::COMPLETED;
   if (!answered || failure.outcome == CallOutcome::COMPLETED) call.lastFailure = std::move(failure);
-  call.mayHaveRun = call.mayHaveRun || reach == Reach::kMayHaveRun;
-  const bool atBackend = reach != Reach::kNode;
+  call.mayHaveRun = call.mayHaveRun || progress == AttemptProgress::kMayHaveRun;
+  const bool atBackend = progress != AttemptProgress::kBeforeBackend;
   if (atBackend) {
     ++call.attempts;
   } else {
     ++call.refusals;
   }
   if (!call.inFlight.empty()) return;  // the other attempt of a hedged call decides
-  const bool mayRepeat = reach != Reach::kMayHaveRun || call.repeatable;
+  const bool mayRepeat = progress != AttemptProgress::kMayHaveRun || call.repeatable;
   const bool attemptsLeft = call.attempts < call.maxAttempts && call.refusals < options_.maxRefusals;
-  const bool allowed = options_.retries && !ending_ && mayRepeat && attemptsLeft && scheduler_.now() < call.deadline;
+  const bool allowed = options_.retries && !stopping_ && mayRepeat && attemptsLeft && scheduler_.now() < call.deadline;
   if (!allowed) {
-    logAttemptFailed(&call, reach, false, ending_ ? "stopping" : mayRepeat ? "attempts_used" : "may_have_run");
+    logAttemptFailed(&call, progress, false, stopping_ ? "stopping" : mayRepeat ? "attempts_used" : "may_have_run");
     return finish(id, call.lastFailure);
   }
   // A refusal by a node costs no back end anything; what has reached one is paid for.
-  if (atBackend && !budgets_[call.service].spend()) {
-    ++counters_.budgetSpent;
-    logAttemptFailed(&call, reach, false, "budget_spent");
+  if (atBackend && !retryBudgets_[call.service].spend()) {
+    ++counters_.budgetDenials;
+    logAttemptFailed(&call, progress, false, "budget_spent");
     return finish(id, call.lastFailure);
   }
   ++counters_.retries;
-  logAttemptFailed(&call, reach, true, "allowed");
+  logAttemptFailed(&call, progress, true, "allowed");
   attempt(id);
 }
 
@@ -425,23 +428,25 @@
 
 std::string EntryCalls::fingerprintText(Call* call) { return quarantine::toText(fingerprintOfCall(call)); }
 
-void EntryCalls::logAttemptFailed(Call* failed, Reach reach, bool again, const char* because) {
-  decisions_.write(base::LineWorth::kFailure, [&] {
+void EntryCalls::logAttemptFailed(Call* failed, AttemptProgress progress, bool willRetry, const char* reason) {
+  decisionLog_.write(base::LineWorth::kFailure, [&] {
     const auto& call = *failed;
-    const char* reached = reach == Reach::kNode ? "node" : reach == Reach::kMayHaveRun ? "may_have_run" : "refused";
+    const char* reached = progress == AttemptProgress::kBeforeBackend ? "node"
+                          : progress == AttemptProgress::kMayHaveRun  ? "may_have_run"
+                                                                      : "refused";
     return fmt::format(
         "attempt call={} request={} route={} service={} endpoint={} error={} reached={} attempts={} refusals={} "
         "repeatable={} again={} because={} table={}",
         requestIdOf(call), fingerprintText(failed), call.route, call.service, call.endpoint,
-        base::errorName(call.lastFailure.error), reached, call.attempts, call.refusals, call.repeatable, again, because,
-        call.table ? call.table->revision() : 0);
+        base::errorName(call.lastFailure.error), reached, call.attempts, call.refusals, call.repeatable, willRetry,
+        reason, call.table ? call.table->revision() : 0);
   });
 }
 
 void EntryCalls::logOutcome(Call* finished, const CallAnswer& answer) {
   const bool completed = answer.outcome == CallOutcome::COMPLETED;
   const auto worth = completed ? base::LineWorth::kRoutine : base::LineWorth::kFailure;
-  decisions_.write(worth, [&] {
+  decisionLog_.write(worth, [&] {
     const auto& call = *finished;
     const char* outcome = completed ? "completed" : answer.outcome == CallOutcome::NOT_RUN ? "not_run" : "unknown";
     const auto now = scheduler_.now();
@@ -450,7 +455,7 @@
         "attempts={} refusals={} waited_before_ms={} elapsed_ms={} left_ms={} retry_after_ms={} table={}{}",
         requestIdOf(call), call.inbound.method, call.inbound.host, call.inbound.path, call.route, call.tenant,
         call.service, call.endpoint, outcome, answer.httpStatus, base::errorName(answer.error), call.attempts,
-        call.refusals, call.waitedMs, remainingMs(now, call.begunAt), remainingMs(call.deadline, now),
+        call.refusals, call.waitedMs, remainingMs(now, call.startedAt), remainingMs(call.deadline, now),
         answer.retryAfterMs, call.table ? call.table->revision() : 0,
         completed ? "" : " request=" + fingerprintText(finished));
   });
@@ -491,9 +496,9 @@
   }
   if (!call.done) {
     ++counters_.abandoned;
-    decisions_.write(base::LineWorth::kRoutine, [&] {
+    decisionLog_.write(base::LineWorth::kRoutine, [&] {
       return fmt::format("abandoned call={} route={} service={} endpoint={} elapsed_ms={}", requestIdOf(call),
-                         call.route, call.service, call.endpoint, remainingMs(scheduler_.now(), call.begunAt));
+                         call.route, call.service, call.endpoint, remainingMs(scheduler_.now(), call.startedAt));
     });
     return;
   }
@@ -503,7 +508,7 @@
     if (answer.httpStatus == kUnavailableStatus) answer.httpStatus = kBadGatewayStatus;
   }
   logOutcome(&call, answer);
-  if (answer.outcome == CallOutcome::COMPLETED) counters_.completedLatency.record(scheduler_.now() - call.begunAt);
+  if (answer.outcome == CallOutcome::COMPLETED) counters_.completedLatency.record(scheduler_.now() - call.startedAt);
   if (answer.outcome == CallOutcome::COMPLETED) ++counters_.completed;
   if (answer.outcome == CallOutcome::NOT_RUN) ++counters_.refused;
   if (answer.outcome == CallOutcome::UNKNOWN) ++counters_.unknown;
--- a/src/node/entry_calls.h
+++ b/src/node/entry_calls.h
@@ -36,7 +36,7 @@
   /// that the sum does not grow with the fleet. 0 leaves each node at retryBurst.
   double retrySlack = 0;
   /// Whether requests that may not be repeated get a key of their own, under which the ledger knows them.
-  bool mintKeys = true;
+  bool generateIdempotencyKeys = true;
   base::Duration fullFor{0};  ///< how long an endpoint that refused for want of slots is not asked again
   base::Duration overloadRetryAfter = base::milliseconds(200);  ///< told to callers when every endpoint is full
   std::string requestIdHeader;  ///< header, in lower case, by which logs name a call; empty for none
@@ -47,9 +47,9 @@
   /// Multiple of its target latency after which a repeatable call without an answer is sent to a second, idle endpoint
   /// also where hedging is off: its connection to the back end may be silent for good, which no other sign shows, as
   /// its node is well and a slow back end says nothing either. 0 for never.
-  double lateAfterShare = 2;
+  double lateHedgeAfterShare = 2;
   /// Whether calls whose callers have waited longer than the target latency give way to those that can still make it.
-  bool inTimeFirst = true;
+  bool deprioritizeLateCalls = true;
   double hedgeIdleShare = 0.6;  ///< an endpoint with a smaller share of its slots busy is idle
   /// A body up to this size travels with its call; a larger one is announced, and sent as its receiver grants it.
   size_t inlineBodyBytes = 4096;
@@ -65,7 +65,7 @@
   int64_t unknown = 0;  ///< final answers "outcome unknown"
   int64_t attempts = 0;
   int64_t retries = 0;
-  int64_t budgetSpent = 0;                  ///< retries that the budget did not allow
+  int64_t budgetDenials = 0;                ///< retries that the budget did not allow
   int64_t hedges = 0;                       ///< second attempts beside the first
   int64_t heldBack = 0;                     ///< refused since their request is held
   int64_t probations = 0;                   ///< attempts of suspects
@@ -98,7 +98,7 @@
 
   /// Sets what tells whether this node hears of the controllers. While it doesn't, a version on trial gets nothing from
   /// here: nobody could take it back. Without it, the node is held to hear of them.
-  void useFreshness(std::function<bool()> fresh) { fresh_ = std::move(fresh); }
+  void setFreshnessCheck(std::function<bool()> isFresh) { isFresh_ = std::move(isFresh); }
 
   /// Uses a new version for calls that begin from now on.
   void useTable(routing::RoutingTablePtr table);
@@ -110,7 +110,7 @@
   CallId begin(InboundCall call, AnswerCallback done);
 
   /// Refuses every call that begins from now on as not run; those in progress go on.
-  void refuseNew() { refusing_ = true; }
+  void refuseNew() { refusingNewCalls_ = true; }
 
   /// Ends a planned stop: calls that no back end has begun to run get their final answer as not run, and nothing is
   /// sent again. Those whose bodies have not left are answered at once; of the others the endpoints' nodes are asked.
@@ -121,11 +121,11 @@
 
   size_t active() const { return calls_.size(); }
   /// @return whether a connection was opened by this side.
-  bool leadsFrom(base::ConnectionId connection) const { return links_.leadsFrom(connection); }
+  bool isOutbound(base::ConnectionId connection) const { return links_.isOutbound(connection); }
   size_t links() const { return links_.size(); }
 
   /// @return how often an endpoint was left without a link at the bound of links.
-  int64_t linksLeftOut() const { return links_.leftOut(); }
+  int64_t skippedLinks() const { return links_.skippedEndpoints(); }
   const EntryCounters& counters() const { return counters_; }
   const routing::RoutingTablePtr& table() const { return table_; }
 
@@ -142,7 +142,7 @@
     std::string service;
     std::string tenant;    // empty where callers need no key
     std::string endpoint;  // that was asked last
-    base::TimePoint begunAt{};
+    base::TimePoint startedAt{};
     int maxAttempts = 1;  // back ends that it may reach
     int priority = 0;
     int targetLatencyMs = 0;
@@ -156,8 +156,8 @@
     std::vector<int64_t> inFlight;  // ids of attempts; more than one only while the call is hedged
     base::TimerId hedgeTimer = 0;
     std::set<std::string> tried;
-    bool onTrial = false;     // first goes to the version on trial
-    bool mayHaveRun = false;  // an attempt reached a back end and was not refused there
+    bool useTargetVersion = false;  // first goes to the version on trial
+    bool mayHaveRun = false;        // an attempt reached a back end and was not refused there
     std::optional<quarantine::request_fingerprint> fingerprint;  // once it was needed
     CallAnswer lastFailure;
   };
@@ -167,54 +167,54 @@
     std::string endpoint;
     base::ConnectionId connection;
     base::TimePoint sentAt;
-    size_t bodySent = 0;  // bytes of the call's body
+    size_t bodyBytesSent = 0;  // bytes of the call's body
   };
 
   const routing::Route* findRoute(const InboundCall& inbound) const;
   double retryBurst() const;
   bool authenticate(Call* call, const routing::Route& route);
-  void askForPermit(CallId id, const std::string& tenant);
+  void requestPermit(CallId id, const std::string& tenant);
   void onPermit(CallId id, const quota::permit_outcome& outcome);
   void finishLater(CallId id, CallAnswer answer);
   void onLinkLost(base::ConnectionId connection, const std::string& endpoint);
   void onLinkSilent(base::ConnectionId connection);
-  void sendBeside(CallId id, const char* because);
+  void sendSecondAttempt(CallId id, const char* reason);
   void attempt(CallId id);
   void send(CallId id, Call* call, const routing::EndpointTarget& target, bool suspect = false);
   void onResponse(base::ConnectionId connection, const wire::CallResponse& response);
   void onBodyGrant(base::ConnectionId connection, const wire::CallBodyGrant& grant);
-  bool bodyHasLeft(const Attempt& attempt) const;
+  bool isBodySent(const Attempt& attempt) const;
   const routing::EndpointTarget* pickEndpoint(const Call& call);
-  bool drawsTrial(const std::string& service);
+  bool drawsTargetVersion(const std::string& service);
   const std::vector<routing::EndpointTarget>& candidatesFor(const Call& call) const;
   const quarantine::request_fingerprint& fingerprintOfCall(Call* call);
-  quarantine::standing judge(Call* call);
+  quarantine::standing quarantineStanding(Call* call);
   void finishHeld(CallId id, int retryAfterMs);
   void attemptOnProbation(CallId id, Call* call);
-  void noteCrash(const Attempt& attempt, const wire::CallResponse& response);
+  void recordCrash(const Attempt& attempt, const wire::CallResponse& response);
   /// How far an attempt that failed had come.
-  enum class Reach { kNode, kRefusedByBackend, kMayHaveRun };
+  enum class AttemptProgress { kBeforeBackend, kRefusedByBackend, kMayHaveRun };
 
-  void armHedge(CallId id, Call* call);
+  void startHedgeTimer(CallId id, Call* call);
   void onHedgeTimer(CallId id);
-  const routing::EndpointTarget* idleEndpoint(const Call& call);
-  bool mayHedge(Call* call);
-  double besideAfterShare() const;
-  bool mayBeSentBeside(Call* call);
+  const routing::EndpointTarget* pickIdleEndpoint(const Call& call);
+  bool hedgingAllowed(Call* call);
+  double secondAttemptAfterShare() const;
+  bool secondAttemptAllowed(Call* call);
   void onCompleted(const Attempt& attempt, const wire::CallResponse& response);
-  void dropAttempt(CallId call, int64_t attemptId);
+  void removeAttempt(CallId call, int64_t attemptId);
   void onNotRun(const Attempt& attempt, const wire::CallResponse& response);
-  void onAttemptFailed(CallId id, Reach reach, CallAnswer failure);
+  void onAttemptFailed(CallId id, AttemptProgress progress, CallAnswer failure);
   void onDeadline(CallId id);
   void finish(CallId id, CallAnswer answer);
   CallAnswer failureAnswer(wire::CallOutcome::type outcome, base::ErrorCode error, int status, int retryAfterMs) const;
   std::string requestIdOf(const Call& call) const;
   std::string fingerprintText(Call* call);
-  void logAttemptFailed(Call* call, Reach reach, bool again, const char* because);
+  void logAttemptFailed(Call* call, AttemptProgress progress, bool willRetry, const char* reason);
   void logOutcome(Call* finished, const CallAnswer& answer);
   static int rankOf(const Call& call);
-  base::Duration spread(base::Duration duration);
-  std::string mintKey();
+  base::Duration withJitter(base::Duration duration);
+  std::string generateIdempotencyKey();
 
   EntryOptions options_;
   base::Scheduler& scheduler_;
@@ -222,22 +222,22 @@
   base::Network& network_;
   routing::RoutingTablePtr table_;  // null before the first version
   routing::EndpointPicker picker_;
-  std::map<std::string, routing::WeightedSplit> splits_;         // by route
-  std::map<std::string, routing::WeightedSplit> versionSplits_;  // by service
-  std::function<bool()> fresh_;                                  // may be empty
-  std::map<std::string, overload::caller_patience> patience_;    // by route
-  std::map<std::string, retry::RetryBudget> budgets_;            // by service
+  std::map<std::string, routing::WeightedSplit> routeSplits_;        // by route
+  std::map<std::string, routing::WeightedSplit> versionSplits_;      // by service
+  std::function<bool()> isFresh_;                                    // may be empty
+  std::map<std::string, overload::caller_patience> callerPatience_;  // by route
+  std::map<std::string, retry::RetryBudget> retryBudgets_;           // by service
   std::map<CallId, Call> calls_;
   std::map<int64_t, Attempt> attempts_;  // by the id that travels in frames
   EndpointLinks links_;
   quarantine::request_quarantine* quarantine_ = nullptr;  // may stay null
   quota::quota_queue* quotas_ = nullptr;                  // may stay null
-  bool refusing_ = false;
-  bool ending_ = false;  // nothing is sent again
+  bool refusingNewCalls_ = false;
+  bool stopping_ = false;  // nothing is sent again
   CallId nextCall_ = 1;
   int64_t nextAttempt_ = 1;
   EntryCounters counters_;
-  base::DecisionLog decisions_;
+  base::DecisionLog decisionLog_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/node/entry_calls_beside.cc
+++ b/src/node/entry_calls_hedging.cc
@@ -11,40 +11,41 @@
   for (const auto& [attemptId, attempt] : attempts_) {
     if (attempt.connection == connection) waiting.push_back(attempt.call);
   }
-  for (const auto id : waiting) sendBeside(id, "silent");
+  for (const auto id : waiting) sendSecondAttempt(id, "silent");
 }
 
-void EntryCalls::sendBeside(CallId id, const char* because) {
+void EntryCalls::sendSecondAttempt(CallId id, const char* reason) {
   const auto found = calls_.find(id);
   if (found == calls_.end()) return;
   auto& call = found->second;
-  if (call.inFlight.size() != 1 || !mayBeSentBeside(&call)) return;
+  if (call.inFlight.size() != 1 || !secondAttemptAllowed(&call)) return;
   const auto* target = pickEndpoint(call);
-  if (target == nullptr || !budgets_[call.service].spend()) return;
+  if (target == nullptr || !retryBudgets_[call.service].spend()) return;
   ++counters_.hedges;
-  decisions_.write(base::LineWorth::kRoutine, [&] {
+  decisionLog_.write(base::LineWorth::kRoutine, [&] {
     return fmt::format("second call={} route={} service={} first={} second={} elapsed_ms={} because={}",
                        requestIdOf(call), call.route, call.service, call.endpoint, target->name,
-                       base::millisecondsOf(scheduler_.now() - call.begunAt), because);
+                       base::millisecondsOf(scheduler_.now() - call.startedAt), reason);
   });
   send(id, &call, *target);
 }
 
-bool EntryCalls::mayBeSentBeside(Call* call) {
-  const int begun = call->attempts + static_cast<int>(call->inFlight.size());
+bool EntryCalls::secondAttemptAllowed(Call* call) {
+  const int startedAttempts = call->attempts + static_cast<int>(call->inFlight.size());
   // A request that may crash what runs it is at one back end at a time.
-  return call->repeatable && begun < call->maxAttempts && judge(call) == quarantine::standing::clear;
+  return call->repeatable && startedAttempts < call->maxAttempts &&
+         quarantineStanding(call) == quarantine::standing::clear;
 }
 
-bool EntryCalls::mayHedge(Call* call) { return options_.hedgeAfterShare > 0 && mayBeSentBeside(call); }
+bool EntryCalls::hedgingAllowed(Call* call) { return options_.hedgeAfterShare > 0 && secondAttemptAllowed(call); }
 
-double EntryCalls::besideAfterShare() const {
-  return options_.hedgeAfterShare > 0 ? options_.hedgeAfterShare : options_.lateAfterShare;
+double EntryCalls::secondAttemptAfterShare() const {
+  return options_.hedgeAfterShare > 0 ? options_.hedgeAfterShare : options_.lateHedgeAfterShare;
 }
 
-void EntryCalls::armHedge(CallId id, Call* call) {
-  const auto share = besideAfterShare();
-  if (share <= 0 || !mayBeSentBeside(call) || call->targetLatencyMs == 0 || call->hedgeTimer != 0) return;
+void EntryCalls::startHedgeTimer(CallId id, Call* call) {
+  const auto share = secondAttemptAfterShare();
+  if (share <= 0 || !secondAttemptAllowed(call) || call->targetLatencyMs == 0 || call->hedgeTimer != 0) return;
   const base::Duration target = base::milliseconds(call->targetLatencyMs);
   const auto after = std::chrono::duration_cast<base::Duration>(target * share);
   call->hedgeTimer = scheduler_.schedule(after, [this, alive = std::weak_ptr<bool>(alive_), id] {
@@ -52,7 +53,7 @@
   });
 }
 
-const routing::EndpointTarget* EntryCalls::idleEndpoint(const Call& call) {
+const routing::EndpointTarget* EntryCalls::pickIdleEndpoint(const Call& call) {
   const auto* target = pickEndpoint(call);
   const bool idle = target != nullptr && picker_.busyShare(*target) < options_.hedgeIdleShare;
   return idle ? target : nullptr;
@@ -63,7 +64,7 @@
   if (found == calls_.end()) return;
   auto& call = found->second;
   call.hedgeTimer = 0;
-  if (mayBeSentBeside(&call) && idleEndpoint(call) != nullptr) sendBeside(id, "late");
+  if (secondAttemptAllowed(&call) && pickIdleEndpoint(call) != nullptr) sendSecondAttempt(id, "late");
 }
 
 }  // namespace driftlug::node
--- a/src/node/entry_calls_quarantine.cc
+++ b/src/node/entry_calls_quarantine.cc
@@ -16,7 +16,7 @@
 /// away for longer than it takes a process to start again. Where two back ends are left and a request ends the first,
 /// the service keeps the second: 0.994 of the others' requests in time instead of 0.945, 0.001 lost instead of 0.048 (a
 /// fleet of two back ends, 80 calls a second, a guilty request for 55 s, means of 20 seeds).
-constexpr base::Duration kWaitForOthers = base::seconds(5);
+constexpr base::Duration kLastEndpointProbationDelay = base::seconds(5);
 
 }  // namespace
 
@@ -25,7 +25,7 @@
   return *call->fingerprint;
 }
 
-standing EntryCalls::judge(Call* call) {
+standing EntryCalls::quarantineStanding(Call* call) {
   if (quarantine_ == nullptr || quarantine_->empty()) return standing::clear;
   return quarantine_->standingOf(fingerprintOfCall(call), call->service);
 }
@@ -42,19 +42,19 @@
   if (target == nullptr) {
     if (!call->tried.empty()) return finish(id, call->lastFailure);
     return finish(id, failureAnswer(CallOutcome::NOT_RUN, ErrorCode::kNoEndpoint, kUnavailableStatus,
-                                    base::millisecondsOf(spread(options_.overloadRetryAfter))));
+                                    base::millisecondsOf(withJitter(options_.overloadRetryAfter))));
   }
-  const bool needed = picker_.onlyOneTakesWork(candidatesFor(*call));
-  if (needed && quarantine_->history().sinceLastCrash(fingerprintOfCall(call)) < kWaitForOthers) {
+  const bool isOnlyEndpoint = picker_.onlyOneTakesWork(candidatesFor(*call));
+  if (isOnlyEndpoint && quarantine_->history().sinceLastCrash(fingerprintOfCall(call)) < kLastEndpointProbationDelay) {
     return finish(id, failureAnswer(CallOutcome::NOT_RUN, ErrorCode::kOnProbation, kUnavailableStatus,
-                                    base::millisecondsOf(spread(options_.overloadRetryAfter))));
+                                    base::millisecondsOf(withJitter(options_.overloadRetryAfter))));
   }
   ++counters_.probations;
   send(id, call, *target, true);
 }
 
 /// What the answer tells is known here at once, so that the next attempt of this call is on probation already.
-void EntryCalls::noteCrash(const Attempt& attempt, const wire::CallResponse& response) {
+void EntryCalls::recordCrash(const Attempt& attempt, const wire::CallResponse& response) {
   picker_.eject(attempt.endpoint);
   const auto call = calls_.find(attempt.call);
   if (quarantine_ == nullptr || call == calls_.end()) return;
--- a/src/node/entry_calls_tenants.cc
+++ b/src/node/entry_calls_tenants.cc
@@ -9,7 +9,7 @@
 using base::ErrorCode;
 using wire::CallOutcome;
 
-constexpr int kTooManyStatus = 429;
+constexpr int kTooManyRequestsStatus = 429;
 constexpr int kUnavailableStatus = 503;
 
 }  // namespace
@@ -31,7 +31,7 @@
   return true;
 }
 
-void EntryCalls::askForPermit(CallId id, const std::string& tenant) {
+void EntryCalls::requestPermit(CallId id, const std::string& tenant) {
   quotas_->wait(static_cast<uint64_t>(id), tenant, 1,
                 [this, alive = std::weak_ptr<bool>(alive_), id](const quota::permit_outcome& outcome) {
                   if (!alive.expired()) onPermit(id, outcome);
@@ -42,11 +42,11 @@
   if (outcome.granted > 0) return attempt(id);
   if (outcome.denied > 0) {
     ++counters_.overQuota;
-    return finish(id, failureAnswer(CallOutcome::NOT_RUN, ErrorCode::kOverQuota, kTooManyStatus,
-                                    base::millisecondsOf(spread(outcome.retryAfter))));
+    return finish(id, failureAnswer(CallOutcome::NOT_RUN, ErrorCode::kOverQuota, kTooManyRequestsStatus,
+                                    base::millisecondsOf(withJitter(outcome.retryAfter))));
   }
   finish(id, failureAnswer(CallOutcome::NOT_RUN, ErrorCode::kQuotaUnavailable, kUnavailableStatus,
-                           base::millisecondsOf(spread(options_.overloadRetryAfter))));
+                           base::millisecondsOf(withJitter(options_.overloadRetryAfter))));
 }
 
 }  // namespace driftlug::node
--- a/test/fleet/fleet_node.cc
+++ b/test/fleet/fleet_node.cc
@@ -141,7 +141,7 @@
 	{
 		m_endpoint->onCancel(_connection, cancel->callId);
 	}
-	else if (std::holds_alternative<wire::KeepAlive>(_message) && !m_entry->leadsFrom(_connection))
+	else if (std::holds_alternative<wire::KeepAlive>(_message) && !m_entry->isOutbound(_connection))
 	{
 		m_endpoint->onKeepAlive(_connection);
 	}
@@ -162,7 +162,7 @@
 	node::EntryOptions options;
 	options.nodeId = m_process.name();
 	options.zone = m_process.placement().zone;
-	options.mintKeys = false;
+	options.generateIdempotencyKeys = false;
 	options.picker.policy = routing::PickPolicy::kNearestIdle;
 	options.defaultRetry = {2, 8};
 	options.retryBurst = 3;
@@ -170,7 +170,7 @@
 	options.overloadRetryAfter = base::milliseconds(1000);
 	m_entry = std::make_unique<node::EntryCalls>(options, m_process, base::RandomSource(_random.bits()), *m_calls);
 	m_entry->useQuarantine(m_quarantine.get());
-	m_entry->useFreshness(
+	m_entry->setFreshnessCheck(
 		[this]
 		{
 			return m_client->fresh();
--- a/test/incidents/narrow_link_test.cc
+++ b/test/incidents/narrow_link_test.cc
@@ -320,7 +320,7 @@
 		EntryOptions options;
 		options.nodeId = "node-" + std::to_string(m_nodes.size());
 		options.zone = "zone";
-		options.mintKeys = false;
+		options.generateIdempotencyKeys = false;
 		options.picker.policy = routing::PickPolicy::kNearestIdle;
 		added->entry =
 			std::make_unique<EntryCalls>(options, m_process, base::RandomSource(m_nodes.size() + 1), *added->network);
--- a/test/node/endpoint_links_test.cc
+++ b/test/node/endpoint_links_test.cc
@@ -101,7 +101,7 @@
   CHECK(network.connected.size() <= kMaxLinks);
   for (const char* service : {"records", "filings", "orders", "prices"}) {
     size_t open = 0;
-    for (const auto& endpoint : links->of(service)) open += links->link(endpoint.name).open ? 1 : 0;
+    for (const auto& endpoint : links->chosenEndpoints(service)) open += links->link(endpoint.name).open ? 1 : 0;
     CHECK(open == kMaxLinks / 4);
   }
 }
@@ -111,7 +111,7 @@
     links->onFull("records");
     runFor(base::milliseconds(50));
   }
-  CHECK(links->of("records").size() == kMaxLinks);
+  CHECK(links->chosenEndpoints("records").size() == kMaxLinks);
   CHECK(network.connected.size() == kMaxLinks);
 }
 
@@ -127,16 +127,16 @@
     CHECK(links->size() <= kMaxLinks);
     CHECK(network.connected.size() <= kMaxLinks);
   }
-  CHECK(links->leftOut() > 0);
+  CHECK(links->skippedEndpoints() > 0);
   openAll();
   runFor(base::seconds(2));
-  CHECK(links->of("records").size() == 16);
+  CHECK(links->chosenEndpoints("records").size() == 16);
 }
 
 TEST_CASE_METHOD(LinksFixture, "a node links to a subset of a large service only") {
   CHECK(network.connected.size() == 16);
-  CHECK(links->of("records").size() == 16);
-  CHECK(links->of("others").empty());
+  CHECK(links->chosenEndpoints("records").size() == 16);
+  CHECK(links->chosenEndpoints("others").empty());
 }
 
 TEST_CASE_METHOD(LinksFixture, "another endpoint stands in for one that is out of reach") {
@@ -145,29 +145,29 @@
   links->onClose(connection);
   CHECK(lost.size() == 1);
   runFor(base::milliseconds(30));
-  CHECK(links->of("records").size() == 17);
+  CHECK(links->chosenEndpoints("records").size() == 17);
   CHECK(network.connected.size() >= 16);
 }
 
 TEST_CASE_METHOD(LinksFixture, "more endpoints are linked while the chosen ones are full, and let go later") {
   links->onFull("records");
   runFor(base::milliseconds(30));
-  CHECK(links->of("records").size() == 20);
+  CHECK(links->chosenEndpoints("records").size() == 20);
   for (int i = 0; i < 20; ++i) {
     links->onFull("records");
     runFor(base::milliseconds(30));
   }
-  CHECK(links->of("records").size() == 32);
+  CHECK(links->chosenEndpoints("records").size() == 32);
   runFor(base::seconds(11));
   links->onStates({endpointState(kEndpoints + 1, wire::EndpointCondition::LIVE)});
-  CHECK(links->of("records").size() == 16);
+  CHECK(links->chosenEndpoints("records").size() == 16);
 }
 
 TEST_CASE_METHOD(LinksFixture, "an endpoint that has left is replaced, and its link ends with its last call") {
-  const auto leaving = links->of("records").front().name;
+  const auto leaving = links->chosenEndpoints("records").front().name;
   picker->onSent(leaving);
   links->onStates({endpointState(std::stoi(leaving.substr(9)), wire::EndpointCondition::GONE)});
-  CHECK(links->of("records").size() == 16);
+  CHECK(links->chosenEndpoints("records").size() == 16);
   CHECK(links->link(leaving).open);
   picker->onAbandoned(leaving);
   runFor(base::milliseconds(30));
@@ -180,38 +180,38 @@
     links->onStates({endpointState(i, wire::EndpointCondition::LIVE)});
   }
   runFor(base::milliseconds(50));
-  CHECK(links->of("records").size() == 16);
+  CHECK(links->chosenEndpoints("records").size() == 16);
 }
 
 TEST_CASE_METHOD(LinksFixture, "an endpoint that acknowledges nothing is left out until it is heard again") {
-  const auto name = links->of("records").front().name;
+  const auto name = links->chosenEndpoints("records").front().name;
   const auto send = [&] {
     picker->onSent(name);
     links->onSent(name);
   };
   send();
   runFor(base::milliseconds(100));
-  links->onHeard(links->link(name).connection);
+  links->onMessageReceived(links->link(name).connection);
   runFor(base::milliseconds(300));
   CHECK(silent.empty());
   send();
   runFor(base::milliseconds(400));
   CHECK(silent == std::vector<std::string>{name});
-  for (int i = 0; i < 200; ++i) CHECK(picker->pick(links->of("records"), "zone-0", {})->name != name);
-  links->onHeard(links->link(name).connection);
+  for (int i = 0; i < 200; ++i) CHECK(picker->pick(links->chosenEndpoints("records"), "zone-0", {})->name != name);
+  links->onMessageReceived(links->link(name).connection);
   CHECK(!links->link(name).silent);
 }
 
 TEST_CASE_METHOD(LinksFixture, "a link on which a call runs for long is asked for a sign of life") {
-  const auto name = links->of("records").front().name;
+  const auto name = links->chosenEndpoints("records").front().name;
   picker->onSent(name);
   links->onSent(name);
-  links->onHeard(links->link(name).connection);
+  links->onMessageReceived(links->link(name).connection);
   runFor(base::milliseconds(450));
   CHECK(network.all<wire::KeepAlive>().empty());
   runFor(base::milliseconds(250));
   CHECK(network.all<wire::KeepAlive>().size() == 1);
-  links->onHeard(links->link(name).connection);
+  links->onMessageReceived(links->link(name).connection);
   runFor(base::milliseconds(400));
   CHECK(silent.empty());
   runFor(base::milliseconds(700));
@@ -219,7 +219,7 @@
 }
 
 TEST_CASE_METHOD(LinksFixture, "a link that stays silent is made anew, and what runs on the old one goes on") {
-  const auto name = links->of("records").front().name;
+  const auto name = links->chosenEndpoints("records").front().name;
   picker->onSent(name);
   links->onSent(name);
   const auto first = links->link(name).connection;
@@ -234,7 +234,7 @@
   SECTION("a call that may not run twice waits on it, until the other end is taken for lost") {
     runFor(base::milliseconds(1000));
     CHECK(network.connected.count(first) == 1);
-    CHECK(links->leadsFrom(first));
+    CHECK(links->isOutbound(first));
     CHECK(lost.empty());
   }
   const auto second = links->link(name).connection;
@@ -245,16 +245,16 @@
   CHECK(links->link(name).open);
   CHECK(!links->link(name).silent);
   std::set<std::string> others;
-  for (const auto& endpoint : links->of("records")) {
+  for (const auto& endpoint : links->chosenEndpoints("records")) {
     if (endpoint.name != name) others.insert(endpoint.name);
   }
-  const auto* picked = picker->pick(links->of("records"), "zone-0", others);
+  const auto* picked = picker->pick(links->chosenEndpoints("records"), "zone-0", others);
   REQUIRE(picked != nullptr);
   CHECK(picked->name == name);
 }
 
 TEST_CASE_METHOD(LinksFixture, "a call on a connection that was replaced ends with it") {
-  const auto name = links->of("records").front().name;
+  const auto name = links->chosenEndpoints("records").front().name;
   picker->onSent(name);
   links->onSent(name);
   const auto first = links->link(name).connection;
@@ -264,12 +264,12 @@
   SECTION("because it breaks") { links->onClose(first); }
   SECTION("because its time is over") { runFor(base::seconds(31)); }
   CHECK(lost == std::vector<std::string>{name});
-  CHECK(!links->leadsFrom(first));
+  CHECK(!links->isOutbound(first));
   CHECK(links->link(name).open);
 }
 
 TEST_CASE_METHOD(LinksFixture, "a process that was itself stopped makes no link anew for the time it slept") {
-  const auto name = links->of("records").front().name;
+  const auto name = links->chosenEndpoints("records").front().name;
   picker->onSent(name);
   links->onSent(name);
   const auto first = links->link(name).connection;
@@ -292,9 +292,9 @@
 //
 // What settled it: "condition=live" at 8.112 s, "link ... up" at 8.415, 9.079, 9.450 and 10.087 s at the four entry
 // nodes; 23 calls refused between 8.389 and 9.161 s, attempts=0.
-struct ReturningFixture : public LinksFixture {
-  ReturningFixture() {
-    target = links->of("records").front();
+struct RestartedEndpointFixture : public LinksFixture {
+  RestartedEndpointFixture() {
+    target = links->chosenEndpoints("records").front();
     for (int i = 0; i < 6; ++i) {
       lose();
       if (i < 5) runFor(base::seconds(4));
@@ -323,13 +323,14 @@
   routing::EndpointTarget target;
 };
 
-TEST_CASE_METHOD(ReturningFixture, "an endpoint that announces its start is connected to at once") {
+TEST_CASE_METHOD(RestartedEndpointFixture, "an endpoint that announces its start is connected to at once") {
   REQUIRE(connection() == 0);
   announce(2, wire::EndpointCondition::LIVE);
   CHECK(connection() != 0);
 }
 
-TEST_CASE_METHOD(ReturningFixture, "an attempt that hangs is not waited for when its endpoint announces its start") {
+TEST_CASE_METHOD(RestartedEndpointFixture,
+                 "an attempt that hangs is not waited for when its endpoint announces its start") {
   runFor(base::seconds(4));
   const auto hanging = connection();
   REQUIRE(hanging != 0);
@@ -340,15 +341,15 @@
   CHECK(connection() != 0);
 }
 
-TEST_CASE_METHOD(ReturningFixture, "news of an endpoint that drains or is gone begin no connection") {
+TEST_CASE_METHOD(RestartedEndpointFixture, "news of an endpoint that drains or is gone begin no connection") {
   announce(2, wire::EndpointCondition::DRAINING);
   announce(3, wire::EndpointCondition::GONE);
   CHECK(connection() == 0);
 }
 
 /// A node that has just started: it has its version, and the attempts of its links are under way or have failed.
-struct FirstWordFixture : public LinksFixture {
-  FirstWordFixture() {
+struct FirstAnnouncementFixture : public LinksFixture {
+  FirstAnnouncementFixture() {
     table::Table rows;
     rows.put(test::serviceRow("archive", 1));
     rows.put(test::endpointRow("archive-1", "archive", 1));
@@ -358,7 +359,7 @@
     attempt = network.connected.rbegin()->first;
   }
 
-  void tellThatItLives() {
+  void announceLive() {
     auto state = endpointState(1, wire::EndpointCondition::LIVE);
     state.endpoint = "archive-1";
     state.serviceName = "archive";
@@ -369,16 +370,16 @@
   base::ConnectionId attempt = 0;
 };
 
-TEST_CASE_METHOD(FirstWordFixture, "the first word of an endpoint lets the attempt be that is under way") {
-  tellThatItLives();
+TEST_CASE_METHOD(FirstAnnouncementFixture, "the first word of an endpoint lets the attempt be that is under way") {
+  announceLive();
   CHECK(network.closed.count(attempt) == 0);
   CHECK(network.connected.rbegin()->first == attempt);
 }
 
-TEST_CASE_METHOD(FirstWordFixture, "the first word of an endpoint ends the pause behind a failed attempt") {
+TEST_CASE_METHOD(FirstAnnouncementFixture, "the first word of an endpoint ends the pause behind a failed attempt") {
   network.connected.erase(attempt);
   links->onClose(attempt);
-  tellThatItLives();
+  announceLive();
   CHECK(network.connected.rbegin()->first > attempt);
 }
 
--- a/test/node/entry_calls_bodies_test.cc
+++ b/test/node/entry_calls_bodies_test.cc
@@ -5,10 +5,10 @@
 namespace {
 
 /// The same, with nodes that take bodies in pieces.
-struct PiecesFixture : EntryCallsFixture {
+struct BodyPiecesFixture : EntryCallsFixture {
   static constexpr size_t kBodyBytes = 20'000;
 
-  explicit PiecesFixture(size_t inlineBodyBytes = 4096) : EntryCallsFixture(0.5, inlineBodyBytes) {
+  explicit BodyPiecesFixture(size_t inlineBodyBytes = 4096) : EntryCallsFixture(0.5, inlineBodyBytes) {
     wire::Hello peer;
     peer.id = "other";
     peer.takesBodyPieces = true;
@@ -47,14 +47,14 @@
 
 TEST_CASE("a body that takes longer on a link than a round trip doesn't travel with its call") {
   constexpr size_t kBytes = 500;  // 4 ms on a link of 1 Mbit/s
-  PiecesFixture node(kBytes);
+  BodyPiecesFixture node(kBytes);
   node.upload(kBytes + 1);
   CHECK(node.network.all<wire::CallRequest>()[0].body.empty());
   node.upload(kBytes);
   CHECK(node.network.all<wire::CallRequest>()[1].body == node.body);
 }
 
-TEST_CASE_METHOD(PiecesFixture, "of a large body only what was granted is sent, once and in order") {
+TEST_CASE_METHOD(BodyPiecesFixture, "of a large body only what was granted is sent, once and in order") {
   upload(kBodyBytes);
   const auto request = network.all<wire::CallRequest>()[0];
   CHECK(request.body.empty());
@@ -71,7 +71,7 @@
   CHECK(answers[0].httpStatus == 200);
 }
 
-TEST_CASE_METHOD(PiecesFixture, "a small body, and one for a node that takes no pieces, travels with its call") {
+TEST_CASE_METHOD(BodyPiecesFixture, "a small body, and one for a node that takes no pieces, travels with its call") {
   upload(300);
   CHECK(network.all<wire::CallRequest>()[0].body == body);
   CHECK(network.all<wire::CallRequest>()[0].bodyBytes == 0);
@@ -81,13 +81,13 @@
   CHECK(network.all<wire::CallRequest>()[1].bodyBytes == 0);
 }
 
-TEST_CASE_METHOD(PiecesFixture,
+TEST_CASE_METHOD(BodyPiecesFixture,
                  "a link lost before the body had left whole: the call has not run, and goes elsewhere") {
   upload(kBodyBytes);
   grant(8192);
   entry->onClose(lastRequest().connection);
   runFor(base::milliseconds(1));
-  CHECK(asked() == std::vector<std::string>{"near", "far"});
+  CHECK(requestedEndpoints() == std::vector<std::string>{"near", "far"});
   CHECK(answers.empty());
   grant(1'000'000);
   entry->onClose(lastRequest().connection);
@@ -96,7 +96,8 @@
   CHECK(answers[0].outcome == CallOutcome::UNKNOWN);
 }
 
-TEST_CASE_METHOD(PiecesFixture, "a stop answers calls whose bodies have not left whole, and leaves the others alone") {
+TEST_CASE_METHOD(BodyPiecesFixture,
+                 "a stop answers calls whose bodies have not left whole, and leaves the others alone") {
   upload(kBodyBytes);
   grant(1'000'000);
   upload(kBodyBytes);
@@ -109,7 +110,7 @@
   CHECK(entry->active() == 1);
 }
 
-TEST_CASE_METHOD(PiecesFixture,
+TEST_CASE_METHOD(BodyPiecesFixture,
                  "an endpoint whose link is full gets no large bodies for a while, and small calls go on") {
   upload(kBodyBytes);
   wire::CallResponse refusal;
@@ -122,7 +123,7 @@
   runFor(base::milliseconds(1));
   upload(kBodyBytes);
   call("/safe/1");
-  CHECK(asked() == std::vector<std::string>{"near", "far", "far", "near"});
+  CHECK(requestedEndpoints() == std::vector<std::string>{"near", "far", "far", "near"});
 }
 
 }  // namespace driftlug::node
--- a/test/node/entry_calls_fixture.h
+++ b/test/node/entry_calls_fixture.h
@@ -55,7 +55,7 @@
     EntryOptions options;
     options.nodeId = "node";
     options.zone = "zone-1";
-    options.mintKeys = false;
+    options.generateIdempotencyKeys = false;
     options.defaultRetry = {2, 100};
     options.retryBurst = 4;
     options.fullFor = base::milliseconds(100);
@@ -111,7 +111,7 @@
     runFor(base::milliseconds(1));
   }
 
-  std::vector<std::string> asked() {
+  std::vector<std::string> requestedEndpoints() {
     std::vector<std::string> names;
     for (const auto& request : network.all<wire::CallRequest>()) names.push_back(request.endpoint);
     return names;
--- a/test/node/entry_calls_retry_slack_test.cc
+++ b/test/node/entry_calls_retry_slack_test.cc
@@ -13,7 +13,7 @@
   EntryOptions options;
   options.nodeId = "node";
   options.zone = "zone-1";
-  options.mintKeys = false;
+  options.generateIdempotencyKeys = false;
   options.defaultRetry = {2, 0};
   options.retryBurst = 3;
   options.retrySlack = kSlack;
--- a/test/node/entry_calls_tenants_test.cc
+++ b/test/node/entry_calls_tenants_test.cc
@@ -97,10 +97,10 @@
   };
   useZone(true);
   for (int i = 0; i < 4; ++i) call("/safe/1");
-  CHECK(asked() == std::vector<std::string>(4, "far"));
+  CHECK(requestedEndpoints() == std::vector<std::string>(4, "far"));
   useZone(false);
   call("/safe/1");
-  CHECK(asked().back() == "near");
+  CHECK(requestedEndpoints().back() == "near");
 }
 
 }  // namespace driftlug::node
--- a/test/node/entry_calls_test.cc
+++ b/test/node/entry_calls_test.cc
@@ -8,15 +8,15 @@
 namespace {
 
 /// Without hedging.
-struct LateFixture : EntryCallsFixture {
-  LateFixture() : EntryCallsFixture(0) {}
+struct NoHedgingFixture : EntryCallsFixture {
+  NoHedgingFixture() : EntryCallsFixture(0) {}
 };
 
 }  // namespace
 
 TEST_CASE_METHOD(EntryCallsFixture, "a call goes to an announced endpoint of the own zone, by its incarnation") {
   call("/safe/1");
-  REQUIRE(asked() == std::vector<std::string>{"near"});
+  REQUIRE(requestedEndpoints() == std::vector<std::string>{"near"});
   const auto request = network.all<wire::CallRequest>()[0];
   CHECK(request.serviceName == "records");
   CHECK(request.targetLatencyMs == 400);
@@ -37,7 +37,7 @@
   call("/safe/1");
   respond(CallOutcome::UNKNOWN, ErrorCode::kBackendFailed);
   CHECK(answers.size() == 1);
-  CHECK(asked() == std::vector<std::string>{"near", "near", "far"});
+  CHECK(requestedEndpoints() == std::vector<std::string>{"near", "near", "far"});
   respond(CallOutcome::UNKNOWN, ErrorCode::kBackendFailed);
   CHECK(answers.size() == 2);
 }
@@ -53,7 +53,7 @@
     CHECK(answers[0].retryAfterMs > 0);
     runFor(base::milliseconds(200));
   }
-  CHECK(entry->counters().budgetSpent == 0);
+  CHECK(entry->counters().budgetDenials == 0);
 }
 
 TEST_CASE_METHOD(EntryCallsFixture, "repeats that reached a back end are paid for") {
@@ -73,11 +73,11 @@
   respond(CallOutcome::NOT_RUN, ErrorCode::kOverloaded);
   respond(CallOutcome::COMPLETED, ErrorCode::kNone);
   call("/safe/2");
-  CHECK(asked().back() == "far");
+  CHECK(requestedEndpoints().back() == "far");
   respond(CallOutcome::COMPLETED, ErrorCode::kNone);
   runFor(base::milliseconds(150));
   call("/safe/3");
-  CHECK(asked().back() == "near");
+  CHECK(requestedEndpoints().back() == "near");
 }
 
 TEST_CASE_METHOD(EntryCallsFixture, "an endpoint that drains, is gone or is another one gets no further call") {
@@ -93,7 +93,7 @@
   }
   for (int i = 0; i < 5; ++i) {
     call("/safe/2");
-    CHECK(asked().back() == "far");
+    CHECK(requestedEndpoints().back() == "far");
     respond(CallOutcome::COMPLETED, ErrorCode::kNone);
   }
 }
@@ -102,9 +102,9 @@
                  "a repeatable call without an answer is sent to a second idle endpoint, and the first answer wins") {
   call("/safe/1");
   runFor(base::milliseconds(150));
-  CHECK(asked().size() == 1);
+  CHECK(requestedEndpoints().size() == 1);
   runFor(base::milliseconds(100));
-  REQUIRE(asked() == std::vector<std::string>{"near", "far"});
+  REQUIRE(requestedEndpoints() == std::vector<std::string>{"near", "far"});
   respond(CallOutcome::COMPLETED, ErrorCode::kNone);
   REQUIRE(answers.size() == 1);
   const auto cancels = network.all<wire::CallCancel>();
@@ -116,7 +116,7 @@
 TEST_CASE_METHOD(EntryCallsFixture, "a hedged call fails only when both attempts have") {
   call("/safe/1");
   runFor(base::milliseconds(250));
-  REQUIRE(asked().size() == 2);
+  REQUIRE(requestedEndpoints().size() == 2);
   respond(CallOutcome::UNKNOWN, ErrorCode::kBackendFailed);
   CHECK(answers.empty());
   const auto first = network.sent[0];
@@ -126,7 +126,7 @@
   response.errorCode = static_cast<int>(ErrorCode::kBackendFailed);
   entry->onMessage(first.connection, response);
   REQUIRE(answers.size() == 1);
-  CHECK(asked().size() == 2);
+  CHECK(requestedEndpoints().size() == 2);
 }
 
 TEST_CASE_METHOD(EntryCallsFixture, "a call that may not be repeated is never hedged, and none is where all are busy") {
@@ -134,9 +134,9 @@
   SECTION("busy") {
     for (int i = 0; i < 8; ++i) call("/safe/" + std::to_string(i));
   }
-  const auto before = asked().size();
+  const auto before = requestedEndpoints().size();
   runFor(base::milliseconds(250));
-  CHECK(asked().size() == before);
+  CHECK(requestedEndpoints().size() == before);
 }
 
 TEST_CASE_METHOD(EntryCallsFixture,
@@ -194,18 +194,18 @@
   begin(700);  // has waited for 800 ms, twice its target
   respond(CallOutcome::NOT_RUN, ErrorCode::kOverloaded);
   respond(CallOutcome::NOT_RUN, ErrorCode::kOverloaded);
-  const auto before = asked().size();
+  const auto before = requestedEndpoints().size();
   begin(700);
-  CHECK(asked().size() == before);
+  CHECK(requestedEndpoints().size() == before);
   begin(1500);
-  CHECK(asked().size() == before + 1);
+  CHECK(requestedEndpoints().size() == before + 1);
 }
 
 TEST_CASE_METHOD(EntryCallsFixture, "a late word of an earlier state changes nothing") {
   entry->onEndpointStates({endpoint("near", 1, wire::EndpointCondition::GONE)});
   entry->onEndpointStates({endpoint("near", 1, wire::EndpointCondition::LIVE)});
   call("/safe/1");
-  CHECK(asked().back() == "far");
+  CHECK(requestedEndpoints().back() == "far");
 }
 
 TEST_CASE_METHOD(EntryCallsFixture, "a caller that goes away ends the work for it") {
@@ -222,17 +222,17 @@
   const auto id = call("/safe/1");
   SECTION("while two are in progress") {
     runFor(base::milliseconds(250));
-    REQUIRE(asked().size() == 2);
+    REQUIRE(requestedEndpoints().size() == 2);
   }
   SECTION("before the second one") {}
   SECTION("behind a refusal") { respond(CallOutcome::NOT_RUN, ErrorCode::kOverloaded); }
-  const auto begun = asked().size();
+  const auto begun = requestedEndpoints().size();
   entry->abandon(id);
   CHECK(entry->active() == 0);
   respond(CallOutcome::NOT_RUN, ErrorCode::kOverloaded);
   entry->onClose(lastRequest().connection);
   runFor(base::seconds(3));
-  CHECK(asked().size() == begun);
+  CHECK(requestedEndpoints().size() == begun);
   CHECK(network.all<wire::CallCancel>().size() >= 1);
   CHECK(answers.empty());
 }
@@ -245,7 +245,7 @@
   const auto id = entry->begin(inbound, [](const CallAnswer&) {});
   entry->abandon(id);
   runFor(base::milliseconds(10));
-  CHECK(asked().empty());
+  CHECK(requestedEndpoints().empty());
 }
 
 TEST_CASE_METHOD(EntryCallsFixture, "a node that stops refuses new calls as not run, and ends those it has") {
@@ -306,31 +306,31 @@
   REQUIRE(answers.size() == 1);
   CHECK(answers[0].outcome == CallOutcome::NOT_RUN);
   CHECK(answers[0].httpStatus == 503);
-  CHECK(asked().size() == 1);
+  CHECK(requestedEndpoints().size() == 1);
 }
 
-TEST_CASE_METHOD(LateFixture,
+TEST_CASE_METHOD(NoHedgingFixture,
                  "a repeatable call long past its target is sent beside, as its connection may be silent") {
   call("/safe/1");
   runFor(base::milliseconds(750));
-  CHECK(asked() == std::vector<std::string>{"near"});
+  CHECK(requestedEndpoints() == std::vector<std::string>{"near"});
   runFor(base::milliseconds(100));
-  REQUIRE(asked() == std::vector<std::string>{"near", "far"});
+  REQUIRE(requestedEndpoints() == std::vector<std::string>{"near", "far"});
   respond(CallOutcome::COMPLETED, ErrorCode::kNone);
   REQUIRE(answers.size() == 1);
   CHECK(answers[0].outcome == CallOutcome::COMPLETED);
 }
 
-TEST_CASE_METHOD(LateFixture, "a call that may not be repeated waits its time out, and its outcome is unknown") {
+TEST_CASE_METHOD(NoHedgingFixture, "a call that may not be repeated waits its time out, and its outcome is unknown") {
   call("/once/1");
   runFor(base::milliseconds(2100));
-  CHECK(asked().size() == 1);
+  CHECK(requestedEndpoints().size() == 1);
   REQUIRE(answers.size() == 1);
   CHECK(answers[0].outcome == CallOutcome::UNKNOWN);
   CHECK(answers[0].httpStatus == 504);
 }
 
-TEST_CASE_METHOD(LateFixture, "a failure of the back end's own is not repeated for that") {
+TEST_CASE_METHOD(NoHedgingFixture, "a failure of the back end's own is not repeated for that") {
   call("/safe/1");
   const auto& last = lastRequest();
   wire::CallResponse response;
@@ -341,7 +341,7 @@
   runFor(base::milliseconds(1));
   REQUIRE(answers.size() == 1);
   CHECK(answers[0].httpStatus == 500);
-  CHECK(asked().size() == 1);
+  CHECK(requestedEndpoints().size() == 1);
 }
 
 TEST_CASE_METHOD(EntryCallsFixture,
@@ -352,12 +352,12 @@
   for (const auto& [connection, address] : network.connected) entry->onOpen(connection, peer);
   call("/once/1");
   runFor(base::milliseconds(500));
-  CHECK(asked() == std::vector<std::string>{"near"});
+  CHECK(requestedEndpoints() == std::vector<std::string>{"near"});
   entry->onMessage(lastRequest().connection, wire::CallAccepted());
   call("/safe/1");
   runFor(base::milliseconds(400));
-  REQUIRE(asked().size() == 3);
-  CHECK(asked()[1] != asked()[2]);
+  REQUIRE(requestedEndpoints().size() == 3);
+  CHECK(requestedEndpoints()[1] != requestedEndpoints()[2]);
   CHECK(entry->counters().silentLinks == 2);
   respond(CallOutcome::COMPLETED, ErrorCode::kNone);
   REQUIRE(answers.size() == 1);
--- a/tools/load_model/load_model.cc
+++ b/tools/load_model/load_model.cc
@@ -101,7 +101,7 @@
 {
 	constexpr double kNarrowMbps = 20;
 	load_policy policy;
-	policy.entry.mintKeys = false;
+	policy.entry.generateIdempotencyKeys = false;
 	policy.entry.defaultRetry = {2, 8};
 	policy.entry.retryBurst = 3;
 	policy.entry.fullFor = base::milliseconds(100);
--- a/tools/load_model/modelled_node.cc
+++ b/tools/load_model/modelled_node.cc
@@ -180,7 +180,7 @@
 	{
 		m_endpoint->onBodyPiece(_connection, *piece);
 	}
-	else if (std::holds_alternative<wire::KeepAlive>(_message) && !m_entry->leadsFrom(_connection))
+	else if (std::holds_alternative<wire::KeepAlive>(_message) && !m_entry->isOutbound(_connection))
 	{
 		m_endpoint->onKeepAlive(_connection);
 	}
