--- a/src/node/call_fingerprint.h
+++ b/src/node/call_fingerprint.h
@@ -1,4 +1,4 @@
-/// Fingerprints of calls, alike at the node that takes a call from its caller and at the one beside the back end.
+/// Fingerprints of calls. The entry node and the node of the back end compute the same fingerprint for a call.
 #pragma once
 
 #include "node/call_types.h"
--- a/src/node/call_types.h
+++ b/src/node/call_types.h
@@ -1,4 +1,4 @@
-/// Calls as the node's entry and endpoint sides pass them on.
+/// Types of calls shared by the entry and endpoint sides of a node.
 #pragma once
 
 #include <functional>
@@ -12,7 +12,8 @@
 
 namespace driftlug::node {
 
-/// @return the value of the first header of a name, in lower case, or empty.
+/// @param name in lower case
+/// @return the value of the first header with this name, or an empty string.
 inline std::string headerValue(const std::vector<wire::HttpHeader>& headers, std::string_view name) {
   for (const auto& header : headers) {
     if (header.name == name) return header.value;
@@ -20,15 +21,15 @@
   return "";
 }
 
-/// A request from a caller, as entry takes it.
+/// A request received from a caller.
 struct InboundCall {
   std::string method;
   std::string host;
-  std::string path;  ///< with the query
+  std::string path;  ///< including the query
   std::vector<wire::HttpHeader> headers;
   std::string body;
-  int deadlineMs = 0;      ///< from the caller; 0 when it set none
-  std::string credential;  ///< key of a tenant; empty when the caller sent none
+  int deadlineMs = 0;      ///< time limit set by the caller; 0 for none
+  std::string credential;  ///< API key of a tenant; empty if the caller sent none
 };
 
 /// The final answer to a caller.
@@ -38,7 +39,7 @@
   int httpStatus = 503;
   std::vector<wire::HttpHeader> headers;
   std::string body;
-  int retryAfterMs = 0;  ///< when the caller may ask again; 0 when nothing is known
+  int retryAfterMs = 0;  ///< suggested delay before a retry; 0 if unknown
 };
 
 using AnswerCallback = std::function<void(CallAnswer)>;
@@ -50,7 +51,7 @@
   kUnknown,
 };
 
-/// Answer of the back end.
+/// Result of a request to the back end.
 struct BackendAnswer {
   BackendOutcome outcome = BackendOutcome::kUnknown;
   bool timedOut = false;
@@ -59,20 +60,20 @@
   std::string body;
 };
 
-/// Requests to the back end beside the node.
+/// Client of the local back end.
 class BackendClient {
  public:
   virtual ~BackendClient() = default;
 
-  /// Sends a request; the callback comes later, never from within this call.
+  /// Sends a request. The callback runs later, never from within this call.
   /// @return an id for cancel()
   virtual uint64_t send(const wire::CallRequest& request, base::Duration timeout,
                         std::function<void(BackendAnswer)> done) = 0;
 
-  /// Gives up a request; no callback follows.
+  /// Cancels a request; its callback is not called.
   virtual void cancel(uint64_t id) = 0;
 
-  /// The back end has started again: idle connections lead nowhere.
+  /// Closes idle connections, which are stale after a restart of the back end.
   virtual void dropIdleConnections() {}
 };
 
--- a/src/node/entry_calls.cc
+++ b/src/node/entry_calls.cc
@@ -25,7 +25,7 @@
 constexpr int kUnprocessableStatus = 422;
 constexpr int kFirstServerError = 500;
 constexpr int kDefaultRetryAfterMs = 200;
-/// Told to callers of a node without a version: it has just started, and gets one within about this time.
+/// Retry-after hint while this node has no routing table: it has just started, and receives one within about a second.
 constexpr int kNoTableRetryAfterMs = 1000;
 int64_t remainingMs(base::TimePoint deadline, base::TimePoint now) {
   return std::chrono::duration_cast<std::chrono::milliseconds>(deadline - now).count();
@@ -88,16 +88,16 @@
 void EntryCalls::onEndpointStates(const std::vector<wire::EndpointState>& states) { links_.onStates(states); }
 
 int EntryCalls::rankOf(const Call& call) {
-  // As endpoints order what waits: by priority, then by the nearer target.
+  // The order in which endpoints queue calls: by priority, then by the shorter target latency.
   constexpr int kTargets = table::kMaxTimeoutMs + 1;
-  constexpr int kLateRank = 1 << 30;  // behind all priorities
+  constexpr int kLateRank = 1 << 30;  // ranks behind all priorities
   static_assert(table::kMaxPriority * kTargets + table::kMaxTimeoutMs < kLateRank);
   const bool late = call.targetLatencyMs > 0 && call.waitedMs >= call.targetLatencyMs;
   return call.priority * kTargets + call.targetLatencyMs + (late ? kLateRank : 0);
 }
 
 base::Duration EntryCalls::withJitter(base::Duration duration) {
-  // Callers that were refused together should not come back together.
+  // Jitter of 25% either way, so that callers that were refused together do not retry together.
   return duration * 3 / 4 + random_.duration(duration / 2 + base::Duration(1));
 }
 
@@ -168,7 +168,7 @@
   return id;
 }
 
-/// About as many nodes send as there are endpoints, with a node beside each.
+/// Estimates the number of sending nodes by the number of endpoints, since each endpoint has a node of its own.
 double EntryCalls::retryBurst() const {
   if (options_.retrySlack <= 0) return options_.retryBurst;
   const auto nodes = static_cast<double>(std::max<size_t>(1, links_.knownEndpointCount()));
@@ -193,7 +193,7 @@
     case quarantine::standing::clear:
       break;
   }
-  // The newest version decides where a request may go now; a retry must not go to an endpoint that has left.
+  // The current table decides, so that a retry does not go to an endpoint that was removed meanwhile.
   if (call.tried.empty()) call.useTargetVersion = drawsTargetVersion(call.service);
   const auto* target = pickEndpoint(call);
   if (target == nullptr) {
@@ -215,7 +215,8 @@
   return drawn == versions->target;
 }
 
-/// A call that was refused or failed on trial goes on with the version that is known to be well.
+/// Only the first attempt of a call may go to the target version of a rollout; retries go to the standing version,
+/// which is known to work.
 const std::vector<routing::EndpointTarget>& EntryCalls::candidatesFor(const Call& call) const {
   const auto* versions = table_->versions(call.service);
   if (versions == nullptr || !versions->running) return links_.chosenEndpoints(call.service);
@@ -378,7 +379,7 @@
     return finish(attempt.call, failureAnswer(CallOutcome::NOT_RUN, error, kUnprocessableStatus, 0));
   }
   if (error == ErrorCode::kRequestHeld) return finishHeld(attempt.call, response.retryAfterMs);
-  // Its own node is the truth for draining; the choice heeds it before any relay says so.
+  // The endpoint's own node is authoritative for draining, so this does not wait for an announcement by a relay.
   const bool leaving = error == ErrorCode::kDraining || error == ErrorCode::kWrongEndpoint;
   if (leaving) picker_.setAvailable(attempt.endpoint, false);
   if (error == ErrorCode::kWrongEndpoint) links_.forget(attempt.endpoint);
@@ -393,7 +394,7 @@
   const auto found = calls_.find(id);
   if (found == calls_.end()) return;
   auto& call = found->second;
-  // A back end's own answer tells the caller more than a refusal that comes behind it.
+  // A back end's own answer is more useful to the caller than a later refusal.
   const bool answered = call.lastFailure.outcome == CallOutcome::COMPLETED;
   if (!answered || failure.outcome == CallOutcome::COMPLETED) call.lastFailure = std::move(failure);
   call.mayHaveRun = call.mayHaveRun || progress == AttemptProgress::kMayHaveRun;
@@ -403,7 +404,7 @@
   } else {
     ++call.refusals;
   }
-  if (!call.inFlight.empty()) return;  // the other attempt of a hedged call decides
+  if (!call.inFlight.empty()) return;  // the other attempt of a hedged call decides the outcome
   const bool mayRepeat = progress != AttemptProgress::kMayHaveRun || call.repeatable;
   const bool attemptsLeft = call.attempts < call.maxAttempts && call.refusals < options_.maxRefusals;
   const bool allowed = options_.retries && !stopping_ && mayRepeat && attemptsLeft && scheduler_.now() < call.deadline;
@@ -411,7 +412,7 @@
     logAttemptFailed(&call, progress, false, stopping_ ? "stopping" : mayRepeat ? "attempts_used" : "may_have_run");
     return finish(id, call.lastFailure);
   }
-  // A refusal by a node costs no back end anything; what has reached one is paid for.
+  // A retry after a refusal by a node costs no back end any work, so it is not charged to the budget.
   if (atBackend && !retryBudgets_[call.service].spend()) {
     ++counters_.budgetDenials;
     logAttemptFailed(&call, progress, false, "budget_spent");
@@ -503,7 +504,7 @@
     return;
   }
   if (call.mayHaveRun && answer.outcome == CallOutcome::NOT_RUN) {
-    // The last attempt was refused, but an earlier one has been at work.
+    // The last attempt was refused, but an earlier one may have run.
     answer.outcome = CallOutcome::UNKNOWN;
     if (answer.httpStatus == kUnavailableStatus) answer.httpStatus = kBadGatewayStatus;
   }
--- a/src/node/entry_calls.h
+++ b/src/node/entry_calls.h
@@ -1,4 +1,4 @@
-/// The entry side of calls: routes requests of callers to endpoints, and retries what provably did not run.
+/// Entry side of a node: routes calls to endpoints, retries and hedges them, and answers their callers.
 #pragma once
 
 #include <map>
@@ -30,30 +30,36 @@
   std::string zone;
   routing::PickerOptions picker;
   bool retries = true;
-  routing::RetryRule defaultRetry;  ///< of services without a retry policy
+  routing::RetryRule defaultRetry;  ///< for services without a retry policy
   double retryBurst = retry::RetryBudget::kDefaultBurst;
-  /// Retries to one service that all nodes together may make beyond their shares of calls; each gets its part of it, so
-  /// that the sum does not grow with the fleet. 0 leaves each node at retryBurst.
+  /// Retries to one service that all nodes together may make beyond the budget percentage. Each node's burst is an
+  /// equal part of it, between 1 and retryBurst, so that the sum does not grow with the fleet. 0 gives each node
+  /// retryBurst.
   double retrySlack = 0;
-  /// Whether requests that may not be repeated get a key of their own, under which the ledger knows them.
+  /// Whether non-repeatable requests without an idempotency key get a generated one, by which the ledger identifies
+  /// them.
   bool generateIdempotencyKeys = true;
-  base::Duration fullFor{0};  ///< how long an endpoint that refused for want of slots is not asked again
-  base::Duration overloadRetryAfter = base::milliseconds(200);  ///< told to callers when every endpoint is full
-  std::string requestIdHeader;  ///< header, in lower case, by which logs name a call; empty for none
-  std::string tenantHeader;     ///< header, in lower case, that names the tenant to back ends; empty for none
-  /// Share of its target latency after which a repeatable call without an answer is sent to a second endpoint, if one
-  /// is idle; 0 for never. The first answer wins. A failure of the back end's own is repeated under the same condition.
+  base::Duration fullFor{0};  ///< minimum back-off for an endpoint that refused because its slots were full
+  base::Duration overloadRetryAfter =
+      base::milliseconds(200);  ///< base of the retry-after hint when no endpoint has capacity; jittered
+  std::string requestIdHeader;  ///< lower-case header whose value identifies a call in logs; empty for none
+  std::string tenantHeader;     ///< lower-case header that passes the tenant's name to back ends; empty for none
+  /// Fraction of its target latency after which an unanswered repeatable call is hedged: sent to a second endpoint, if
+  /// one is idle; 0 disables hedging. The first answer wins. Server errors (5xx) of back ends are retried under the
+  /// same condition.
   double hedgeAfterShare = 0;
-  /// Multiple of its target latency after which a repeatable call without an answer is sent to a second, idle endpoint
-  /// also where hedging is off: its connection to the back end may be silent for good, which no other sign shows, as
-  /// its node is well and a slow back end says nothing either. 0 for never.
+  /// Multiple of its target latency after which an unanswered repeatable call is hedged although hedging is disabled; 0
+  /// for never. The connection between the endpoint's node and its back end may be dead without a reset, which looks
+  /// like a slow back end: the node itself still responds.
   double lateHedgeAfterShare = 2;
-  /// Whether calls whose callers have waited longer than the target latency give way to those that can still make it.
+  /// Whether calls whose callers have already waited longer than the target latency rank behind those that can still
+  /// meet it.
   bool deprioritizeLateCalls = true;
-  double hedgeIdleShare = 0.6;  ///< an endpoint with a smaller share of its slots busy is idle
-  /// A body up to this size travels with its call; a larger one is announced, and sent as its receiver grants it.
+  double hedgeIdleShare = 0.6;  ///< an endpoint is idle below this fraction of busy slots
+  /// Bodies up to this size are sent inline with the call; larger ones are announced, and sent as the receiver grants
+  /// them.
   size_t inlineBodyBytes = 4096;
-  int maxRefusals = 4;  ///< endpoints that may refuse a request before it is given up
+  int maxRefusals = 4;  ///< refusals by nodes after which a call fails
   LinkOptions links;
 };
 
@@ -61,70 +67,76 @@
 struct EntryCounters {
   int64_t calls = 0;
   int64_t completed = 0;
-  int64_t refused = 0;  ///< final answers "not run"
-  int64_t unknown = 0;  ///< final answers "outcome unknown"
+  int64_t refused = 0;  ///< calls answered as not run
+  int64_t unknown = 0;  ///< calls answered with an unknown outcome
   int64_t attempts = 0;
   int64_t retries = 0;
-  int64_t budgetDenials = 0;                ///< retries that the budget did not allow
-  int64_t hedges = 0;                       ///< second attempts beside the first
-  int64_t heldBack = 0;                     ///< refused since their request is held
-  int64_t probations = 0;                   ///< attempts of suspects
-  int64_t silentLinks = 0;                  ///< links that did not acknowledge what was sent on them
-  int64_t lateAnswers = 0;                  ///< answers that came after the call had ended; dropped
-  int64_t overQuota = 0;                    ///< refused since their tenant is beyond its limit
-  int64_t unknownKeys = 0;                  ///< refused since no tenant holds their key
-  int64_t abandoned = 0;                    ///< callers that went away before their answer
-  base::LatencyHistogram completedLatency;  ///< of completed calls, from the request to the answer
+  int64_t budgetDenials = 0;                ///< retries denied by the retry budget
+  int64_t hedges = 0;                       ///< second attempts sent while the first is in flight
+  int64_t heldBack = 0;                     ///< calls refused because their request is held in quarantine
+  int64_t probations = 0;                   ///< attempts of suspect requests, sent on probation
+  int64_t silentLinks = 0;                  ///< times a link failed to acknowledge in time
+  int64_t lateAnswers = 0;                  ///< answers dropped because their attempt had already ended
+  int64_t overQuota = 0;                    ///< calls refused because their tenant exceeds its limit
+  int64_t unknownKeys = 0;                  ///< calls refused because no tenant has their key
+  int64_t abandoned = 0;                    ///< calls whose callers disconnected before the answer
+  base::LatencyHistogram completedLatency;  ///< of completed calls, from request to answer
 };
 
-/// Identifies one call within this object; never reused.
+/// Identifies a call within an EntryCalls; never reused.
 using CallId = int64_t;
 
-/// Invariants: each call is answered exactly once, at its deadline at the latest; an answer is matched to its
-/// attempt by id and connection, or dropped; a request that may not be repeated is sent again only after an
-/// endpoint answered NOT_RUN or the attempt was never sent; a call keeps the version it began with.
+/// Routes calls to endpoints, retries them within the retry budget, and answers each caller.
+///
+/// Invariants:
+/// - Each call is answered exactly once, by its deadline at the latest, unless its caller abandons it.
+/// - An answer is matched to its attempt by id and connection, or dropped.
+/// - A non-repeatable request is resent only after an endpoint answered NOT_RUN or its body was not fully sent.
+/// - A call keeps the route that it was matched to; its attempts use the endpoints and rollout of the current table.
 class EntryCalls : public base::ConnectionHandler {
  public:
   EntryCalls(EntryOptions options, base::Scheduler& scheduler, base::RandomSource random, base::Network& network);
   ~EntryCalls() override;
 
-  /// Has requests that crash back ends told from others; without it, none is.
-  /// @param quarantine what is known of them; outlives this object
+  /// Enables the quarantine of requests that crash back ends.
+  /// @param quarantine must outlive this object
   void useQuarantine(quarantine::request_quarantine* quarantine) { quarantine_ = quarantine; }
 
-  /// Has calls of tenants with a limit wait for permits; without it, none does.
-  /// @param quotas outlives this object
+  /// Makes calls of tenants with a limit wait for quota permits; by default, limits are not enforced.
+  /// @param quotas must outlive this object
   void useQuotas(quota::quota_queue* quotas) { quotas_ = quotas; }
 
-  /// Sets what tells whether this node hears of the controllers. While it doesn't, a version on trial gets nothing from
-  /// here: nobody could take it back. Without it, the node is held to hear of them.
+  /// Sets a check of whether this node receives current state from the controllers. While it does not, no share of
+  /// calls goes to the target version of a rollout, since a rollback could not reach this node. Without a check, the
+  /// state counts as current.
   void setFreshnessCheck(std::function<bool()> isFresh) { isFresh_ = std::move(isFresh); }
 
-  /// Uses a new version for calls that begin from now on.
+  /// Replaces the routing table. Calls in progress keep their route.
   void useTable(routing::RoutingTablePtr table);
 
-  /// What relays say of endpoints.
+  /// Applies endpoint states received from relays.
   void onEndpointStates(const std::vector<wire::EndpointState>& states);
 
-  /// Begins a call. The callback is called once, never from within this call.
+  /// Begins a call. The callback runs once, unless the call is abandoned, and never from within begin().
   CallId begin(InboundCall call, AnswerCallback done);
 
-  /// Refuses every call that begins from now on as not run; those in progress go on.
+  /// Answers all new calls as not run; calls in progress continue.
   void refuseNew() { refusingNewCalls_ = true; }
 
-  /// Ends a planned stop: calls that no back end has begun to run get their final answer as not run, and nothing is
-  /// sent again. Those whose bodies have not left are answered at once; of the others the endpoints' nodes are asked.
+  /// Ends the drain of a planned stop: calls that no back end has started are answered as not run, and no call is
+  /// retried any more. Calls whose bodies are not fully sent are answered at once; the others are withdrawn from the
+  /// nodes of their endpoints.
   void refuseWaiting();
 
-  /// The caller went away.
+  /// Cancels a call whose caller disconnected; its callback is not called.
   void abandon(CallId call);
 
   size_t active() const { return calls_.size(); }
-  /// @return whether a connection was opened by this side.
+  /// @return whether this node opened the connection.
   bool isOutbound(base::ConnectionId connection) const { return links_.isOutbound(connection); }
   size_t links() const { return links_.size(); }
 
-  /// @return how often an endpoint was left without a link at the bound of links.
+  /// @return how often an endpoint got no link because the link limit was reached.
   int64_t skippedLinks() const { return links_.skippedEndpoints(); }
   const EntryCounters& counters() const { return counters_; }
   const routing::RoutingTablePtr& table() const { return table_; }
@@ -137,28 +149,28 @@
   struct Call {
     InboundCall inbound;
     AnswerCallback done;
-    routing::RoutingTablePtr table;  // the version the call began with
+    routing::RoutingTablePtr table;  // table in force when the call began
     std::string route;
     std::string service;
     std::string tenant;    // empty where callers need no key
-    std::string endpoint;  // that was asked last
+    std::string endpoint;  // of the latest attempt
     base::TimePoint startedAt{};
-    int maxAttempts = 1;  // back ends that it may reach
+    int maxAttempts = 1;  // attempts that may reach a back end
     int priority = 0;
     int targetLatencyMs = 0;
-    int waitedMs = 0;  // of the caller, with earlier calls that were refused
+    int waitedMs = 0;  // time that the caller has already waited, as estimated from its deadline
     bool repeatable = false;
     std::string idempotencyKey;
     base::TimePoint deadline;
     base::TimerId timer = 0;
-    int attempts = 0;               // that reached a back end, or may have
-    int refusals = 0;               // by nodes beside back ends
-    std::vector<int64_t> inFlight;  // ids of attempts; more than one only while the call is hedged
+    int attempts = 0;               // attempts that reached a back end, or may have
+    int refusals = 0;               // attempts that failed before they reached a back end
+    std::vector<int64_t> inFlight;  // attempt ids; more than one only while the call is hedged
     base::TimerId hedgeTimer = 0;
     std::set<std::string> tried;
-    bool useTargetVersion = false;  // first goes to the version on trial
-    bool mayHaveRun = false;        // an attempt reached a back end and was not refused there
-    std::optional<quarantine::request_fingerprint> fingerprint;  // once it was needed
+    bool useTargetVersion = false;  // the first attempt goes to the target version of a rollout
+    bool mayHaveRun = false;        // an attempt may have been run by a back end
+    std::optional<quarantine::request_fingerprint> fingerprint;  // computed on first use
     CallAnswer lastFailure;
   };
 
@@ -167,7 +179,7 @@
     std::string endpoint;
     base::ConnectionId connection;
     base::TimePoint sentAt;
-    size_t bodyBytesSent = 0;  // bytes of the call's body
+    size_t bodyBytesSent = 0;  // of the call's body
   };
 
   const routing::Route* findRoute(const InboundCall& inbound) const;
@@ -192,7 +204,7 @@
   void finishHeld(CallId id, int retryAfterMs);
   void attemptOnProbation(CallId id, Call* call);
   void recordCrash(const Attempt& attempt, const wire::CallResponse& response);
-  /// How far an attempt that failed had come.
+  /// How far an attempt got before it failed.
   enum class AttemptProgress { kBeforeBackend, kRefusedByBackend, kMayHaveRun };
 
   void startHedgeTimer(CallId id, Call* call);
@@ -220,7 +232,7 @@
   base::Scheduler& scheduler_;
   base::RandomSource random_;
   base::Network& network_;
-  routing::RoutingTablePtr table_;  // null before the first version
+  routing::RoutingTablePtr table_;  // null before the first table
   routing::EndpointPicker picker_;
   std::map<std::string, routing::WeightedSplit> routeSplits_;        // by route
   std::map<std::string, routing::WeightedSplit> versionSplits_;      // by service
@@ -228,12 +240,12 @@
   std::map<std::string, overload::caller_patience> callerPatience_;  // by route
   std::map<std::string, retry::RetryBudget> retryBudgets_;           // by service
   std::map<CallId, Call> calls_;
-  std::map<int64_t, Attempt> attempts_;  // by the id that travels in frames
+  std::map<int64_t, Attempt> attempts_;  // by the call id used in frames
   EndpointLinks links_;
   quarantine::request_quarantine* quarantine_ = nullptr;  // may stay null
   quota::quota_queue* quotas_ = nullptr;                  // may stay null
   bool refusingNewCalls_ = false;
-  bool stopping_ = false;  // nothing is sent again
+  bool stopping_ = false;  // calls are no longer retried
   CallId nextCall_ = 1;
   int64_t nextAttempt_ = 1;
   EntryCounters counters_;
--- a/src/node/entry_calls_hedging.cc
+++ b/src/node/entry_calls_hedging.cc
@@ -1,10 +1,10 @@
-/// Second attempts beside a first one that has no answer yet.
+/// Hedging: second attempts of calls whose first attempt has no answer yet.
 #include "node/entry_calls.h"
 
 namespace driftlug::node {
 
-/// Calls that may run twice don't wait for a node that may have lost its power, its network or its processor: another
-/// endpoint is asked beside it, and the first answer wins.
+/// Hedges the repeatable calls in flight on a silent link, since its node may have lost its power, its network or its
+/// processor. The first answer wins.
 void EntryCalls::onLinkSilent(base::ConnectionId connection) {
   ++counters_.silentLinks;
   std::vector<CallId> waiting;
@@ -32,7 +32,7 @@
 
 bool EntryCalls::secondAttemptAllowed(Call* call) {
   const int startedAttempts = call->attempts + static_cast<int>(call->inFlight.size());
-  // A request that may crash what runs it is at one back end at a time.
+  // A request that may crash back ends runs on one back end at a time.
   return call->repeatable && startedAttempts < call->maxAttempts &&
          quarantineStanding(call) == quarantine::standing::clear;
 }
--- a/src/node/entry_calls_quarantine.cc
+++ b/src/node/entry_calls_quarantine.cc
@@ -1,4 +1,4 @@
-/// Requests that crash what runs them, at the node that takes them from callers.
+/// Entry side of the quarantine of requests that crash back ends.
 #include <algorithm>
 
 #include "node/call_fingerprint.h"
@@ -12,10 +12,10 @@
 using wire::CallOutcome;
 
 constexpr int kUnavailableStatus = 503;
-/// A suspect does not run on the last endpoint of a service that takes work while the others are away, unless they stay
-/// away for longer than it takes a process to start again. Where two back ends are left and a request ends the first,
-/// the service keeps the second: 0.994 of the others' requests in time instead of 0.945, 0.001 lost instead of 0.048 (a
-/// fleet of two back ends, 80 calls a second, a guilty request for 55 s, means of 20 seeds).
+/// A suspect request does not run on the last available endpoint of a service while the others are down, until its last
+/// crash is this long ago, which is longer than a process takes to restart. With two back ends, a request that crashes the first then leaves
+/// the second running: 0.994 of the other requests are answered in time instead of 0.945, and 0.001 are lost instead of
+/// 0.048 (two back ends, 80 calls/s, a crashing request sent for 55 s, means of 20 seeds).
 constexpr base::Duration kLastEndpointProbationDelay = base::seconds(5);
 
 }  // namespace
@@ -35,8 +35,8 @@
   finish(id, failureAnswer(CallOutcome::NOT_RUN, ErrorCode::kRequestHeld, kUnavailableStatus, retryAfterMs));
 }
 
-/// All nodes choose the same endpoint for a request, so that its copies meet there and wait for each other: a request
-/// that crashes what runs it ends two back ends of a service, the second on probation, whatever many callers send it.
+/// All nodes pick the same endpoint for a request, where its copies queue behind each other. A crashing request thus
+/// takes down two back ends of a service at most, the second one on probation, however many callers send it.
 void EntryCalls::attemptOnProbation(CallId id, Call* call) {
   const auto* target = picker_.pickFor(fingerprintOfCall(call).low, candidatesFor(*call), call->tried);
   if (target == nullptr) {
@@ -53,7 +53,7 @@
   send(id, call, *target, true);
 }
 
-/// What the answer tells is known here at once, so that the next attempt of this call is on probation already.
+/// Records the crash locally before any relay reports it, so that the next attempt of this call runs on probation.
 void EntryCalls::recordCrash(const Attempt& attempt, const wire::CallResponse& response) {
   picker_.eject(attempt.endpoint);
   const auto call = calls_.find(attempt.call);
--- a/src/node/entry_calls_tenants.cc
+++ b/src/node/entry_calls_tenants.cc
@@ -1,4 +1,4 @@
-/// Keys and quotas of tenants, at the node that takes calls.
+/// Entry side of tenant authentication and quotas.
 #include <utility>
 
 #include "node/entry_calls.h"
@@ -14,8 +14,8 @@
 
 }  // namespace
 
-/// Takes the tenant and its priority from the key of the call; the key goes no further.
-/// @return whether the call may go on
+/// Sets the call's tenant and priority by its API key, and removes the key from the call.
+/// @return false if the route requires a key and no tenant has this one
 bool EntryCalls::authenticate(Call* call, const routing::Route& route) {
   const auto key = std::exchange(call->inbound.credential, {});
   if (table_->tenants().empty() || route.keyless) return true;
