--- a/src/node/endpoint_links.cc
+++ b/src/node/endpoint_links.cc
@@ -10,34 +10,34 @@
 namespace {
 
 constexpr int kMaxBackoffDoublings = 4;
-/// News that come one by one, as at a start of the whole fleet, are taken together when they follow within this time:
-/// each costs a pass over all endpoints.
+/// Changes that follow each other within this time, as at a start of the whole fleet, are applied as one batch, since
+/// each application is a pass over all endpoints.
 constexpr base::Duration kMinBatchDelay = base::milliseconds(20);
-/// Where there are many endpoints, a pass costs about a microsecond for each: a node spends less than a hundredth of
-/// its time on passes.
+/// A pass costs about 1 us per endpoint, so with this delay a node spends less than 1% of its time on passes.
 constexpr base::Duration kBatchDelayPerEndpoint = base::microseconds(125);
 constexpr base::Duration kMaxBatchDelay = base::milliseconds(250);
-/// States that come together are logged one by one up to this number.
+/// Larger batches of endpoint states are logged as a count only.
 constexpr size_t kMaxStatesLogged = 4;
-/// Links added at once to a service whose chosen endpoints are full, and the most that are added.
+/// Number of links added at a time to a service whose chosen endpoints are full, and their maximum.
 constexpr size_t kExtraLinksStep = 4;
 constexpr size_t kMaxExtraLinks = 16;
-/// Pause after which links that the bound left no room for are tried again.
+/// Interval at which links that exceeded maxLinks are tried again.
 constexpr base::Duration kLinkLimitRetryInterval = base::seconds(1);
-/// How long they stay behind the last sign that they are needed: longer than a burst of some seconds.
+/// How long extra links are kept after they were last needed; outlasts bursts of a few seconds.
 constexpr base::Duration kExtraLinksHoldTime = base::seconds(10);
-/// Interval at which links with calls in progress are looked at.
+/// Interval at which links with calls in progress are checked.
 constexpr base::Duration kLivenessCheckInterval = base::milliseconds(100);
-/// An acknowledgement comes within a few milliseconds; one that was lost on the way comes after TCP's least
-/// retransmission time of 200 ms.
+/// An acknowledgement takes a few milliseconds, or more than 200 ms (TCP's minimum retransmission timeout) if a packet
+/// was lost.
 constexpr base::Duration kSilenceTimeout = base::milliseconds(250);
-/// A link on which calls run is asked for a sign of life when nothing was heard for so long.
+/// A keep-alive is sent on a link with calls in progress when nothing was received for this long.
 constexpr base::Duration kKeepAliveAfter = base::milliseconds(500);
-/// A link that has been awaited for so long gets another connection: a connection can be lost for good without a reset
-/// while new ones work, and a node that was only slow for a moment is heard before. At 300 nodes that lose one link
-/// each, a connection costs 300 greetings of some 200 bytes, once.
+/// The connection of a link is replaced when an acknowledgement is overdue for this long: a connection can be dead
+/// without a reset while new ones work, and a node that is only briefly slow responds sooner. If 300 nodes lose one
+/// link each, this costs 300 Hello messages of about 200 bytes, once.
 constexpr base::Duration kReplaceConnectionAfter = base::seconds(1);
-/// Calls that may not run twice are waited for on the former connection for so long; most have ended at their deadline.
+/// A replaced connection stays open for this long for the calls in progress on it; most of them end at their deadline
+/// before.
 constexpr base::Duration kReplacedConnectionTimeout = base::seconds(30);
 
 const char* conditionName(wire::EndpointCondition::type condition) {
@@ -95,12 +95,12 @@
     }
     picker_.setAvailable(state.endpoint, state.condition == wire::EndpointCondition::LIVE);
     announced = announced || !state.address.empty();
-    // Of what lived before this node started, attempts have just begun: they are not begun twice.
+    // At the first state of an endpoint, a pending connect attempt is recent and is kept: this node has just started.
     if (newIncarnation && !firstState) abortConnectAttempt(state.endpoint);
     if (newIncarnation) reconnectNow(state.endpoint);
   }
   if (states.size() > kMaxStatesLogged) {
-    log_.info("{} states of endpoints came together, {} endpoints are known", states.size(), states_.size());
+    log_.info("{} endpoint states received at once, {} endpoints known", states.size(), states_.size());
   }
   if (announced) scheduleChoice();
 }
@@ -124,7 +124,7 @@
   return std::max<size_t>(1, options_.maxLinks / std::max<size_t>(1, known_.size()));
 }
 
-/// @return whether each service gets another number of links than before
+/// @return whether the number of links per service changed
 bool EndpointLinks::resizeSubset() {
   const auto subsetSize = std::min(options_.subset.endpoints, linksPerService());
   if (subsetSize == subsetSize_) return false;
@@ -133,7 +133,8 @@
   subset.endpoints = subsetSize;
   subset_ = subsetting::endpoint_subset(subset, options_.nodeId, options_.zone);
   subsetSize_ = subsetSize;
-  log_.warn("links to {} of each of {} services, max_links={}", subsetSize, known_.size(), options_.maxLinks);
+  log_.warn("linking to {} endpoints of each of {} services, max_links={}", subsetSize, known_.size(),
+            options_.maxLinks);
   return true;
 }
 
@@ -145,7 +146,7 @@
   choose(services);
 }
 
-/// @param services whose endpoints, or whose need of them, have changed
+/// @param services those whose endpoints, or whose number of links, may have changed
 void EndpointLinks::choose(const std::set<std::string>& services) {
   knownEndpoints_ = 0;
   for (const auto& [service, endpoints] : known_) knownEndpoints_ += endpoints.size();
@@ -171,8 +172,8 @@
   return subset_.choose(endpoints, extraLinksFor(service), unreachable);
 }
 
-/// Each version has links to a subset of its own, made before it gets its share, and the one on trial besides to the
-/// endpoints whose turn it is. Versions that no row names have none.
+/// Each version of the rollout has a subset of its own, linked before the version gets requests. The target version is
+/// also linked to its current trial group. Versions not named by the policy get no links.
 void EndpointLinks::chooseByVersion(const std::string& service, const std::vector<routing::EndpointTarget>& endpoints,
                                     const rollout::version_policy& policy) {
   Endpoints known;
@@ -276,7 +277,7 @@
   if (skipped == 0) return;
   skippedEndpoints_ += static_cast<int64_t>(skipped);
   linkLimitLog_.write(base::LineWorth::kFailure, [&] {
-    return fmt::format("no room for links to {} endpoints, links={} max_links={}", skipped, links_.size(),
+    return fmt::format("link limit reached, {} endpoints without a link, links={} max_links={}", skipped, links_.size(),
                        options_.maxLinks);
   });
   if (!chooseTimer_.running()) chooseTimer_.start(kLinkLimitRetryInterval);
@@ -308,12 +309,13 @@
   endpointOf_[found->second.connection] = endpoint;
 }
 
-/// Pauses between attempts, and attempts that hang, are those of the time when the node was away: waiting for them left
-/// all endpoints of a service without a link for up to 2.0 s behind their word that they are live (logs of four nodes).
+/// Reconnects without waiting for the back-off, which grew while the endpoint's node was down. Waiting for back-offs
+/// and for hanging connect attempts left all endpoints of a service without a link for up to 2.0 s after they were
+/// announced as live (seen in the logs of four nodes).
 void EndpointLinks::reconnectNow(const std::string& endpoint) {
   const auto found = links_.find(endpoint);
   if (found == links_.end() || found->second.open) return;
-  found->second.failures = std::min(found->second.failures, 1);  // out of reach until it is up
+  found->second.failures = std::min(found->second.failures, 1);  // counts as unreachable until it is up
   connect(endpoint);
 }
 
@@ -330,11 +332,11 @@
   if (endpoint == endpointOf_.end()) return;
   auto& link = links_[endpoint->second];
   link.open = true;
-  // Bodies for the back end beside this node cross no link.
+  // Bodies for the local back end do not cross the network.
   link.takesBodyPieces = peer.takesBodyPieces && peer.id != options_.nodeId;
-  link.supportsWithdrawals = peer.acknowledgesCalls;  // came with the same version
+  link.supportsWithdrawals = peer.acknowledgesCalls;  // introduced together with acknowledgements
   link.acknowledges = peer.acknowledgesCalls && peer.id != options_.nodeId;
-  if (link.failures > 0) pendingServices_.insert(serviceOf(endpoint->second));  // what stands in for it may go
+  if (link.failures > 0) pendingServices_.insert(serviceOf(endpoint->second));  // its replacements may be unlinked
   link.failures = 0;
   link.lastReceivedAt = scheduler_.now();
   link.unacknowledgedSince.reset();
@@ -372,7 +374,7 @@
                       });
   if (link.failures > 1) return;
   pendingServices_.insert(serviceOf(endpoint));
-  scheduleChoice();  // another endpoint stands in for it
+  scheduleChoice();  // links to another endpoint instead
 }
 
 void EndpointLinks::onSent(const std::string& endpoint) {
@@ -393,7 +395,7 @@
   if (!link.silent) return;
   link.silent = false;
   picker_.setSilent(found->second, false);
-  log_.info("link endpoint={} is heard again", found->second);
+  log_.info("link endpoint={} responds again", found->second);
 }
 
 void EndpointLinks::checkLiveness() {
@@ -404,7 +406,7 @@
     checked.push_back(name);
   }
   for (const auto& name : checked) {
-    // What is done for one link may close another.
+    // Checking one link may close another.
     if (const auto found = links_.find(name); found != links_.end()) checkLinkLiveness(name, &found->second);
   }
   if (!checked.empty()) scheduleLivenessCheck();
@@ -428,7 +430,7 @@
 void EndpointLinks::replaceConnection(const std::string& endpoint, Link* link) {
   const auto connection = link->connection;
   const int calls = picker_.inFlight(endpoint);
-  log_.warn("link endpoint={} stays silent and gets another connection, {} calls in progress", endpoint, calls);
+  log_.warn("link endpoint={} still silent, replacing its connection, {} calls in progress", endpoint, calls);
   endpointOf_.erase(connection);
   link->connection = 0;
   link->open = false;
@@ -446,7 +448,8 @@
   connect(endpoint);
 }
 
-/// @return whether it was a connection that has been replaced; its calls have failed then
+/// Reports a replaced connection as lost, which fails its calls.
+/// @return false if the connection is not a replaced one
 bool EndpointLinks::dropReplacedConnection(base::ConnectionId connection) {
   const auto replaced = replacedConnections_.extract(connection);
   if (replaced.empty()) return false;
--- a/src/node/endpoint_links.h
+++ b/src/node/endpoint_links.h
@@ -1,4 +1,4 @@
-/// The endpoints that a node knows, and its links to those that it chose.
+/// Known endpoints of a node's services, and the links (connections) to the chosen subset of them.
 #pragma once
 
 #include <cstdint>
@@ -21,63 +21,65 @@
 
 namespace driftlug::node {
 
-/// Settings of the links.
+/// Settings of EndpointLinks.
 struct LinkOptions {
   std::string nodeId;
   std::string zone;
   base::Duration reconnectDelay = base::milliseconds(200);
-  base::Duration unreachableFor = base::seconds(30);  ///< an announced endpoint that long out of reach is forgotten
+  base::Duration unreachableFor = base::seconds(30);  ///< time after which an unreachable announced endpoint is dropped
   subsetting::subset_options subset;
-  size_t maxLinks = SIZE_MAX;  ///< links of all services; where there are many services, each gets fewer
+  size_t maxLinks = SIZE_MAX;  ///< limit over all services, shared equally among them
 };
 
-/// Keeps links to a subset of each service's endpoints: its own choice, and more while those are full or out of reach.
+/// Maintains links to a subset of each service's endpoints, and extra links while those are full or unreachable.
 ///
-/// Invariants: a link whose endpoint has left, or is chosen no more, stays until its last call has ended; a lost link
-/// is told once, and made again with growing pauses; a link that is silent though something was sent on it is left out
-/// of the choice until it is heard, and gets another connection when it stays silent; what runs on the former one goes
-/// on there.
+/// Invariants:
+/// - A link whose endpoint was removed or is no longer chosen stays open until its last call ends.
+/// - A lost connection is reported once, and reopened with exponential back-off.
+/// - A link that does not acknowledge messages in time is excluded from picking until it receives something.
+/// - If a link stays silent, its connection is replaced; calls in progress continue on the old connection.
 class EndpointLinks {
  public:
-  /// One link as its user needs it.
+  /// State of the link to one endpoint.
   struct Link {
     base::Address address;
     base::ConnectionId connection = 0;  ///< 0 while waiting to reconnect
     bool open = false;
-    bool takesBodyPieces = false;  ///< its node grants bodies as its link has room
+    bool takesBodyPieces = false;  ///< whether the peer uses flow control for large bodies
     bool supportsWithdrawals = false;
-    bool acknowledges = false;  ///< its node acknowledges what it gets, so its silence tells something
-    int failures = 0;           ///< connections lost in a row
+    bool acknowledges = false;  ///< whether the peer acknowledges messages, so that its silence can be detected
+    int failures = 0;           ///< consecutive connections lost or not established
     base::TimePoint lostAt{};
     base::TimePoint lastReceivedAt{};
-    std::optional<base::TimePoint>
-        unacknowledgedSince;  ///< when the first message since lastReceivedAt was sent that is acknowledged
-    bool silent = false;      ///< it has been awaited for too long
+    /// When the first message after lastReceivedAt that requires an acknowledgement was sent.
+    std::optional<base::TimePoint> unacknowledgedSince;
+    bool silent = false;  ///< an acknowledgement is overdue
   };
 
-  /// Called when a connection is gone, with the endpoint it led to.
+  /// Called with a closed connection and its endpoint.
   using LostHandler = std::function<void(base::ConnectionId, const std::string&)>;
-  /// Called when a connection with calls in progress has fallen silent; it may be heard again.
+  /// Called with a connection that stopped acknowledging, and its endpoint; the connection may recover.
   using SilentHandler = std::function<void(base::ConnectionId, const std::string&)>;
 
-  /// @param picker is told which endpoints are connected and available; outlives the links, like all else given here
+  /// @param picker is notified of which endpoints are connected, available and silent; like the other references, it
+  /// must outlive this object
   EndpointLinks(LinkOptions options, base::Scheduler& scheduler, base::RandomSource random, base::Network& network,
                 routing::EndpointPicker& picker, LostHandler onLost, SilentHandler onSilent);
   ~EndpointLinks();
 
-  /// Takes the endpoints of a new version.
+  /// Replaces the routing table, and updates the endpoints and links.
   void useTable(const routing::RoutingTablePtr& table);
 
-  /// What relays say of endpoints.
+  /// Applies endpoint states received from relays.
   void onStates(const std::vector<wire::EndpointState>& states);
 
   void onOpen(base::ConnectionId connection, const wire::Hello& peer);
   void onClose(base::ConnectionId connection);
 
-  /// A call was sent to an endpoint.
+  /// Records that a call was sent to an endpoint, which its node has to acknowledge.
   void onSent(const std::string& endpoint);
 
-  /// Something arrived.
+  /// Records that a message arrived on a connection.
   void onMessageReceived(base::ConnectionId connection);
 
   /// @return whether this node opened the connection.
@@ -85,34 +87,35 @@
     return endpointOf_.count(connection) > 0 || replacedConnections_.count(connection) > 0;
   }
 
-  /// @return the chosen endpoints of a service, of all versions that take requests or soon may.
+  /// @return the chosen endpoints of a service, of all versions that get requests or soon may.
   const std::vector<routing::EndpointTarget>& chosenEndpoints(const std::string& service) const;
 
-  /// @return those of one version, while a rollout of the service runs; of the one on trial those whose turn it is.
+  /// @return the chosen endpoints of one version while a rollout runs; for its target version, the current trial group
+  /// if there is one.
   const std::vector<routing::EndpointTarget>& chosenEndpoints(const std::string& service,
                                                               const std::string& version) const;
 
-  /// @return the link to a chosen endpoint.
+  /// @return the link to an endpoint; a closed one if the endpoint has none.
   const Link& link(const std::string& endpoint) const;
 
-  /// The chosen endpoints of a service are full: more are linked for a while.
+  /// Adds links for a while, since the chosen endpoints of a service are full.
   void onFull(const std::string& service);
 
-  /// An endpoint is known to be gone for good.
+  /// Removes an announced endpoint that is permanently gone.
   void forget(const std::string& endpoint);
 
   size_t size() const { return links_.size(); }
 
-  /// @return endpoints of all services, chosen or not.
+  /// @return the number of known endpoints of all services, chosen or not.
   size_t knownEndpointCount() const { return knownEndpoints_; }
 
-  /// @return how often a chosen endpoint was left without a link at the bound.
+  /// @return how often a chosen endpoint got no link because of maxLinks.
   int64_t skippedEndpoints() const { return skippedEndpoints_; }
 
  private:
   using Endpoints = std::map<std::string, std::vector<routing::EndpointTarget>>;
 
-  /// Links beyond the usual number, for a service whose chosen endpoints were full.
+  /// Links beyond the regular subset, for a service whose chosen endpoints were full.
   struct ExtraLinks {
     size_t count = 0;
     base::TimePoint until{};
@@ -157,21 +160,21 @@
   LostHandler onLost_;
   SilentHandler onSilent_;
   subsetting::endpoint_subset subset_;
-  size_t subsetSize_;                                    // of each service, by the bound of links
-  routing::RoutingTablePtr table_;                       // null before the first version
-  std::map<std::string, wire::EndpointState> states_;    // newest said of each endpoint
-  Endpoints known_;                                      // by service: those of the table and those announced
-  std::map<std::string, std::string> changedEndpoints_;  // services of endpoints whose states known_ does not show yet
+  size_t subsetSize_;                                    // links per service, as limited by maxLinks
+  routing::RoutingTablePtr table_;                       // null before the first table
+  std::map<std::string, wire::EndpointState> states_;    // newest state of each endpoint
+  Endpoints known_;                                      // by service: endpoints of the table and announced ones
+  std::map<std::string, std::string> changedEndpoints_;  // endpoint -> service, for states not yet in known_
   size_t knownEndpoints_ = 0;                            // in known_
-  std::set<std::string> pendingServices_;                // services to be chosen for anew
-  Endpoints chosen_;                                     // by service: those with links
-  std::map<std::string, Endpoints> chosenByVersion_;     // by service, then by version: while a rollout runs
+  std::set<std::string> pendingServices_;                // services whose endpoints have to be chosen again
+  Endpoints chosen_;                                     // by service: endpoints to link to
+  std::map<std::string, Endpoints> chosenByVersion_;     // by service, then version; only while a rollout runs
   std::map<std::string, ExtraLinks> extraLinks_;         // by service
   std::map<std::string, Link> links_;                    // by endpoint
   std::map<base::ConnectionId, std::string> endpointOf_;
-  std::map<base::ConnectionId, std::string> replacedConnections_;  // silent ones that calls are still in progress on
-  std::optional<base::TimePoint> lastAppliedAt_;                   // when news were taken, the last time
-  base::Timer chooseTimer_;                                        // runs while more news are gathered
+  std::map<base::ConnectionId, std::string> replacedConnections_;  // silent ones with calls in progress
+  std::optional<base::TimePoint> lastAppliedAt_;                   // when pending changes were last applied
+  base::Timer chooseTimer_;                                        // runs while changes are batched
   base::Timer livenessTimer_;  // runs while calls are in progress, or a link is silent
   base::Logger log_{"entry"};
   base::DecisionLog linkLimitLog_;
--- a/src/node/endpoint_links_known.cc
+++ b/src/node/endpoint_links_known.cc
@@ -1,4 +1,4 @@
-/// The endpoints that a node knows, from its table and from what relays say.
+/// Known endpoints, from the routing table and from states announced by relays.
 #include <algorithm>
 #include <utility>
 
@@ -28,9 +28,9 @@
   if (!state.address.empty()) changedEndpoints_[state.endpoint] = state.serviceName;
 }
 
-/// Brings known_ up to date for what has changed only: at a thousand endpoints a whole pass for each of their states
-/// costs a node more than its calls.
-/// @return services whose endpoints changed
+/// Updates known_ incrementally: with a thousand endpoints, a full pass for each of their states costs a node more than
+/// its calls.
+/// @return the services whose endpoints changed
 std::set<std::string> EndpointLinks::updateChangedEndpoints() {
   std::set<std::string> services;
   for (const auto& [endpoint, service] : std::exchange(changedEndpoints_, {})) {
@@ -52,7 +52,7 @@
   if (found->second.empty()) known_.erase(found);
 }
 
-/// In the order of their names, so that the choice doesn't hang on the order in which news came.
+/// Keeps endpoints sorted by name, so that the choice does not depend on the order in which states arrive.
 void EndpointLinks::addKnown(const wire::EndpointState& state) {
   auto& known = known_[state.serviceName];
   const auto place = std::lower_bound(known.begin(), known.end(), state.endpoint,
--- a/src/node/entry_calls.cc
+++ b/src/node/entry_calls.cc
@@ -215,8 +215,8 @@
   return drawn == versions->target;
 }
 
-/// Only the first attempt of a call may go to the target version of a rollout; retries go to the standing version,
-/// which is known to work.
+/// While a rollout runs, only the first attempt of a call may go to the target version; retries go to the standing
+/// version, which is known to work, unless that is being retired.
 const std::vector<routing::EndpointTarget>& EntryCalls::candidatesFor(const Call& call) const {
   const auto* versions = table_->versions(call.service);
   if (versions == nullptr || !versions->running) return links_.chosenEndpoints(call.service);
--- a/src/node/entry_calls_quarantine.cc
+++ b/src/node/entry_calls_quarantine.cc
@@ -13,9 +13,9 @@
 
 constexpr int kUnavailableStatus = 503;
 /// A suspect request does not run on the last available endpoint of a service while the others are down, until its last
-/// crash is this long ago, which is longer than a process takes to restart. With two back ends, a request that crashes the first then leaves
-/// the second running: 0.994 of the other requests are answered in time instead of 0.945, and 0.001 are lost instead of
-/// 0.048 (two back ends, 80 calls/s, a crashing request sent for 55 s, means of 20 seeds).
+/// crash is this long ago, which is longer than a process takes to restart. With two back ends, a request that crashes
+/// the first then leaves the second running: 0.994 of the other requests are answered in time instead of 0.945, and
+/// 0.001 are lost instead of 0.048 (two back ends, 80 calls/s, a crashing request sent for 55 s, means of 20 seeds).
 constexpr base::Duration kLastEndpointProbationDelay = base::seconds(5);
 
 }  // namespace
