--- a/test/node/endpoint_links_test.cc
+++ b/test/node/endpoint_links_test.cc
@@ -27,7 +27,7 @@
   return state;
 }
 
-/// Links of a node that knows a large service.
+/// Links of a node to a service with 60 endpoints.
 struct LinksFixture {
   explicit LinksFixture(size_t maxLinks = SIZE_MAX) : process(queue, "node", {"zone-0", "region"}, {"10.0.1.1", 7000}) {
     process.start();
@@ -115,8 +115,9 @@
   CHECK(network.connected.size() == kMaxLinks);
 }
 
-TEST_CASE_METHOD(BoundedLinksFixture, "links out of reach count, and endpoints beyond the bound wait for room") {
-  // Nobody can be reached: others would stand in, up to three times as many.
+TEST_CASE_METHOD(BoundedLinksFixture,
+                 "unreachable links count against the limit, and endpoints beyond it wait for a free link") {
+  // No endpoint is reachable: without the limit, up to three times as many would be linked instead.
   for (int i = 0; i < 5; ++i) {
     const auto before = network.connected;
     for (const auto& [connection, address] : before) {
@@ -139,7 +140,7 @@
   CHECK(links->chosenEndpoints("others").empty());
 }
 
-TEST_CASE_METHOD(LinksFixture, "another endpoint stands in for one that is out of reach") {
+TEST_CASE_METHOD(LinksFixture, "an unreachable endpoint is replaced by another one") {
   const auto connection = network.connected.begin()->first;
   network.connected.erase(connection);
   links->onClose(connection);
@@ -175,7 +176,7 @@
   CHECK(!links->link(leaving).open);
 }
 
-TEST_CASE_METHOD(LinksFixture, "news that come one by one are taken together") {
+TEST_CASE_METHOD(LinksFixture, "endpoint states that arrive one by one are applied in batches") {
   for (int i = kEndpoints + 1; i <= kEndpoints + 40; ++i) {
     links->onStates({endpointState(i, wire::EndpointCondition::LIVE)});
   }
@@ -183,7 +184,7 @@
   CHECK(links->chosenEndpoints("records").size() == 16);
 }
 
-TEST_CASE_METHOD(LinksFixture, "an endpoint that acknowledges nothing is left out until it is heard again") {
+TEST_CASE_METHOD(LinksFixture, "an endpoint that does not acknowledge is skipped until it responds again") {
   const auto name = links->chosenEndpoints("records").front().name;
   const auto send = [&] {
     picker->onSent(name);
@@ -202,7 +203,7 @@
   CHECK(!links->link(name).silent);
 }
 
-TEST_CASE_METHOD(LinksFixture, "a link on which a call runs for long is asked for a sign of life") {
+TEST_CASE_METHOD(LinksFixture, "a keep-alive is sent on a link with a long-running call") {
   const auto name = links->chosenEndpoints("records").front().name;
   picker->onSent(name);
   links->onSent(name);
@@ -218,20 +219,21 @@
   CHECK(silent == std::vector<std::string>{name});
 }
 
-TEST_CASE_METHOD(LinksFixture, "a link that stays silent is made anew, and what runs on the old one goes on") {
+TEST_CASE_METHOD(LinksFixture,
+                 "the connection of a link that stays silent is replaced, and calls on the old one continue") {
   const auto name = links->chosenEndpoints("records").front().name;
   picker->onSent(name);
   links->onSent(name);
   const auto first = links->link(name).connection;
   runFor(base::milliseconds(400));
   REQUIRE(silent == std::vector<std::string>{name});
-  SECTION("nothing runs on it any more") {
+  SECTION("no call is left on it") {
     picker->onAbandoned(name);
     runFor(base::milliseconds(1000));
     CHECK(network.connected.count(first) == 0);
     CHECK(lost.empty());
   }
-  SECTION("a call that may not run twice waits on it, until the other end is taken for lost") {
+  SECTION("a non-repeatable call waits on it until the peer is considered lost") {
     runFor(base::milliseconds(1000));
     CHECK(network.connected.count(first) == 1);
     CHECK(links->isOutbound(first));
@@ -262,13 +264,13 @@
   openAll();
   REQUIRE(links->link(name).connection != first);
   SECTION("because it breaks") { links->onClose(first); }
-  SECTION("because its time is over") { runFor(base::seconds(31)); }
+  SECTION("because it times out") { runFor(base::seconds(31)); }
   CHECK(lost == std::vector<std::string>{name});
   CHECK(!links->isOutbound(first));
   CHECK(links->link(name).open);
 }
 
-TEST_CASE_METHOD(LinksFixture, "a process that was itself stopped makes no link anew for the time it slept") {
+TEST_CASE_METHOD(LinksFixture, "a process that was suspended replaces no connection because of its own pause") {
   const auto name = links->chosenEndpoints("records").front().name;
   picker->onSent(name);
   links->onSent(name);
@@ -282,16 +284,10 @@
   CHECK(links->link(name).connection == first);
 }
 
-// Symptom: half a second after all processes were ready again, calls were refused with "no_endpoint" though all four
-// endpoints of their service were announced as live.
-//
-// Sequence: the nodes beside the back ends stop and start again after 3.5 s; the entry nodes' links to them are lost,
-// and are tried again with pauses that have grown to 3.2 s by then. The nodes announce that they are live.
-//
-// Cause: only the pauses decided when a link was tried again; news that its node had started did not.
-//
-// What settled it: "condition=live" at 8.112 s, "link ... up" at 8.415, 9.079, 9.450 and 10.087 s at the four entry
-// nodes; 23 calls refused between 8.389 and 9.161 s, attempts=0.
+// Guards against calls refused with "no_endpoint" although all endpoints of their service are announced as live again.
+// The nodes of four back ends were down for 3.5 s, and the links to them had backed off to 3.2 s. Only the back-off
+// decided when to reconnect, not the announcement of the restart: links came up 0.3 to 2.0 s after "condition=live" at
+// the four entry nodes, which refused 23 calls within 0.8 s.
 struct RestartedEndpointFixture : public LinksFixture {
   RestartedEndpointFixture() {
     target = links->chosenEndpoints("records").front();
@@ -330,24 +326,24 @@
 }
 
 TEST_CASE_METHOD(RestartedEndpointFixture,
-                 "an attempt that hangs is not waited for when its endpoint announces its start") {
+                 "a hanging connect attempt is dropped when its endpoint announces a restart") {
   runFor(base::seconds(4));
   const auto hanging = connection();
   REQUIRE(hanging != 0);
-  announce(1, wire::EndpointCondition::LIVE);  // as known
+  announce(1, wire::EndpointCondition::LIVE);  // the incarnation that is already known
   CHECK(connection() == hanging);
   announce(2, wire::EndpointCondition::LIVE);
   CHECK(network.closed.count(hanging) == 1);
   CHECK(connection() != 0);
 }
 
-TEST_CASE_METHOD(RestartedEndpointFixture, "news of an endpoint that drains or is gone begin no connection") {
+TEST_CASE_METHOD(RestartedEndpointFixture, "states of draining or gone endpoints open no connection") {
   announce(2, wire::EndpointCondition::DRAINING);
   announce(3, wire::EndpointCondition::GONE);
   CHECK(connection() == 0);
 }
 
-/// A node that has just started: it has its version, and the attempts of its links are under way or have failed.
+/// A node that has just started: it has its routing table, and its connect attempts are pending or have failed.
 struct FirstAnnouncementFixture : public LinksFixture {
   FirstAnnouncementFixture() {
     table::Table rows;
@@ -363,20 +359,21 @@
     auto state = endpointState(1, wire::EndpointCondition::LIVE);
     state.endpoint = "archive-1";
     state.serviceName = "archive";
-    state.address.clear();  // it stands in the table
+    state.address.clear();  // the table has it
     links->onStates({state});
   }
 
   base::ConnectionId attempt = 0;
 };
 
-TEST_CASE_METHOD(FirstAnnouncementFixture, "the first word of an endpoint lets the attempt be that is under way") {
+TEST_CASE_METHOD(FirstAnnouncementFixture, "the first state of an endpoint keeps a pending connect attempt") {
   announceLive();
   CHECK(network.closed.count(attempt) == 0);
   CHECK(network.connected.rbegin()->first == attempt);
 }
 
-TEST_CASE_METHOD(FirstAnnouncementFixture, "the first word of an endpoint ends the pause behind a failed attempt") {
+TEST_CASE_METHOD(FirstAnnouncementFixture,
+                 "the first state of an endpoint ends the back-off after a failed connect attempt") {
   network.connected.erase(attempt);
   links->onClose(attempt);
   announceLive();
--- a/test/node/entry_calls_bodies_test.cc
+++ b/test/node/entry_calls_bodies_test.cc
@@ -1,10 +1,10 @@
-/// Large bodies of calls, at the node that the callers reach.
+/// Transfer of large request bodies on the entry side.
 #include "entry_calls_fixture.h"
 
 namespace driftlug::node {
 namespace {
 
-/// The same, with nodes that take bodies in pieces.
+/// Entry side whose peers use flow control for large bodies.
 struct BodyPiecesFixture : EntryCallsFixture {
   static constexpr size_t kBodyBytes = 20'000;
 
@@ -45,7 +45,7 @@
 
 }  // namespace
 
-TEST_CASE("a body that takes longer on a link than a round trip doesn't travel with its call") {
+TEST_CASE("a body above the inline size is not sent with its call") {
   constexpr size_t kBytes = 500;  // 4 ms on a link of 1 Mbit/s
   BodyPiecesFixture node(kBytes);
   node.upload(kBytes + 1);
@@ -81,8 +81,7 @@
   CHECK(network.all<wire::CallRequest>()[1].bodyBytes == 0);
 }
 
-TEST_CASE_METHOD(BodyPiecesFixture,
-                 "a link lost before the body had left whole: the call has not run, and goes elsewhere") {
+TEST_CASE_METHOD(BodyPiecesFixture, "a call is retried elsewhere if the link is lost before its body is fully sent") {
   upload(kBodyBytes);
   grant(8192);
   entry->onClose(lastRequest().connection);
@@ -96,8 +95,7 @@
   CHECK(answers[0].outcome == CallOutcome::UNKNOWN);
 }
 
-TEST_CASE_METHOD(BodyPiecesFixture,
-                 "a stop answers calls whose bodies have not left whole, and leaves the others alone") {
+TEST_CASE_METHOD(BodyPiecesFixture, "a stop answers calls whose bodies are not fully sent, and keeps the others") {
   upload(kBodyBytes);
   grant(1'000'000);
   upload(kBodyBytes);
--- a/test/node/entry_calls_retry_slack_test.cc
+++ b/test/node/entry_calls_retry_slack_test.cc
@@ -1,4 +1,4 @@
-/// Retries of many nodes together, counted at two sizes of the fleet.
+/// Total retries of all nodes, at several fleet sizes.
 #include "entry_calls_fixture.h"
 
 namespace driftlug::node {
@@ -6,8 +6,8 @@
 
 constexpr double kSlack = 60;
 
-/// Plays one of many nodes while every back end refuses every call.
-/// @return the retries that it makes beyond those that its calls earn
+/// Simulates one node of a fleet in which every back end refuses every call.
+/// @return the node's retries beyond those that its calls earn
 int retriesOfOneNode(int endpoints) {
   EntryCallsFixture fixture;
   EntryOptions options;
--- a/test/node/entry_calls_tenants_test.cc
+++ b/test/node/entry_calls_tenants_test.cc
@@ -1,4 +1,4 @@
-/// Keys of tenants at the node that takes calls.
+/// Tenant keys and zone evacuation on the entry side.
 #include "entry_calls_fixture.h"
 
 namespace driftlug::node {
@@ -68,7 +68,7 @@
   CHECK(network.all<wire::CallRequest>().size() == 1);
 }
 
-TEST_CASE_METHOD(Fixture, "a key that was withdrawn is refused from the version on that withdrew it") {
+TEST_CASE_METHOD(Fixture, "a revoked key is refused once a table without it is in force") {
   callWith("/safe/1", kKey);
   useTenants({tenantRow("press", "new key", 7)});
   callWith("/safe/1", kKey);
--- a/test/node/entry_calls_test.cc
+++ b/test/node/entry_calls_test.cc
@@ -7,14 +7,15 @@
 namespace driftlug::node {
 namespace {
 
-/// Without hedging.
+/// Entry side with hedging disabled.
 struct NoHedgingFixture : EntryCallsFixture {
   NoHedgingFixture() : EntryCallsFixture(0) {}
 };
 
 }  // namespace
 
-TEST_CASE_METHOD(EntryCallsFixture, "a call goes to an announced endpoint of the own zone, by its incarnation") {
+TEST_CASE_METHOD(EntryCallsFixture,
+                 "a call goes to an announced endpoint of the own zone, with the settings of its route") {
   call("/safe/1");
   REQUIRE(requestedEndpoints() == std::vector<std::string>{"near"});
   const auto request = network.all<wire::CallRequest>()[0];
@@ -42,7 +43,7 @@
   CHECK(answers.size() == 2);
 }
 
-TEST_CASE_METHOD(EntryCallsFixture, "refusals by nodes move a call on without a charge to the budget") {
+TEST_CASE_METHOD(EntryCallsFixture, "retries after refusals by nodes are not charged to the retry budget") {
   for (int i = 0; i < 30; ++i) {
     answers.clear();
     call("/once/1");
@@ -56,19 +57,20 @@
   CHECK(entry->counters().budgetDenials == 0);
 }
 
-TEST_CASE_METHOD(EntryCallsFixture, "repeats that reached a back end are paid for") {
+TEST_CASE_METHOD(EntryCallsFixture, "retries of attempts that reached a back end are charged to the retry budget") {
   for (int i = 0; i < 4; ++i) {
     call("/safe/1");
     respond(CallOutcome::UNKNOWN, ErrorCode::kBackendFailed);
     respond(CallOutcome::COMPLETED, ErrorCode::kNone);
   }
   const auto retries = entry->counters().retries;
-  // A budget of one repeat a request, after a start with half of its burst.
+  // The budget earns one retry per request, and starts with half of its burst.
   CHECK(retries == 4);
   CHECK(answers.size() == 4);
 }
 
-TEST_CASE_METHOD(EntryCallsFixture, "an endpoint without slots is left out for a while by what is no more urgent") {
+TEST_CASE_METHOD(EntryCallsFixture,
+                 "an endpoint without free slots is skipped for a while by calls that are not more urgent") {
   call("/safe/1");
   respond(CallOutcome::NOT_RUN, ErrorCode::kOverloaded);
   respond(CallOutcome::COMPLETED, ErrorCode::kNone);
@@ -81,13 +83,13 @@
 }
 
 TEST_CASE_METHOD(EntryCallsFixture, "an endpoint that drains, is gone or is another one gets no further call") {
-  SECTION("it says so itself") {
+  SECTION("reported by the endpoint itself") {
     call("/safe/1");
     const auto error = GENERATE(ErrorCode::kDraining, ErrorCode::kWrongEndpoint);
     respond(CallOutcome::NOT_RUN, error);
     respond(CallOutcome::COMPLETED, ErrorCode::kNone);
   }
-  SECTION("it is announced") {
+  SECTION("announced by a relay") {
     const auto condition = GENERATE(wire::EndpointCondition::DRAINING, wire::EndpointCondition::GONE);
     entry->onEndpointStates({endpoint("near", 1, condition)});
   }
@@ -163,7 +165,7 @@
   CHECK(answers[1].outcome == CallOutcome::COMPLETED);
 }
 
-TEST_CASE_METHOD(EntryCallsFixture, "a caller that comes back is known by the time that it has left") {
+TEST_CASE_METHOD(EntryCallsFixture, "the time that a retrying caller has waited is estimated from its remaining time") {
   const auto waited = [this](int deadlineMs) {
     InboundCall inbound;
     inbound.method = "GET";
@@ -180,7 +182,7 @@
 }
 
 TEST_CASE_METHOD(EntryCallsFixture,
-                 "an endpoint that is full for late calls is asked for one that can make its target") {
+                 "an endpoint that is full for late calls still gets calls that can meet their target") {
   const auto begin = [this](int deadlineMs) {
     InboundCall inbound;
     inbound.method = "GET";
@@ -191,7 +193,7 @@
     runFor(base::milliseconds(1));
   };
   for (int i = 0; i < 8; ++i) begin(1500);
-  begin(700);  // has waited for 800 ms, twice its target
+  begin(700);  // has waited 800 ms, twice its target latency
   respond(CallOutcome::NOT_RUN, ErrorCode::kOverloaded);
   respond(CallOutcome::NOT_RUN, ErrorCode::kOverloaded);
   const auto before = requestedEndpoints().size();
@@ -201,14 +203,14 @@
   CHECK(requestedEndpoints().size() == before + 1);
 }
 
-TEST_CASE_METHOD(EntryCallsFixture, "a late word of an earlier state changes nothing") {
+TEST_CASE_METHOD(EntryCallsFixture, "an outdated endpoint state that arrives late is ignored") {
   entry->onEndpointStates({endpoint("near", 1, wire::EndpointCondition::GONE)});
   entry->onEndpointStates({endpoint("near", 1, wire::EndpointCondition::LIVE)});
   call("/safe/1");
   CHECK(requestedEndpoints().back() == "far");
 }
 
-TEST_CASE_METHOD(EntryCallsFixture, "a caller that goes away ends the work for it") {
+TEST_CASE_METHOD(EntryCallsFixture, "a call whose caller disconnects is cancelled at its endpoint") {
   const auto id = call("/safe/1");
   entry->abandon(id);
   const auto cancels = network.all<wire::CallCancel>();
@@ -218,14 +220,14 @@
   CHECK(answers.empty());
 }
 
-TEST_CASE_METHOD(EntryCallsFixture, "a caller that goes away ends every attempt, and none is begun after it") {
+TEST_CASE_METHOD(EntryCallsFixture, "a disconnect of the caller cancels every attempt, and no further attempt starts") {
   const auto id = call("/safe/1");
   SECTION("while two are in progress") {
     runFor(base::milliseconds(250));
     REQUIRE(requestedEndpoints().size() == 2);
   }
   SECTION("before the second one") {}
-  SECTION("behind a refusal") { respond(CallOutcome::NOT_RUN, ErrorCode::kOverloaded); }
+  SECTION("after a refusal") { respond(CallOutcome::NOT_RUN, ErrorCode::kOverloaded); }
   const auto begun = requestedEndpoints().size();
   entry->abandon(id);
   CHECK(entry->active() == 0);
@@ -237,7 +239,7 @@
   CHECK(answers.empty());
 }
 
-TEST_CASE_METHOD(EntryCallsFixture, "a caller that goes away in the turn of its request is not sent on") {
+TEST_CASE_METHOD(EntryCallsFixture, "a call that is abandoned before its first attempt is not sent") {
   InboundCall inbound;
   inbound.method = "GET";
   inbound.host = "shop.example";
@@ -262,7 +264,7 @@
 }
 
 TEST_CASE_METHOD(EntryCallsFixture,
-                 "a node without a version says so with a promise; one with a version knows its routes") {
+                 "a node without a routing table answers 503; one with a table answers 404 for an unknown route") {
   call("/nowhere/1");
   REQUIRE(answers.size() == 1);
   CHECK(answers[0].httpStatus == 404);
@@ -301,7 +303,7 @@
   entry->refuseWaiting();
   REQUIRE(network.all<wire::CallWithdraw>().size() == 1);
   CHECK(network.all<wire::CallWithdraw>()[0].callId == network.all<wire::CallRequest>()[0].callId);
-  CHECK(answers.empty());  // the back end may be at work on it
+  CHECK(answers.empty());  // the back end may be running it
   respond(CallOutcome::NOT_RUN, ErrorCode::kDraining);
   REQUIRE(answers.size() == 1);
   CHECK(answers[0].outcome == CallOutcome::NOT_RUN);
@@ -310,7 +312,7 @@
 }
 
 TEST_CASE_METHOD(NoHedgingFixture,
-                 "a repeatable call long past its target is sent beside, as its connection may be silent") {
+                 "a repeatable call far beyond its target latency is hedged even where hedging is disabled") {
   call("/safe/1");
   runFor(base::milliseconds(750));
   CHECK(requestedEndpoints() == std::vector<std::string>{"near"});
@@ -330,7 +332,7 @@
   CHECK(answers[0].httpStatus == 504);
 }
 
-TEST_CASE_METHOD(NoHedgingFixture, "a failure of the back end's own is not repeated for that") {
+TEST_CASE_METHOD(NoHedgingFixture, "a server error of the back end is not retried where hedging is disabled") {
   call("/safe/1");
   const auto& last = lastRequest();
   wire::CallResponse response;
--- a/test/node/recording_network.h
+++ b/test/node/recording_network.h
@@ -1,4 +1,4 @@
-/// A network that keeps what is sent, for tests of the parts that send.
+/// Fake network that records sent messages, for unit tests.
 #pragma once
 
 #include <catch2/catch.hpp>
@@ -10,7 +10,7 @@
 
 namespace driftlug::test {
 
-/// Hands out connection ids in order and keeps every message.
+/// Assigns consecutive connection ids and records every message.
 class RecordingNetwork : public base::Network {
  public:
   struct Sent {
@@ -35,7 +35,7 @@
   size_t queuedBytes(base::ConnectionId) const override { return 0; }
   std::optional<base::TimePoint> partArrivedAt(base::ConnectionId) const override { return partArrived; }
 
-  /// @return the messages of one kind that were sent.
+  /// @return the sent messages of type T, in order.
   template <typename T>
   std::vector<T> all() const {
     std::vector<T> found;
@@ -46,7 +46,7 @@
   }
 
   std::map<base::ConnectionId, base::Address> connected;
-  std::optional<base::TimePoint> partArrived;  // of a message that is still on its way
+  std::optional<base::TimePoint> partArrived;  // returned by partArrivedAt() for every connection
   std::vector<Sent> sent;
   std::set<base::ConnectionId> closed;
 
