--- a/apps/http_backend.cc
+++ b/apps/http_backend.cc
@@ -1,6 +1,6 @@
 #include "http_backend.h"
 
-#include "node/backend_life.h"
+#include "node/endpoint_name.h"
 
 namespace driftlug::apps {
 namespace {
--- a/apps/node_daemon.cc
+++ b/apps/node_daemon.cc
@@ -150,8 +150,8 @@
   page->counter("entry_abandoned_total", "calls whose caller went away", calls.abandoned);
   page->counter("entry_budget_spent_total", "retries that the budget did not allow", calls.budgetSpent);
   page->histogram("entry_latency_seconds", "from a request to its answer, completed calls", calls.completedLatency);
-  page->histogram("endpoint_wait_seconds", "from a call's arrival to its start", runs.waited);
-  page->histogram("endpoint_run_seconds", "from a call's start to the back end's answer", runs.ran);
+  page->histogram("endpoint_wait_seconds", "from a call's arrival to its start", runs.waitTimes);
+  page->histogram("endpoint_run_seconds", "from a call's start to the back end's answer", runs.runTimes);
   page->counter("log_lines_dropped_total", "log lines that nobody read in time", base::droppedLogLines());
   page->gauge("endpoint_running", "requests in the back end", endpoint.limiter().running());
   page->gauge("endpoint_waiting", "requests waiting for a slot", static_cast<double>(endpoint.limiter().waiting()));
@@ -271,7 +271,7 @@
       health_(loop_, control_, endpoint_, backendAddress()),
       localBackend_(placeFromSettings(), loop_, endpoint_,
                     [this](const wire::EndpointState& state) { control_.announce(state); }),
-      quotas_(loop_, kQuotaTimes, [this](const wire::QuotaAsk& question) { return control_.askForPermits(question); }),
+      quotas_(loop_, kQuotaTimes, [this](const wire::QuotaAsk& question) { return control_.requestPermits(question); }),
       presence_(loop_, backendAddress()),
       crashWatch_(loop_, base::RandomSource(random_.bits()), presence_,
                   [this](uint64_t crash, const auto& runs) { onBackendCrash(crash, runs); }),
@@ -303,10 +303,10 @@
   quarantine_.onChange([this] { endpoint_.onQuarantineChange(); });
   endpoint_.onWrongIncarnation([this](const std::string& endpoint) { localBackend_.onWrongEndpoint(endpoint); });
   endpoint_.onBackendContact([this](bool reached) { localBackend_.onContact(reached); });
-  endpoint_.onRunEnded([this](const node::EndedRun& run) { versionReporter_.onRun(run); });
-  endpoint_.onDoubtedWarmth([this] { askWhetherCold(); });
+  endpoint_.onRunEnded([this](const node::BackendRunResult& run) { versionReporter_.onRun(run); });
+  endpoint_.onColdCheckNeeded([this] { askWhetherCold(); });
   localBackend_.onBackend([this](const std::string& endpoint, const node::BackendReport& report) {
-    endpoint_.onColdTold(base::milliseconds(report.coldMs), false);
+    endpoint_.onColdReport(base::milliseconds(report.coldMs), false);
     versionReporter_.useBackend(endpoint, report.version, report.slots, report.coldMs);
   });
   entry_.useFreshness([this] { return control_.fresh(); });
@@ -394,7 +394,7 @@
     constexpr base::Duration kPatience = base::milliseconds(30);
     loop_.schedule(kPatience, [this] { askForIdentity(); });
   }
-  if (!FLAGS_first_start) endpoint_.doubtWarmth();
+  if (!FLAGS_first_start) endpoint_.markPossiblyCold();
   loop_.onOverslept([this](base::Duration late) { onOverslept(late); });
   log_.info("{} started in zone {}", FLAGS_name, FLAGS_zone);
   loop_.run();
@@ -421,7 +421,7 @@
   askBackend(kIdentityTimeout, [this](const node::BackendIdentity& identity) {
     log_.info("{} was asked whether it is cold: well={} cold_ms={}", identity.incarnation, identity.well,
               identity.coldMs.value_or(-1));
-    if (identity.coldMs) endpoint_.onColdTold(base::milliseconds(*identity.coldMs), true);
+    if (identity.coldMs) endpoint_.onColdReport(base::milliseconds(*identity.coldMs), true);
   });
 }
 
--- a/src/node/control_client.cc
+++ b/src/node/control_client.cc
@@ -11,10 +11,10 @@
 namespace {
 
 constexpr int kProtocolVersion = 1;
-constexpr base::Duration kWatchInterval = base::milliseconds(200);
+constexpr base::Duration kRelayCheckInterval = base::milliseconds(200);
 constexpr int kMaxBackoffDoublings = 2;
-constexpr int kMaxPatienceDoublings = 4;
-constexpr int kServingPatience = 3;
+constexpr int kMaxAttemptDelayDoublings = 4;
+constexpr int kServingTimeoutFactor = 3;
 /// Between attempts to drop a version from a disk that fails: a disk in trouble hangs for seconds.
 constexpr base::Duration kDiskRetryInterval = base::milliseconds(200);
 constexpr char kSliceFile[] = "slice";
@@ -31,14 +31,14 @@
       onActivation_(std::move(onActivation)),
       onStates_(std::move(onStates)),
       reconnectTimer_(scheduler, [this] { connect(); }),
-      connectTimer_(scheduler, [this] { tryBeside(); }),
-      watchTimer_(scheduler, [this] { onWatch(); }),
+      connectTimer_(scheduler, [this] { startNextAttempt(); }),
+      relayCheckTimer_(scheduler, [this] { checkRelay(); }),
       keepAliveTimer_(scheduler,
                       [this] {
                         keepAliveTimer_.start(options_.keepAlive);
                         if (open_) sendApplied();
                       }),
-      homeTimer_(scheduler, [this] { goHome(); }) {
+      returnTimer_(scheduler, [this] { returnToOwnZone(); }) {
   slices_.setChecks(options_.checks);
   seeds_ = options_.relays;
 }
@@ -55,13 +55,13 @@
   hello.unpacksFrames = true;
   hello.takesCrashReports = true;
   network_.setHello(hello);
-  freshSince_ = scheduler_.now();
+  lastFreshAt_ = scheduler_.now();
   if (disk_ == nullptr) return join();
   // What an earlier process wrote may not be durable yet: served before it is, it could be undone by a loss of power,
   // and an older version be found at the next start.
   disk_->sync(kSliceFile, [this, alive = std::weak_ptr<bool>(alive_)](const absl::Status& status) {
     if (alive.expired()) return;
-    if (!status.ok()) return giveUpDisk(status, [this] { join(); });
+    if (!status.ok()) return disablePersistence(status, [this] { join(); });
     load();
     join();
   });
@@ -69,55 +69,56 @@
 
 void ControlClient::join() {
   connect();
-  watchTimer_.start(kWatchInterval);
+  relayCheckTimer_.start(kRelayCheckInterval);
   keepAliveTimer_.start(options_.keepAlive);
 }
 
 void ControlClient::connect() {
   if (options_.relays.empty()) return;
   open_ = false;
-  sliceSeen_ = false;
-  leaderHeard_ = false;
-  awaitingWhole_ = false;
+  sliceReceived_ = false;
+  leaderKnown_ = false;
+  awaitingFullSlice_ = false;
   openedAt_ = scheduler_.now();
   const size_t position = position_ % options_.relays.size();
   relay_ = options_.relays[position];
-  const auto begun =
-      std::find_if(pending_.begin(), pending_.end(), [this](const auto& item) { return item.second == relay_; });
-  if (begun != pending_.end()) {
-    connection_ = begun->first;
-    pending_.erase(begun);
+  const auto pending = std::find_if(pendingConnections_.begin(), pendingConnections_.end(),
+                                    [this](const auto& item) { return item.second == relay_; });
+  if (pending != pendingConnections_.end()) {
+    connection_ = pending->first;
+    pendingConnections_.erase(pending);
   } else {
     connection_ = network_.connectWithTimeout(relay_, options_.connectTimeout);
   }
-  connectTimer_.start(connectPatience());
-  armHomeTimer();
+  connectTimer_.start(connectionAttemptDelay());
+  armReturnTimer();
 }
 
-base::Duration ControlClient::connectPatience() const {
+base::Duration ControlClient::connectionAttemptDelay() const {
   // A node that has a version can wait for a relay; one without serves nobody.
-  if (slices_.active()) return options_.servingConnectPatience;
-  return options_.connectPatience * (1 << std::min(rounds(), kMaxPatienceDoublings));
+  if (slices_.active()) return options_.servingConnectionAttemptDelay;
+  return options_.connectionAttemptDelay * (1 << std::min(completedRounds(), kMaxAttemptDelayDoublings));
 }
 
-void ControlClient::armHomeTimer() {
-  homeTimer_.stop();
-  const bool home = position_ % options_.relays.size() < options_.nearRelays;
-  if (!home && options_.nearRelays > 0) homeTimer_.start(options_.returnAfter + random_.duration(options_.returnAfter));
+void ControlClient::armReturnTimer() {
+  returnTimer_.stop();
+  const bool inOwnZone = position_ % options_.relays.size() < options_.nearRelays;
+  if (!inOwnZone && options_.nearRelays > 0)
+    returnTimer_.start(options_.returnAfter + random_.duration(options_.returnAfter));
 }
 
 /// The connection goes on beside the next one, and the first that is up is used. Given up, each try would begin behind
 /// what is queued in front of the link, and where that takes longer than a try no relay is ever reached: 8 s without
 /// one by a node's log, five relays in reach.
-void ControlClient::tryBeside() {
-  pending_[connection_] = relay_;
-  if (pending_.size() >= options_.maxPending) {
-    const auto oldest = pending_.begin();
+void ControlClient::startNextAttempt() {
+  pendingConnections_[connection_] = relay_;
+  if (pendingConnections_.size() >= options_.maxPendingConnections) {
+    const auto oldest = pendingConnections_.begin();
     network_.close(oldest->first);
-    pending_.erase(oldest);
+    pendingConnections_.erase(oldest);
   }
   connection_ = 0;
-  reconnectLater("slow to answer");
+  leaveRelay("slow to answer");
 }
 
 /// A relay answered after the next one was tried.
@@ -125,15 +126,15 @@
   if (connection_ != 0) network_.close(connection_);
   reconnectTimer_.stop();
   connection_ = connection;
-  relay_ = pending_.extract(connection).mapped();
+  relay_ = pendingConnections_.extract(connection).mapped();
   const auto current = std::find(options_.relays.begin(), options_.relays.end(), relay_);
   position_ = current == options_.relays.end() ? 0 : static_cast<size_t>(current - options_.relays.begin());
-  armHomeTimer();
+  armReturnTimer();
 }
 
-void ControlClient::dropPending() {
-  for (const auto& [connection, relay] : pending_) network_.close(connection);
-  pending_.clear();
+void ControlClient::closePendingConnections() {
+  for (const auto& [connection, relay] : pendingConnections_) network_.close(connection);
+  pendingConnections_.clear();
 }
 
 void ControlClient::useSeeds(const std::vector<base::Address>& seeds) {
@@ -142,14 +143,14 @@
 }
 
 void ControlClient::onRelayList(const wire::RelayList& list) {
-  learned_ = list;
+  advertisedRelays_ = list;
   useRelays();
 }
 
 void ControlClient::useRelays() {
   std::vector<base::Address> near;
   std::vector<base::Address> far;
-  for (const auto& relay : learned_.relays) {
+  for (const auto& relay : advertisedRelays_.relays) {
     (relay.zone == options_.zone ? near : far).push_back({relay.address, relay.port});
   }
   // Each node has an order of its own, so that the nodes of a lost relay spread over the others.
@@ -158,7 +159,7 @@
   };
   shuffle(&near);
   shuffle(&far);
-  if (!learned_.relays.empty()) options_.nearRelays = near.size();
+  if (!advertisedRelays_.relays.empty()) options_.nearRelays = near.size();
   near.insert(near.end(), far.begin(), far.end());
   for (const auto& seed : seeds_) {
     if (std::find(near.begin(), near.end(), seed) == near.end()) near.push_back(seed);
@@ -166,22 +167,22 @@
   options_.relays = near;
   const auto current = std::find(near.begin(), near.end(), relay_);
   position_ = current == near.end() ? 0 : static_cast<size_t>(current - near.begin());
-  const bool home = position_ < options_.nearRelays;
-  if (home) {
-    homeTimer_.stop();
-  } else if (open_ && !homeTimer_.running()) {
-    homeTimer_.start(options_.returnAfter / 4 + random_.duration(options_.returnAfter));
+  const bool inOwnZone = position_ < options_.nearRelays;
+  if (inOwnZone) {
+    returnTimer_.stop();
+  } else if (open_ && !returnTimer_.running()) {
+    returnTimer_.start(options_.returnAfter / 4 + random_.duration(options_.returnAfter));
   }
 }
 
-void ControlClient::goHome() {
+void ControlClient::returnToOwnZone() {
   // Relays of other zones are for need only: they are further away, and have nodes of their own.
-  if (!open_ || !sliceSeen_) return homeTimer_.start(options_.returnAfter);
+  if (!open_ || !sliceReceived_) return returnTimer_.start(options_.returnAfter);
   log_.info("{} goes back to a relay of its zone, revision {}", options_.nodeId, slices_.revision());
   ++counters_.returns;
   network_.close(connection_);
   connection_ = 0;
-  updates_.clear();
+  queuedUpdates_.clear();
   position_ = 0;
   connect();
 }
@@ -190,42 +191,42 @@
   if (!open_) return;
   network_.close(connection_);
   connection_ = 0;
-  updates_.clear();
+  queuedUpdates_.clear();
   connect();
 }
 
-void ControlClient::moveOn(base::Duration delay) {
+void ControlClient::switchRelay(base::Duration delay) {
   if (connection_ != 0) network_.close(connection_);
   connection_ = 0;
   open_ = false;
   connectTimer_.stop();
-  updates_.clear();
+  queuedUpdates_.clear();
   ++position_;
   ++counters_.reconnects;
   reconnectTimer_.start(delay);
 }
 
-void ControlClient::reconnectLater(const char* because) {
+void ControlClient::leaveRelay(const char* cause) {
   log_.info("{} leaves relay {}:{}: {}, revision {}, fresh {} ms ago, term {}", options_.nodeId, relay_.host,
-            relay_.port, because, slices_.revision(),
-            std::chrono::duration_cast<base::milliseconds>(scheduler_.now() - freshSince_).count(), freshness_.term);
+            relay_.port, cause, slices_.revision(),
+            std::chrono::duration_cast<base::milliseconds>(scheduler_.now() - lastFreshAt_).count(), freshness_.term);
   // Each relay is tried once without much delay; only when none helps does the node wait.
-  const bool atOnce = rounds() == 0;
-  const auto limit = options_.reconnectDelay * (1 << std::min(rounds(), kMaxBackoffDoublings));
+  const bool atOnce = completedRounds() == 0;
+  const auto limit = options_.reconnectDelay * (1 << std::min(completedRounds(), kMaxBackoffDoublings));
   ++attempts_;
-  moveOn(random_.duration(atOnce ? options_.reconnectDelay / 4 : limit));
+  switchRelay(random_.duration(atOnce ? options_.reconnectDelay / 4 : limit));
 }
 
-int ControlClient::rounds() const { return attempts_ / std::max(1, static_cast<int>(options_.relays.size())); }
+int ControlClient::completedRounds() const { return attempts_ / std::max(1, static_cast<int>(options_.relays.size())); }
 
 void ControlClient::onOpen(base::ConnectionId connection, const wire::Hello& peer) {
-  if (pending_.count(connection) > 0 && !open_) adopt(connection);
+  if (pendingConnections_.count(connection) > 0 && !open_) adopt(connection);
   if (connection != connection_) return;
-  dropPending();
+  closePendingConnections();
   open_ = true;
   connectTimer_.stop();
-  lastHeard_ = scheduler_.now();
-  openedAt_ = lastHeard_;
+  lastReceivedAt_ = scheduler_.now();
+  openedAt_ = lastReceivedAt_;
   log_.info("{} subscribes to {} from revision {}", options_.nodeId, peer.id, slices_.revision());
   wire::NodeSubscribe subscribe;
   subscribe.hosts = options_.hosts;
@@ -245,19 +246,19 @@
 }
 
 void ControlClient::onClose(base::ConnectionId connection) {
-  if (pending_.erase(connection) > 0) return;
-  if (connection == connection_) reconnectLater(open_ ? "connection lost" : "not reached");
+  if (pendingConnections_.erase(connection) > 0) return;
+  if (connection == connection_) leaveRelay(open_ ? "connection lost" : "not reached");
 }
 
 void ControlClient::onMessage(base::ConnectionId connection, wire::Message message) {
   if (connection != connection_) return;
-  lastHeard_ = scheduler_.now();
+  lastReceivedAt_ = scheduler_.now();
   if (auto* update = std::get_if<wire::SliceUpdate>(&message)) {
     onUpdate(std::move(*update));
   } else if (const auto* heartbeat = std::get_if<wire::NodeHeartbeat>(&message)) {
     onHeartbeat(*heartbeat);
   } else if (const auto* later = std::get_if<wire::RetryLater>(&message)) {
-    moveOn(base::milliseconds(later->delayMs) + random_.duration(options_.reconnectDelay));
+    switchRelay(base::milliseconds(later->delayMs) + random_.duration(options_.reconnectDelay));
   } else if (const auto* states = std::get_if<wire::EndpointStates>(&message)) {
     if (onStates_) onStates_(states->states);
   } else if (const auto* crashes = std::get_if<wire::CrashReports>(&message)) {
@@ -278,19 +279,19 @@
 }
 
 void ControlClient::onUpdate(wire::SliceUpdate update) {
-  sliceSeen_ = true;
+  sliceReceived_ = true;
   attempts_ = 0;
-  updates_.push_back(std::move(update));
-  takePending();
+  queuedUpdates_.push_back(std::move(update));
+  applyQueuedUpdates();
 }
 
-void ControlClient::takePending() {
-  while (!updates_.empty() && !persisting_) {
-    auto update = std::move(updates_.front());
-    updates_.pop_front();
+void ControlClient::applyQueuedUpdates() {
+  while (!queuedUpdates_.empty() && !persisting_) {
+    auto update = std::move(queuedUpdates_.front());
+    queuedUpdates_.pop_front();
     // What the relay sent before it heard of the refusal can't be applied; refusing it would cost another whole slice.
-    if (awaitingWhole_ && !update.full) continue;
-    awaitingWhole_ = false;
+    if (awaitingFullSlice_ && !update.full) continue;
+    awaitingFullSlice_ = false;
     SliceVersion next;
     const int64_t revision = update.toRevision;
     const auto result = slices_.prepare(std::move(update), &next);
@@ -307,7 +308,7 @@
       if (alive.expired()) return;
       persisting_ = false;
       activate(result, next);
-      takePending();
+      applyQueuedUpdates();
     });
   }
 }
@@ -327,8 +328,8 @@
 void ControlClient::refuse(SliceResult result, int64_t revision) {
   ++counters_.rejected;
   // A relay that is behind can't help; another one may be further.
-  if (result == SliceResult::kOlder) return reconnectLater("it is behind");
-  awaitingWhole_ = true;
+  if (result == SliceResult::kOlder) return leaveRelay("it is behind");
+  awaitingFullSlice_ = true;
   wire::SliceRejected rejected;
   rejected.revision = revision;
   rejected.reason = wire::SliceRejectReason::DANGLING_REFERENCE;
@@ -340,23 +341,23 @@
 void ControlClient::onHeartbeat(const wire::NodeHeartbeat& heartbeat) {
   const auto& freshness = heartbeat.freshness;
   // A relay that has heard of no leader yet may be starting; one that follows an earlier leader is cut off.
-  if (freshness.term > 0 && freshness.term < freshness_.term) return reconnectLater("it follows an earlier leader");
-  leaderHeard_ = freshness.term > 0 && (leaderHeard_ || !membership::isNewer(freshness_, freshness));
-  if (!membership::isNewer(freshness, freshness_)) return leaveStale();
+  if (freshness.term > 0 && freshness.term < freshness_.term) return leaveRelay("it follows an earlier leader");
+  leaderKnown_ = freshness.term > 0 && (leaderKnown_ || !membership::isNewer(freshness_, freshness));
+  if (!membership::isNewer(freshness, freshness_)) return leaveStaleRelay();
   freshness_ = freshness;
-  freshSince_ = std::max(freshSince_, scheduler_.now() - base::milliseconds(std::max(heartbeat.ageMs, 0)));
-  if (!fresh()) return leaveStale();
+  lastFreshAt_ = std::max(lastFreshAt_, scheduler_.now() - base::milliseconds(std::max(heartbeat.ageMs, 0)));
+  if (!fresh()) return leaveStaleRelay();
   staleRelays_ = 0;
 }
 
 /// Leaves a relay that has heard nothing recent of the controllers either: several may be cut off together. Each relay
 /// is tried once that fast; when all are stale, the controllers are out, and the node tries two for each `staleAfter`.
-void ControlClient::leaveStale() {
+void ControlClient::leaveStaleRelay() {
   const bool searching = staleRelays_ > 0 && staleRelays_ < options_.relays.size();
   if (!open_ || !slices_.active() || fresh() || !searching) return;
   ++staleRelays_;
   attempts_ = 0;
-  reconnectLater("its word of the controllers is no newer");
+  leaveRelay("its word of the controllers is no newer");
 }
 
 void ControlClient::sendApplied() {
@@ -365,30 +366,30 @@
   network_.send(connection_, wire::encodeFrame(applied));
 }
 
-base::Duration ControlClient::firstSlicePatience() const {
+base::Duration ControlClient::currentFirstSliceTimeout() const {
   // A node that has a version can wait for a relay that has just started; one without can't.
-  if (slices_.active()) return options_.firstSliceTimeout * kServingPatience;
-  if (leaderHeard_) return options_.firstSliceTimeout;
+  if (slices_.active()) return options_.firstSliceTimeout * kServingTimeoutFactor;
+  if (leaderKnown_) return options_.firstSliceTimeout;
   return std::min(options_.firstSliceTimeout,
-                  options_.leaderlessTimeout * (1 << std::min(rounds(), kMaxBackoffDoublings)));
+                  options_.leaderlessTimeout * (1 << std::min(completedRounds(), kMaxBackoffDoublings)));
 }
 
-void ControlClient::onWatch() {
-  watchTimer_.start(kWatchInterval);
+void ControlClient::checkRelay() {
+  relayCheckTimer_.start(kRelayCheckInterval);
   if (connection_ == 0) return;
-  const auto heardUntil = scheduler_.inputReadUntil();
+  const auto readUntil = scheduler_.inputReadUntil();
   // Heartbeats queue behind a large version on a slow link; starting over elsewhere would take longer.
   const auto part = network_.partArrivedAt(connection_);
-  if (open_ && part && heardUntil - *part <= options_.relayTimeout) return;
-  const bool silent = open_ && heardUntil - lastHeard_ > options_.relayTimeout;
-  const bool noSlice = open_ && !sliceSeen_ && heardUntil - openedAt_ > firstSlicePatience();
+  if (open_ && part && readUntil - *part <= options_.relayTimeout) return;
+  const bool silent = open_ && readUntil - lastReceivedAt_ > options_.relayTimeout;
+  const bool noSlice = open_ && !sliceReceived_ && readUntil - openedAt_ > currentFirstSliceTimeout();
   const bool stale =
-      open_ && heardUntil - freshSince_ > options_.staleAfter && heardUntil - openedAt_ > options_.staleAfter;
-  if (silent) return reconnectLater("silent");
-  if (noSlice) return reconnectLater("no version came");
+      open_ && readUntil - lastFreshAt_ > options_.staleAfter && readUntil - openedAt_ > options_.staleAfter;
+  if (silent) return leaveRelay("silent");
+  if (noSlice) return leaveRelay("no version came");
   if (!stale) return;
   staleRelays_ = std::min(std::max<size_t>(staleRelays_, 1), options_.relays.size() - 1);
-  reconnectLater("its word of the controllers is old");
+  leaveRelay("its word of the controllers is old");
 }
 
 void ControlClient::announce(const wire::EndpointState& state) {
@@ -418,34 +419,34 @@
 }
 
 void ControlClient::persist(int64_t revision, std::function<void()> done) {
-  wire::RowFrameHead whole;
-  whole.full = true;
-  whole.toRevision = revision;
-  whole.digest = slices_.rows().digest();
+  wire::RowFrameHead head;
+  head.full = true;
+  head.toRevision = revision;
+  head.digest = slices_.rows().digest();
   std::vector<const wire::Row*> rows;
   for (const auto& [key, row] : slices_.rows().rows()) rows.push_back(row.get());
-  const auto frame = wire::encodeSliceUpdate(whole, rows);
+  const auto frame = wire::encodeSliceUpdate(head, rows);
   const auto record = storage::encodeRecord(storage::RecordType::kSnapshot, *frame, 0);
   (void)disk_->remove(kTemporaryFile);
-  if (const auto status = disk_->append(kTemporaryFile, record); !status.ok()) return giveUpDisk(status, done);
+  if (const auto status = disk_->append(kTemporaryFile, record); !status.ok()) return disablePersistence(status, done);
   disk_->sync(kTemporaryFile, [this, alive = std::weak_ptr<bool>(alive_), done](absl::Status status) {
     if (alive.expired()) return;
     if (status.ok()) status = disk_->rename(kTemporaryFile, kSliceFile);
-    if (!status.ok()) return giveUpDisk(status, done);
+    if (!status.ok()) return disablePersistence(status, done);
     disk_->sync(kSliceFile, [this, alive, done](const absl::Status& synced) {
       if (alive.expired()) return;
-      if (!synced.ok()) return giveUpDisk(synced, done);
+      if (!synced.ok()) return disablePersistence(synced, done);
       done();
     });
   });
 }
 
-void ControlClient::giveUpDisk(const absl::Status& status, std::function<void()> done) {
+void ControlClient::disablePersistence(const absl::Status& status, std::function<void()> done) {
   log_.error("{} stops keeping its version on disk: {}", options_.nodeId, base::errorText(status));
-  dropVersion(std::move(done));
+  removeStoredVersion(std::move(done));
 }
 
-void ControlClient::dropVersion(std::function<void()> done) {
+void ControlClient::removeStoredVersion(std::function<void()> done) {
   (void)disk_->remove(kSliceFile);
   const auto names = disk_->list();
   const bool removed = names.ok() && std::find(names->begin(), names->end(), kSliceFile) == names->end();
@@ -458,7 +459,7 @@
       return done();
     }
     scheduler_.schedule(kDiskRetryInterval, [this, alive, done] {
-      if (!alive.expired()) dropVersion(done);
+      if (!alive.expired()) removeStoredVersion(done);
     });
   });
 }
--- a/src/node/control_client.h
+++ b/src/node/control_client.h
@@ -34,11 +34,11 @@
   base::Duration staleAfter = base::seconds(4);  ///< without an advance of freshness
   /// Time that a relay gets to answer a connection before the next one is tried beside it: without a version, doubled
   /// each time that all were tried, and with one.
-  base::Duration connectPatience = base::milliseconds(150);
-  base::Duration servingConnectPatience = base::milliseconds(700);
+  base::Duration connectionAttemptDelay = base::milliseconds(150);
+  base::Duration servingConnectionAttemptDelay = base::milliseconds(700);
   /// After this a connection that is not up counts as gone: three openings of TCP, at 0, 1 and 3 s, and half a second.
   base::Duration connectTimeout = base::milliseconds(3500);
-  size_t maxPending = 4;                                    ///< connections that may be on their way up at once
+  size_t maxPendingConnections = 4;                         ///< connections that may be on their way up at once
   base::Duration reconnectDelay = base::milliseconds(200);  ///< highest first delay; it doubles up to a limit
   base::Duration keepAlive = base::milliseconds(1500);      ///< the relay drops a node that is silent for 4 s
   size_t nearRelays = 2;                                    ///< of `relays`: those of the own zone
@@ -94,7 +94,7 @@
 
   /// Asks the relay in use for permits.
   /// @return whether there is one that grants them
-  bool askForPermits(const wire::QuotaAsk& question) { return relayGrantsQuotas_ && send(question); }
+  bool requestPermits(const wire::QuotaAsk& request) { return relayGrantsQuotas_ && send(request); }
 
   /// Has crashes of back ends told to the relay and taken from it.
   /// @param quarantine outlives this object
@@ -111,7 +111,7 @@
   bool connected() const { return open_; }
 
   /// @return whether a quorum of controllers was heard of recently.
-  bool fresh() const { return scheduler_.now() - freshSince_ <= options_.staleAfter; }
+  bool fresh() const { return scheduler_.now() - lastFreshAt_ <= options_.staleAfter; }
 
   const ControlCounters& counters() const { return counters_; }
 
@@ -122,24 +122,24 @@
  private:
   void join();
   void connect();
-  void tryBeside();
+  void startNextAttempt();
   void adopt(base::ConnectionId connection);
-  void dropPending();
-  void armHomeTimer();
-  base::Duration connectPatience() const;
+  void closePendingConnections();
+  void armReturnTimer();
+  base::Duration connectionAttemptDelay() const;
   void onRelayList(const wire::RelayList& list);
   void useRelays();
-  void moveOn(base::Duration delay);
+  void switchRelay(base::Duration delay);
   /// How often all relays have been tried in vain.
-  int rounds() const;
-  void reconnectLater(const char* because);
-  void leaveStale();
+  int completedRounds() const;
+  void leaveRelay(const char* cause);
+  void leaveStaleRelay();
   void onUpdate(wire::SliceUpdate update);
   void onHeartbeat(const wire::NodeHeartbeat& heartbeat);
-  base::Duration firstSlicePatience() const;
+  base::Duration currentFirstSliceTimeout() const;
   void sendApplied();
-  void goHome();
-  void onWatch();
+  void returnToOwnZone();
+  void checkRelay();
   void sendState();
   void sendCrashReports(const quarantine::request_quarantine::reports& reports);
   void refuse(SliceResult result, int64_t revision);
@@ -147,9 +147,9 @@
   /// Writes the version that was prepared last.
   void persist(int64_t revision, std::function<void()> done);
   /// Goes on in memory, once the disk holds no version that a restart could serve.
-  void giveUpDisk(const absl::Status& status, std::function<void()> done);
-  void dropVersion(std::function<void()> done);
-  void takePending();
+  void disablePersistence(const absl::Status& status, std::function<void()> done);
+  void removeStoredVersion(std::function<void()> done);
+  void applyQueuedUpdates();
   void load();
 
   ControlOptions options_;
@@ -167,33 +167,34 @@
   bool relayGrantsQuotas_ = false;
   SliceStore slices_;
   storage::Disk* disk_ = nullptr;
-  std::vector<base::Address> seeds_;                     // relays that the settings name
-  wire::RelayList learned_;                              // relays that the last relay knew
-  base::Address relay_;                                  // the relay in use
-  size_t position_ = 0;                                  // of the relay in use
-  base::ConnectionId connection_ = 0;                    // 0 while waiting to reconnect
-  std::map<base::ConnectionId, base::Address> pending_;  // on their way up, beside the relay that is tried now
+  std::vector<base::Address> seeds_;   // relays that the settings name
+  wire::RelayList advertisedRelays_;   // relays that the last relay knew
+  base::Address relay_;                // the relay in use
+  size_t position_ = 0;                // of the relay in use
+  base::ConnectionId connection_ = 0;  // 0 while waiting to reconnect
+  std::map<base::ConnectionId, base::Address>
+      pendingConnections_;  // on their way up, beside the relay that is tried now
   bool open_ = false;
-  bool sliceSeen_ = false;      // on this connection
-  bool leaderHeard_ = false;    // on this connection: the relay knows of a leader, as new as any that was heard of
-  bool awaitingWhole_ = false;  // an update was refused on this connection; only a whole slice helps
-  int attempts_ = 0;            // since the last working connection
-  size_t staleRelays_ = 0;      // left in a row since freshness last advanced
-  base::TimePoint lastHeard_{};
+  bool sliceReceived_ = false;      // on this connection
+  bool leaderKnown_ = false;        // on this connection: the relay knows of a leader, as new as any that was heard of
+  bool awaitingFullSlice_ = false;  // an update was refused on this connection; only a whole slice helps
+  int attempts_ = 0;                // since the last working connection
+  size_t staleRelays_ = 0;          // left in a row since freshness last advanced
+  base::TimePoint lastReceivedAt_{};
   base::TimePoint openedAt_{};
-  base::TimePoint freshSince_{};
+  base::TimePoint lastFreshAt_{};
   wire::Freshness freshness_;
   bool announcing_ = false;
   wire::EndpointState state_;  // of the endpoint beside this node
   ControlCounters counters_;
-  std::deque<wire::SliceUpdate> updates_;  // arrived while a version was being written to the disk
+  std::deque<wire::SliceUpdate> queuedUpdates_;  // arrived while a version was being written to the disk
   bool persisting_ = false;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
   base::Timer reconnectTimer_;
   base::Timer connectTimer_;  // runs until the connection is open, or the next relay is tried beside it
-  base::Timer watchTimer_;
+  base::Timer relayCheckTimer_;
   base::Timer keepAliveTimer_;
-  base::Timer homeTimer_;  // runs while the relay in use is one of another zone
+  base::Timer returnTimer_;  // runs while the relay in use is one of another zone
 };
 
 }  // namespace driftlug::node
--- a/src/node/endpoint_calls.cc
+++ b/src/node/endpoint_calls.cc
@@ -14,11 +14,11 @@
 constexpr int kMisdirectedStatus = 421;
 constexpr int kFirstServerError = 500;
 /// A node that has asked within this time counts as one that will ask again.
-constexpr base::Duration kAskingMemory = base::seconds(2);
+constexpr base::Duration kActiveCallerWindow = base::seconds(2);
 /// How many requests are wanted for each slot that becomes free, so that none stays empty.
 constexpr int kRequestsPerFreeSlot = 2;
 /// Suspects on the back end at once, so that a crash names one of them at the most.
-constexpr int kSuspectsAtOnce = 1;
+constexpr int kMaxConcurrentSuspects = 1;
 constexpr base::Duration kShedRetryAfter = base::milliseconds(100);
 
 bool hasHeader(const std::vector<wire::HttpHeader>& headers, std::string_view name) {
@@ -36,11 +36,11 @@
       ledger_(ledger),
       pace_(scheduler),
       limiter_(scheduler, options_.defaultSlots, options_.defaultQueue),
-      probation_(scheduler, kSuspectsAtOnce, options_.defaultQueue),
+      probation_(scheduler, kMaxConcurrentSuspects, options_.defaultQueue),
       bodies_(options_.bodies),
       answers_(options_.bodies.linkBytesPerSecond),
       bodyTimer_(scheduler, [this] { onBodyTimer(); }),
-      warmthTimer_(scheduler, [this] { askForWarmth(); }),
+      coldCheckTimer_(scheduler, [this] { startColdCheck(); }),
       expiryTimer_(scheduler,
                    [this] {
                      limiter_.refuseExpired();
@@ -62,15 +62,15 @@
   versions_ = versions != nullptr ? std::optional(*versions) : std::nullopt;
   pace_.setRate(table.coldPerS(options_.service) * options_.coldOverage);
   hasTable_ = true;
-  if (pace_.doubtful() && !warmthTimer_.running()) askForWarmth();
+  if (pace_.doubtful() && !coldCheckTimer_.running()) startColdCheck();
   useEvacuation(table.evacuated(options_.zone));
   applyLimits();
-  refuseUnreleased();
+  refuseWaitingIfClosed();
 }
 
 void EndpointCalls::useVersion(const std::string& version) {
   version_ = version;
-  refuseUnreleased();
+  refuseWaitingIfClosed();
 }
 
 /// @return why what waits is refused when no more is taken.
@@ -83,7 +83,7 @@
 
 /// What waits for a version or in a zone that takes no calls any more runs elsewhere; this holds also for calls of
 /// nodes with an older table.
-void EndpointCalls::refuseUnreleased() {
+void EndpointCalls::refuseWaitingIfClosed() {
   if (takesCalls()) return;
   limiter_.refuseWaiting();
   probation_.refuseWaiting();
@@ -105,7 +105,7 @@
 
 void EndpointCalls::useIncarnation(const std::string& endpoint, int slots) {
   if (endpoint != endpoint_) {
-    formerName_.clear();
+    previousEndpoint_.clear();
     limiter_.refuseWaiting();
     probation_.refuseWaiting();
     refuseAwaitingBodies();
@@ -117,7 +117,9 @@
   applyLimits();
 }
 
-void EndpointCalls::renameIncarnation(const std::string& endpoint) { formerName_ = std::exchange(endpoint_, endpoint); }
+void EndpointCalls::renameIncarnation(const std::string& endpoint) {
+  previousEndpoint_ = std::exchange(endpoint_, endpoint);
+}
 
 void EndpointCalls::onBackendRestarted() {
   limiter_.refuseWaiting();
@@ -143,16 +145,16 @@
 void EndpointCalls::onRequest(base::ConnectionId connection, const wire::CallRequest& request) {
   const CallKey key{connection, request.callId};
   ++counters_.calls;
-  auto& asker = askers_[connection];
-  asker.askedAt = scheduler_.now();
-  if (request.bodyBytes > 0) asker.announcedAt = scheduler_.now();
+  auto& caller = callerNodes_[connection];
+  caller.lastRequestAt = scheduler_.now();
+  if (request.bodyBytes > 0) caller.lastBodyAnnouncedAt = scheduler_.now();
   if (calls_.count(key) > 0) return;
   auto& call = calls_[key];
   call.request = request;
   call.arrivedAt = scheduler_.now();
   call.deadline = scheduler_.now() + base::milliseconds(request.remainingMs);
   if (refuseAtOnce(key, request)) return;
-  call.nested = learnWhetherNested(connection, request);
+  call.nested = detectNested(connection, request);
   call.priority = priorityOf(call);
   call.latestStart = latestStartOf(call);
   if (answerWouldBeLate(key)) return refuseForAnswer(key);
@@ -193,32 +195,32 @@
   const int targetMs = call.request.targetLatencyMs;
   if (!options_.waitWithinTarget || targetMs == 0) return call.deadline;
   // A late answer still saves the work that hangs on a nested call; only one that comes after its end is worth nothing.
-  if (call.nested) return call.deadline - base::microsecondsOf(options_.holdMargin * usualRunUs(call.request));
+  if (call.nested) return call.deadline - base::microsecondsOf(options_.runTimeMargin * averageRunUs(call.request));
   const double targetUs = static_cast<double>(base::Duration(base::milliseconds(targetMs)).count());
-  const double spareUs = leftOfTargetUs(call.request) - options_.holdMargin * usualRunUs(call.request);
-  const double waitUs = std::max(targetUs * options_.leastWaitShare, spareUs);
+  const double spareUs = remainingTargetUs(call.request) - options_.runTimeMargin * averageRunUs(call.request);
+  const double waitUs = std::max(targetUs * options_.minWaitShare, spareUs);
   return std::min(call.deadline, scheduler_.now() + base::microsecondsOf(waitUs));
 }
 
-double EndpointCalls::usualRunUs(const wire::CallRequest& request) const {
-  const auto usual = usualRunUs_.find(request.targetLatencyMs);
-  return usual == usualRunUs_.end() ? 0 : usual->second;
+double EndpointCalls::averageRunUs(const wire::CallRequest& request) const {
+  const auto usual = averageRunUs_.find(request.targetLatencyMs);
+  return usual == averageRunUs_.end() ? 0 : usual->second;
 }
 
-double EndpointCalls::leftOfTargetUs(const wire::CallRequest& request) const {
+double EndpointCalls::remainingTargetUs(const wire::CallRequest& request) const {
   return static_cast<double>(base::Duration(base::milliseconds(request.targetLatencyMs - request.waitedMs)).count());
 }
 
 bool EndpointCalls::isLate(const wire::CallRequest& request) const {
-  return request.waitedMs > 0 && leftOfTargetUs(request) < usualRunUs(request);
+  return request.waitedMs > 0 && remainingTargetUs(request) < averageRunUs(request);
 }
 
-void EndpointCalls::noteRun(const Call& call) {
+void EndpointCalls::recordRunTime(const Call& call) {
   constexpr double kWeight = 0.1;
-  counters_.ran.record(scheduler_.now() - call.startedAt);
+  counters_.runTimes.record(scheduler_.now() - call.startedAt);
   if (call.request.targetLatencyMs == 0) return;
   const auto runUs = static_cast<double>((scheduler_.now() - call.startedAt).count());
-  const auto [usual, first] = usualRunUs_.try_emplace(call.request.targetLatencyMs, runUs);
+  const auto [usual, first] = averageRunUs_.try_emplace(call.request.targetLatencyMs, runUs);
   if (!first) usual->second += kWeight * (runUs - usual->second);
 }
 
@@ -230,7 +232,7 @@
   expiryTimer_.start(std::max<base::Duration>(base::milliseconds(1), *next - scheduler_.now()));
 }
 
-bool EndpointCalls::learnWhetherNested(base::ConnectionId connection, const wire::CallRequest& request) {
+bool EndpointCalls::detectNested(base::ConnectionId connection, const wire::CallRequest& request) {
   if (!options_.nestedFirst) return false;
   const auto service = callerServices_.find(connection);
   if (service == callerServices_.end()) return false;
@@ -250,7 +252,8 @@
 
 bool EndpointCalls::refuseAtOnce(const CallKey& key, const wire::CallRequest& request) {
   ErrorCode error = ErrorCode::kNone;
-  const bool named = request.endpoint == endpoint_ || (!formerName_.empty() && request.endpoint == formerName_);
+  const bool named =
+      request.endpoint == endpoint_ || (!previousEndpoint_.empty() && request.endpoint == previousEndpoint_);
   const bool otherIncarnation = options_.dynamicEndpoint && (endpoint_.empty() || !named);
   if (options_.service.empty() || request.serviceName != options_.service) {
     error = ErrorCode::kNoEndpoint;
@@ -277,7 +280,7 @@
   call.running = true;
   call.startedAt = scheduler_.now();
   if (!mayRunNow(key)) return;
-  counters_.waited.record(call.startedAt - call.arrivedAt);
+  counters_.waitTimes.record(call.startedAt - call.arrivedAt);
   if (ledger_ == nullptr || isRepeatable(call.request)) return sendToBackend(key);
   call.owner = ledger_->newOwner();
   claim(key);
@@ -296,12 +299,12 @@
   const bool completed = answer.outcome == BackendOutcome::kCompleted;
   const bool notReached = answer.outcome == BackendOutcome::kNotSent;
   if (onBackendContact_ && (completed || notReached)) onBackendContact_(completed);
-  if (!completed && hasTable_) doubtWarmth();  // it may be another life of the back end that answers next
+  if (!completed && hasTable_) markPossiblyCold();  // it may be another life of the back end that answers next
   if (notReached) {
-    return releaseThenRefuse(key, ErrorCode::kBackendUnreachable, base::Duration(0));
+    return releaseClaimAndRefuse(key, ErrorCode::kBackendUnreachable, base::Duration(0));
   }
   if (completed && backendRefused(key, answer)) return;
-  noteEnded(found->second, !completed || answer.httpStatus >= kFirstServerError);
+  notifyRunEnded(found->second, !completed || answer.httpStatus >= kFirstServerError);
   if (!completed) {
     return answer.timedOut ? answerUnknown(key, ErrorCode::kDeadlineExceeded) : onCut(key);
   }
@@ -311,14 +314,14 @@
   stored.body = std::move(answer.body);
   const auto& call = found->second;
   answers_.onAnswer(kindOf(call.request), stored.body.size());
-  noteRun(call);
-  noteRanWell(key);
-  if (!call.owner.empty()) ledger_->complete(call.request.idempotencyKey, call.owner, stored, kLedgerPatience);
+  recordRunTime(call);
+  recordSuccessfulRun(key);
+  if (!call.owner.empty()) ledger_->complete(call.request.idempotencyKey, call.owner, stored, kLedgerTimeout);
   ++counters_.completed;
   answerCompleted(key, std::move(stored));
 }
 
-void EndpointCalls::noteEnded(const Call& call, bool failed) {
+void EndpointCalls::notifyRunEnded(const Call& call, bool failed) {
   if (onRunEnded_) onRunEnded_({call.request.route, failed, scheduler_.now() - call.startedAt});
 }
 
@@ -326,12 +329,12 @@
   if (answer.httpStatus == kMisdirectedStatus && options_.dynamicEndpoint) {
     // Another incarnation has taken the address; what this node believed of its back end is over.
     const auto endpoint = calls_[key].request.endpoint;
-    releaseThenRefuse(key, ErrorCode::kWrongEndpoint, base::Duration(0));
+    releaseClaimAndRefuse(key, ErrorCode::kWrongEndpoint, base::Duration(0));
     if (onWrongIncarnation_) onWrongIncarnation_(endpoint);
     return true;
   }
   if (!hasHeader(answer.headers, options_.notRunHeader)) return false;
-  releaseThenRefuse(key, ErrorCode::kBackendRefused, kShedRetryAfter);
+  releaseClaimAndRefuse(key, ErrorCode::kBackendRefused, kShedRetryAfter);
   return true;
 }
 
@@ -363,7 +366,7 @@
 void EndpointCalls::refuse(const CallKey& key, ErrorCode error, base::Duration retryAfter) {
   wire::CallResponse response;
   if (error == ErrorCode::kOverloaded) {
-    response.fullForMs = base::millisecondsOf(sentAwayFor(limiter_.slotInterval(), &Asker::askedAt));
+    response.fullForMs = base::millisecondsOf(callerBackoff(limiter_.slotInterval(), &CallerNode::lastRequestAt));
   }
   refuseWith(key, error, retryAfter, std::move(response));
 }
@@ -381,11 +384,11 @@
 
 /// The nodes that ask are to ask, all together, somewhat more often than there is room for one more: a request that is
 /// refused has crossed this node's link for nothing, and many nodes fill the link.
-base::Duration EndpointCalls::sentAwayFor(base::Duration interval, base::TimePoint Asker::*askedAt) const {
-  const auto since = scheduler_.now() - kAskingMemory;
-  const auto asking =
-      std::count_if(askers_.begin(), askers_.end(), [&](const auto& item) { return item.second.*askedAt >= since; });
-  return std::min(options_.maxFullFor, interval * asking / kRequestsPerFreeSlot);
+base::Duration EndpointCalls::callerBackoff(base::Duration interval, base::TimePoint CallerNode::*lastSeenAt) const {
+  const auto since = scheduler_.now() - kActiveCallerWindow;
+  const auto activeCallers = std::count_if(callerNodes_.begin(), callerNodes_.end(),
+                                           [&](const auto& item) { return item.second.*lastSeenAt >= since; });
+  return std::min(options_.maxFullFor, interval * activeCallers / kRequestsPerFreeSlot);
 }
 
 std::string EndpointCalls::requestIdOf(const wire::CallRequest& request) const {
@@ -435,15 +438,15 @@
     calls_.erase(found);
     return grantBodies();
   }
-  if (!found->second.running) return forget(key);
+  if (!found->second.running) return abandonCall(key);
   // A request that may not be repeated is let finish, so that its outcome stays known to the back end.
   if (!isRepeatable(found->second.request)) return;
   backend_.cancel(found->second.backendId);
-  forget(key);
+  abandonCall(key);
 }
 
 /// Drops a call that nobody waits for any more.
-void EndpointCalls::forget(const CallKey& key) {
+void EndpointCalls::abandonCall(const CallKey& key) {
   const auto call = calls_.extract(key);
   limiter_.cancel(call.mapped().ticket);
   probation_.cancel(call.mapped().probationTicket);
@@ -465,11 +468,11 @@
 
 void EndpointCalls::onOpen(base::ConnectionId connection, const wire::Hello& peer) {
   callerServices_[connection] = peer.serviceName;
-  if (peer.id == options_.nodeId) beside_ = connection;
+  if (peer.id == options_.nodeId) ownConnection_ = connection;
 }
 
 void EndpointCalls::onClose(base::ConnectionId connection) {
-  askers_.erase(connection);
+  callerNodes_.erase(connection);
   callerServices_.erase(connection);
   std::vector<int64_t> callIds;
   for (auto call = calls_.lower_bound({connection, INT64_MIN}); call != calls_.end(); ++call) {
--- a/src/node/endpoint_calls.h
+++ b/src/node/endpoint_calls.h
@@ -38,8 +38,8 @@
   bool waitWithinTarget = false;
   /// What a cold back end is handed, as a multiple of what it bears by the table.
   double coldOverage = 1;
-  double holdMargin = 1.3;       ///< with waitWithinTarget: what is kept free for the run, as a multiple of a usual run
-  double leastWaitShare = 0.15;  ///< with waitWithinTarget: share of the target that a request may wait at the least
+  double runTimeMargin = 1.3;  ///< with waitWithinTarget: what is kept free for the run, as a multiple of a usual run
+  double minWaitShare = 0.15;  ///< with waitWithinTarget: share of the target that a request may wait at the least
   /// Whether nested calls, as far as they can be told, go first: the work that hangs on them is done already.
   bool nestedFirst = true;
   double nestedShare = 0.75;             ///< with nestedFirst: share of the slots that they may hold while others wait
@@ -61,18 +61,18 @@
   int64_t probationRuns = 0;  ///< of suspects
   int64_t cutRuns = 0;        ///< whose connection the back end closed without an answer, as it does when it crashes
   int64_t cancelled = 0;
-  int64_t replayed = 0;           ///< answered from the ledger, without a run
-  int64_t refusedForLink = 0;     ///< refused since their body could not have arrived in time
-  int64_t refusedForAnswer = 0;   ///< refused since their answer could not have left in time
-  base::LatencyHistogram waited;  ///< of calls that started: from their arrival to their start
-  base::LatencyHistogram ran;     ///< of completed calls: from their start to the back end's answer
+  int64_t replayed = 0;              ///< answered from the ledger, without a run
+  int64_t refusedForLink = 0;        ///< refused since their body could not have arrived in time
+  int64_t refusedForAnswer = 0;      ///< refused since their answer could not have left in time
+  base::LatencyHistogram waitTimes;  ///< of calls that started: from their arrival to their start
+  base::LatencyHistogram runTimes;   ///< of completed calls: from their start to the back end's answer
 };
 
 /// A run on the back end that has ended.
-struct EndedRun {
+struct BackendRunResult {
   int64_t route = 0;    ///< hash of the route's name; 0 where its caller did not tell
   bool failed = false;  ///< the back end, not the request, was at fault: a 5xx of its own, a cut answer, none in time
-  base::Duration took{0};
+  base::Duration runTime{0};
 };
 
 /// A request that may not be repeated is claimed in the ledger before the back end sees it, under its idempotency
@@ -134,16 +134,16 @@
   void onWrongIncarnation(std::function<void(const std::string&)> handler) { onWrongIncarnation_ = std::move(handler); }
 
   /// The back end said for how long it is cold, by itself or when it was asked.
-  void onColdTold(base::Duration coldFor, bool asked);
+  void onColdReport(base::Duration coldFor, bool asked);
 
   /// The back end may have turned cold without saying so.
-  void doubtWarmth();
+  void markPossiblyCold();
 
-  /// Called when the back end is to be asked whether it is cold; the answer goes to onColdTold().
-  void onDoubtedWarmth(std::function<void()> handler) { onDoubtedWarmth_ = std::move(handler); }
+  /// Called when the back end is to be asked whether it is cold; the answer goes to onColdReport().
+  void onColdCheckNeeded(std::function<void()> handler) { onColdCheckNeeded_ = std::move(handler); }
 
   /// Called when a run has ended, unless its caller gave it up.
-  void onRunEnded(std::function<void(const EndedRun&)> handler) { onRunEnded_ = std::move(handler); }
+  void onRunEnded(std::function<void(const BackendRunResult&)> handler) { onRunEnded_ = std::move(handler); }
 
   /// The version of the back end's software changed, or is known now; a rollout decides whether it takes calls.
   void useVersion(const std::string& version);
@@ -159,7 +159,7 @@
 
  private:
   /// Time for which a node goes on to tell the ledger how a request ended.
-  static constexpr base::Duration kLedgerPatience = base::seconds(2);
+  static constexpr base::Duration kLedgerTimeout = base::seconds(2);
 
   struct CallKey {
     base::ConnectionId connection;
@@ -184,35 +184,35 @@
     bool running = false;
     uint64_t backendId = 0;
     base::TimePoint startedAt{};
-    std::string owner;    // of the claim, empty while there is none
-    int claimsTried = 0;  // while another owner holds the key
+    std::string owner;      // of the claim, empty while there is none
+    int claimAttempts = 0;  // while another owner holds the key
   };
 
   /// When a connected node last asked for something.
-  struct Asker {
-    base::TimePoint askedAt{};
-    base::TimePoint announcedAt{};  // a call with a body in pieces
+  struct CallerNode {
+    base::TimePoint lastRequestAt{};
+    base::TimePoint lastBodyAnnouncedAt{};  // a call with a body in pieces
   };
 
   void admit(const CallKey& key);
   void acquireSlot(const CallKey& key, bool ready = true);
   void onSlotRefused(const CallKey& key, limits::SlotRefusal refusal);
   const quarantine::request_fingerprint& fingerprintOfCall(const CallKey& key);
-  quarantine::standing judge(const CallKey& key);
+  quarantine::standing standingOfCall(const CallKey& key);
   void putOnProbation(const CallKey& key);
   void refuseHeld(const CallKey& key);
   bool mayRunNow(const CallKey& key);
   void onCut(const CallKey& key);
   void answerCrashed(const CallKey& key, uint64_t crash);
-  void noteRanWell(const CallKey& key);
-  void forget(const CallKey& key);
+  void recordSuccessfulRun(const CallKey& key);
+  void abandonCall(const CallKey& key);
   void awaitBody(const CallKey& key);
   void grantBodies();
   base::Duration answerDelay(const CallKey& key) const;
   bool answerWouldBeLate(const CallKey& key) const;
   void refuseForAnswer(const CallKey& key);
   void onBodyTimer();
-  void onBodyWhole(const CallKey& key);
+  void onBodyComplete(const CallKey& key);
   void refuseAwaitingBodies();
   void dropBody(const CallKey& key, Call* call);
   void run(const CallKey& key);
@@ -220,26 +220,26 @@
   void claim(const CallKey& key);
   void onClaim(const CallKey& key, const ledger::LedgerAnswer& answer);
   void answerCompleted(const CallKey& key, wire::StoredAnswer stored);
-  void releaseThenRefuse(const CallKey& key, base::ErrorCode error, base::Duration retryAfter);
+  void releaseClaimAndRefuse(const CallKey& key, base::ErrorCode error, base::Duration retryAfter);
   void answerUnknown(const CallKey& key, base::ErrorCode error);
   static overload::call_kind kindOf(const wire::CallRequest& request);
   base::TimePoint latestStartOf(const Call& call) const;
-  double usualRunUs(const wire::CallRequest& request) const;
-  double leftOfTargetUs(const wire::CallRequest& request) const;
+  double averageRunUs(const wire::CallRequest& request) const;
+  double remainingTargetUs(const wire::CallRequest& request) const;
   bool isLate(const wire::CallRequest& request) const;
-  void noteRun(const Call& call);
+  void recordRunTime(const Call& call);
   void armExpiry();
-  bool learnWhetherNested(base::ConnectionId connection, const wire::CallRequest& request);
+  bool detectNested(base::ConnectionId connection, const wire::CallRequest& request);
   limits::Priority priorityOf(const Call& call) const;
   void releaseSlot(const Call& call);
   void applyLimits();
   bool versionTakesCalls() const;
   bool takesCalls() const { return versionTakesCalls() && !evacuated_; }
   void useEvacuation(bool evacuated);
-  void askForWarmth();
+  void startColdCheck();
   base::ErrorCode closedError() const;
-  void refuseUnreleased();
-  void noteEnded(const Call& call, bool failed);
+  void refuseWaitingIfClosed();
+  void notifyRunEnded(const Call& call, bool failed);
   bool refuseAtOnce(const CallKey& key, const wire::CallRequest& request);
   bool backendRefused(const CallKey& key, const BackendAnswer& answer);
   void onBackendAnswer(const CallKey& key, BackendAnswer answer);
@@ -247,7 +247,7 @@
   void answer(const CallKey& key, wire::CallResponse response);
   void refuseForLink(const CallKey& key, base::Duration wait);
   void refuseWith(const CallKey& key, base::ErrorCode error, base::Duration retryAfter, wire::CallResponse response);
-  base::Duration sentAwayFor(base::Duration interval, base::TimePoint Asker::*askedAt) const;
+  base::Duration callerBackoff(base::Duration interval, base::TimePoint CallerNode::*lastSeenAt) const;
   void logRefusal(const Call& call, base::ErrorCode error, base::Duration retryAfter);
   void logUnknown(const CallKey& key, base::ErrorCode error);
   std::string fingerprintText(const CallKey& key);
@@ -267,27 +267,27 @@
   bool leaving_ = false;
   bool stale_ = false;
   std::map<CallKey, Call> calls_;
-  std::map<base::ConnectionId, Asker> askers_;
+  std::map<base::ConnectionId, CallerNode> callerNodes_;
   std::map<base::ConnectionId, std::string> callerServices_;  // the services beside the connected nodes
   overload::call_origins origins_;
   overload::body_intake bodies_;
   overload::answer_room answers_;
-  base::ConnectionId beside_ = 0;  // of this node's own callers; crosses no link
-  base::Timer bodyTimer_;          // runs while bodies are awaited
+  base::ConnectionId ownConnection_ = 0;  // of this node's own callers; crosses no link
+  base::Timer bodyTimer_;                 // runs while bodies are awaited
   bool draining_ = false;
   bool evacuated_ = false;
   bool hasTable_ = false;
-  base::Timer warmthTimer_;           // runs while it is doubtful whether the back end is warm
-  std::map<int, double> usualRunUs_;  // moving averages of runs, by the target latency of their routes
-  base::Timer expiryTimer_;           // runs while requests wait for a slot
-  std::string endpoint_;              // the incarnation of the back end, with dynamicEndpoint
-  std::string formerName_;            // by which it was known before; may be empty
+  base::Timer coldCheckTimer_;          // runs while it is doubtful whether the back end is warm
+  std::map<int, double> averageRunUs_;  // moving averages of runs, by the target latency of their routes
+  base::Timer expiryTimer_;             // runs while requests wait for a slot
+  std::string endpoint_;                // the incarnation of the back end, with dynamicEndpoint
+  std::string previousEndpoint_;        // by which it was known before; may be empty
   int endpointSlots_ = 0;
   std::optional<routing::ServiceLimit> tableLimit_;
   std::function<void(const std::string&)> onWrongIncarnation_;  // may be empty
   std::function<void(bool)> onBackendContact_;                  // may be empty
-  std::function<void(const EndedRun&)> onRunEnded_;             // may be empty
-  std::function<void()> onDoubtedWarmth_;                       // may be empty
+  std::function<void(const BackendRunResult&)> onRunEnded_;     // may be empty
+  std::function<void()> onColdCheckNeeded_;                     // may be empty
   std::string version_;                                         // of the back end's software; may be empty
   std::optional<rollout::version_policy> versions_;             // that take calls; all where nothing is known
   EndpointCounters counters_;
--- a/src/node/endpoint_calls_bodies.cc
+++ b/src/node/endpoint_calls_bodies.cc
@@ -43,7 +43,7 @@
     bytes += static_cast<int64_t>(network_.queuedBytes(connection));
   }
   for (const auto& [other, call] : calls_) {
-    if (other == key || other.connection == beside_) continue;
+    if (other == key || other.connection == ownConnection_) continue;
     const auto kind = kindOf(call.request);
     if (answers_.large(kind)) bytes += answers_.usualBytes(kind);
   }
@@ -52,10 +52,10 @@
 
 bool EndpointCalls::answerWouldBeLate(const CallKey& key) const {
   const auto& request = calls_.at(key).request;
-  if (key.connection == beside_ || !answers_.large(kindOf(request))) return false;
+  if (key.connection == ownConnection_ || !answers_.large(kindOf(request))) return false;
   const auto target = base::milliseconds(request.targetLatencyMs > 0 ? request.targetLatencyMs : request.remainingMs);
   const auto left = std::min<base::Duration>(target, base::milliseconds(request.remainingMs));
-  return base::microsecondsOf(usualRunUs(request)) + answerDelay(key) > left;
+  return base::microsecondsOf(averageRunUs(request)) + answerDelay(key) > left;
 }
 
 void EndpointCalls::refuseForAnswer(const CallKey& key) {
@@ -63,7 +63,7 @@
   const auto usual = answers_.timeFor(answers_.usualBytes(kindOf(calls_[key].request)));
   const auto delay = answerDelay(key);
   wire::CallResponse response;
-  response.fullForMs = base::millisecondsOf(sentAwayFor(usual, &Asker::askedAt));
+  response.fullForMs = base::millisecondsOf(callerBackoff(usual, &CallerNode::lastRequestAt));
   refuseWith(key, ErrorCode::kOverloaded, std::max(delay, options_.overloadRetryAfter), std::move(response));
 }
 
@@ -97,12 +97,12 @@
   auto& call = found->second;
   call.request.body += piece.data;
   const auto arrived = static_cast<int64_t>(piece.data.size());
-  const bool whole = bodies_.onBytes({connection, piece.callId}, arrived, scheduler_.now());
-  if (whole) {
+  const bool complete = bodies_.onBytes({connection, piece.callId}, arrived, scheduler_.now());
+  if (complete) {
     call.awaitsBody = false;
     const bool asAnnounced = static_cast<int64_t>(call.request.body.size()) == call.request.bodyBytes;
     if (asAnnounced) {
-      onBodyWhole(key);
+      onBodyComplete(key);
     } else {
       limiter_.cancel(call.ticket);
       refuse(key, ErrorCode::kBadFrame, base::Duration(0));
@@ -112,8 +112,8 @@
 }
 
 /// What a body tells may name its request as one that crashes back ends.
-void EndpointCalls::onBodyWhole(const CallKey& key) {
-  if (judge(key) == quarantine::standing::clear) return limiter_.setReady(calls_.at(key).ticket);
+void EndpointCalls::onBodyComplete(const CallKey& key) {
+  if (standingOfCall(key) == quarantine::standing::clear) return limiter_.setReady(calls_.at(key).ticket);
   limiter_.cancel(calls_.at(key).ticket);
   admit(key);
 }
@@ -141,7 +141,7 @@
   const auto interval = base::microsecondsOf(bytes / static_cast<double>(bodies_.bytesPerSecond()) * 1e6);
   wire::CallResponse response;
   response.fullForBodies = true;
-  response.fullForMs = base::millisecondsOf(sentAwayFor(interval, &Asker::announcedAt));
+  response.fullForMs = base::millisecondsOf(callerBackoff(interval, &CallerNode::lastBodyAnnouncedAt));
   refuseWith(key, ErrorCode::kOverloaded, std::max(wait, options_.overloadRetryAfter), std::move(response));
 }
 
--- a/src/node/endpoint_calls_cold.cc
+++ b/src/node/endpoint_calls_cold.cc
@@ -7,27 +7,27 @@
 namespace {
 
 /// Pause between two questions whether the back end is cold; one that has no slot free may not answer.
-constexpr base::Duration kWarmthInterval = base::milliseconds(300);
+constexpr base::Duration kColdCheckInterval = base::milliseconds(300);
 
 }  // namespace
 
 /// A zone is taken back when its back ends may have stood idle for long, and gone cold by it.
 void EndpointCalls::useEvacuation(bool evacuated) {
-  if (std::exchange(evacuated_, evacuated) && !evacuated) doubtWarmth();
+  if (std::exchange(evacuated_, evacuated) && !evacuated) markPossiblyCold();
 }
 
-void EndpointCalls::doubtWarmth() {
+void EndpointCalls::markPossiblyCold() {
   pace_.onDoubt();
-  if (pace_.doubtful() && !warmthTimer_.running()) askForWarmth();
+  if (pace_.doubtful() && !coldCheckTimer_.running()) startColdCheck();
 }
 
-void EndpointCalls::askForWarmth() {
+void EndpointCalls::startColdCheck() {
   if (!pace_.doubtful()) return;
-  warmthTimer_.start(kWarmthInterval);
-  if (onDoubtedWarmth_) onDoubtedWarmth_();
+  coldCheckTimer_.start(kColdCheckInterval);
+  if (onColdCheckNeeded_) onColdCheckNeeded_();
 }
 
-void EndpointCalls::onColdTold(base::Duration coldFor, bool asked) {
+void EndpointCalls::onColdReport(base::Duration coldFor, bool asked) {
   pace_.onTold(coldFor, asked);
   limiter_.startWaiting();
   armExpiry();
--- a/src/node/endpoint_calls_ledger.cc
+++ b/src/node/endpoint_calls_ledger.cc
@@ -20,7 +20,7 @@
 
 void EndpointCalls::claim(const CallKey& key) {
   auto& call = calls_[key];
-  ++call.claimsTried;
+  ++call.claimAttempts;
   const auto left = call.deadline - scheduler_.now();
   ledger_->claim(call.request.idempotencyKey, contentHashOf(call.request), call.owner, left,
                  [this, alive = std::weak_ptr<bool>(alive_), key](const ledger::LedgerAnswer& answer) {
@@ -42,22 +42,22 @@
       return refuse(key, ErrorCode::kKeyReused, base::Duration(0));
     case wire::LedgerVerdict::CLAIMED:
       // Another attempt with the key is running, or its node died; its answer may be stored in a moment.
-      if (calls_[key].claimsTried >= kMaxClaims) return answerUnknown(key, ErrorCode::kOutcomeUnknown);
+      if (calls_[key].claimAttempts >= kMaxClaims) return answerUnknown(key, ErrorCode::kOutcomeUnknown);
       scheduler_.schedule(kClaimInterval, [this, alive = std::weak_ptr<bool>(alive_), key] {
         if (!alive.expired() && calls_.count(key) > 0) claim(key);
       });
       return;
     case wire::LedgerVerdict::UNAVAILABLE:
-      return releaseThenRefuse(key, ErrorCode::kLedgerUnavailable, kLedgerRetryAfter);
+      return releaseClaimAndRefuse(key, ErrorCode::kLedgerUnavailable, kLedgerRetryAfter);
   }
 }
 
-void EndpointCalls::releaseThenRefuse(const CallKey& key, ErrorCode error, base::Duration retryAfter) {
+void EndpointCalls::releaseClaimAndRefuse(const CallKey& key, ErrorCode error, base::Duration retryAfter) {
   const auto& call = calls_[key];
   if (call.owner.empty()) return refuse(key, error, retryAfter);
   // Another endpoint may run the request only once the key is free again; without the ledger's word it stays claimed,
   // and a resend will be told that the outcome is unknown.
-  ledger_->release(call.request.idempotencyKey, call.owner, kLedgerPatience,
+  ledger_->release(call.request.idempotencyKey, call.owner, kLedgerTimeout,
                    [this, alive = std::weak_ptr<bool>(alive_), key, error, retryAfter](const ledger::LedgerAnswer&) {
                      if (!alive.expired() && calls_.count(key) > 0) refuse(key, error, retryAfter);
                    });
--- a/src/node/endpoint_calls_quarantine.cc
+++ b/src/node/endpoint_calls_quarantine.cc
@@ -26,15 +26,15 @@
 }
 
 /// The node that sends a call may know of a crash that this one has not heard of yet.
-standing EndpointCalls::judge(const CallKey& key) {
+standing EndpointCalls::standingOfCall(const CallKey& key) {
   if (quarantine_ == nullptr) return standing::clear;
-  const auto told = calls_.at(key).request.suspect ? standing::suspect : standing::clear;
-  if (quarantine_->empty()) return told;
-  return std::max(told, quarantine_->standingOf(fingerprintOfCall(key), options_.service));
+  const auto reported = calls_.at(key).request.suspect ? standing::suspect : standing::clear;
+  if (quarantine_->empty()) return reported;
+  return std::max(reported, quarantine_->standingOf(fingerprintOfCall(key), options_.service));
 }
 
 void EndpointCalls::admit(const CallKey& key) {
-  switch (judge(key)) {
+  switch (standingOfCall(key)) {
     case standing::clear:
       return acquireSlot(key);
     case standing::suspect:
@@ -49,7 +49,7 @@
   auto& call = calls_.at(key);
   call.suspect = true;
   if (options_.waitWithinTarget) {
-    call.latestStart = call.deadline - base::microsecondsOf(options_.holdMargin * usualRunUs(call.request));
+    call.latestStart = call.deadline - base::microsecondsOf(options_.runTimeMargin * averageRunUs(call.request));
   }
   const auto ticket = probation_.acquire(
       call.priority, call.latestStart,
@@ -78,7 +78,7 @@
 /// A call may have become a suspect while it waited for its slot, which it gives back then.
 bool EndpointCalls::mayRunNow(const CallKey& key) {
   auto& call = calls_.at(key);
-  const auto treatedAs = judge(key);
+  const auto treatedAs = standingOfCall(key);
   if (treatedAs == standing::held) {
     refuseHeld(key);
     return false;
@@ -102,7 +102,7 @@
   for (const auto& key : waiting) {
     const auto found = calls_.find(key);
     if (found == calls_.end() || found->second.probationTicket == 0) continue;
-    const auto treatedAs = judge(key);
+    const auto treatedAs = standingOfCall(key);
     if (treatedAs == standing::suspect) continue;
     probation_.cancel(found->second.probationTicket);
     found->second.probationTicket = 0;
@@ -139,7 +139,7 @@
   answer(key, std::move(response));
 }
 
-void EndpointCalls::noteRanWell(const CallKey& key) {
+void EndpointCalls::recordSuccessfulRun(const CallKey& key) {
   if (quarantine_ != nullptr && !quarantine_->empty()) quarantine_->onRanWell(fingerprintOfCall(key));
 }
 
--- a/src/node/backend_life.cc
+++ b/src/node/endpoint_name.cc
@@ -1,4 +1,4 @@
-#include "node/backend_life.h"
+#include "node/endpoint_name.h"
 
 #include <algorithm>
 
@@ -11,15 +11,15 @@
 constexpr char kDigits[] = "0123456789abcdefghijklmnopqrstuvwxyz";
 constexpr uint64_t kBase = 36;  // eight digits for a time of our days, where decimals take thirteen on every call
 
-std::string markOf(int64_t startedAtMs) {
-  std::string mark;
-  auto rest = static_cast<uint64_t>(startedAtMs);
+std::string startSuffixOf(int64_t startedAtMs) {
+  std::string suffix;
+  auto remaining = static_cast<uint64_t>(startedAtMs);
   do {
-    mark.push_back(kDigits[rest % kBase]);
-    rest /= kBase;
-  } while (rest > 0);
-  std::reverse(mark.begin(), mark.end());
-  return mark;
+    suffix.push_back(kDigits[remaining % kBase]);
+    remaining /= kBase;
+  } while (remaining > 0);
+  std::reverse(suffix.begin(), suffix.end());
+  return suffix;
 }
 
 }  // namespace
@@ -27,7 +27,7 @@
 std::string endpointNameOf(std::string_view backend, int64_t startedAtMs) {
   std::string name(backend);
   if (startedAtMs == 0 && name.find(kSeparator) == std::string::npos) return name;
-  return name + kSeparator + markOf(startedAtMs);
+  return name + kSeparator + startSuffixOf(startedAtMs);
 }
 
 std::string_view backendNameOf(std::string_view endpoint) { return endpoint.substr(0, endpoint.rfind(kSeparator)); }
--- a/src/node/local_backend.cc
+++ b/src/node/local_backend.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "node/backend_life.h"
+#include "node/endpoint_name.h"
 
 namespace driftlug::node {
 namespace {
@@ -11,16 +11,16 @@
 constexpr size_t kMaxEnded = 256;
 /// Incarnations that may wait for the back end's word, or have given way: a few crash within the seconds for which a
 /// report can be late.
-constexpr size_t kMaxOthers = 16;
+constexpr size_t kMaxOtherIncarnations = 16;
 
 std::string endpointOf(const BackendReport& report) { return endpointNameOf(report.incarnation, report.startedAtMs); }
 
 }  // namespace
 
-LocalBackend::LocalBackend(wire::EndpointState place, base::Scheduler& scheduler, EndpointCalls& calls,
+LocalBackend::LocalBackend(wire::EndpointState endpointState, base::Scheduler& scheduler, EndpointCalls& calls,
                            AnnounceFunction announce, const LocalBackendOptions& options)
     : unreadable_("backend", scheduler, base::kOneLineASecond),
-      place_(std::move(place)),
+      endpointState_(std::move(endpointState)),
       calls_(calls),
       announce_(std::move(announce)),
       options_(options),
@@ -32,13 +32,13 @@
 
 std::string LocalBackend::endpoint() const { return current_.incarnation.empty() ? "" : endpointOf(current_); }
 
-bool LocalBackend::hadEarlierLife() const {
+bool LocalBackend::hadEarlierStart() const {
   return std::any_of(ended_.begin(), ended_.end(),
                      [this](const std::string& endpoint) { return backendNameOf(endpoint) == current_.incarnation; });
 }
 
 void LocalBackend::setIdentityCheck(IdentityCheck check, bool afterRestart) {
-  askIdentity_ = std::move(check);
+  identityCheck_ = std::move(check);
   afterRestart_ = afterRestart;
 }
 
@@ -47,141 +47,141 @@
   unreadable_.write(base::LineWorth::kFailure, [&] { return fmt::format("a report is refused: {}", what); });
 }
 
-ReportVerdict LocalBackend::onReport(const BackendReport& report) {
-  if (report.incarnation.empty() || hasEnded(endpointOf(report))) return ReportVerdict::kOutdated;
-  if (report.incarnation != current_.incarnation) return onOther(report);
-  const bool byName = learnedAt_ == 0;
-  if (!byName && report.startedAtMs != current_.startedAtMs) return onOtherLife(report);
-  if (report.sequence <= current_.sequence) return ReportVerdict::kOutdated;
+ReportResult LocalBackend::onReport(const BackendReport& report) {
+  if (report.incarnation.empty() || hasEnded(endpointOf(report))) return ReportResult::kOutdated;
+  if (report.incarnation != current_.incarnation) return onOtherIncarnation(report);
+  const bool knownByNameOnly = firstSequence_ == 0;
+  if (!knownByNameOnly && report.startedAtMs != current_.startedAtMs) return onOtherStart(report);
+  if (report.sequence <= current_.sequence) return ReportResult::kOutdated;
   candidate_.reset();
-  if (byName) {
-    nameAnew(report);
+  if (knownByNameOnly) {
+    identifyStart(report);
   } else if (report.draining != current_.draining) {
     log_.info("{} is {} now, sequence {}", endpoint(), report.draining ? "draining" : "live", report.sequence);
   }
   current_ = report;
   suspended_ = false;
-  heard();
+  recordContact();
   apply();
-  return ReportVerdict::kTaken;
+  return ReportResult::kAccepted;
 }
 
 /// The first report of a back end that was known only by its name: its announcement must outdo those of this node's
 /// earlier life, and says which of its lives it is.
-void LocalBackend::nameAnew(const BackendReport& report) {
-  learnedAt_ = report.sequence + 1;  // 0 stands for "by name only"
+void LocalBackend::identifyStart(const BackendReport& report) {
+  firstSequence_ = report.sequence + 1;  // 0 stands for "by name only"
   if (endpointOf(report) != endpoint()) {
     announce(wire::EndpointCondition::GONE);
     calls_.renameIncarnation(endpointOf(report));
   }
-  place_.endpoint.clear();
+  endpointState_.endpoint.clear();
 }
 
-ReportVerdict LocalBackend::onOtherLife(const BackendReport& report) {
+ReportResult LocalBackend::onOtherStart(const BackendReport& report) {
   const bool later = report.startedAtMs > current_.startedAtMs;
   const bool sameCandidate = candidate_ && candidate_->startedAtMs == report.startedAtMs;
   const bool again = sameCandidate && report.sequence > candidate_->sequence && !current_.draining;
   if (later || suspended_ || again) {
-    beginLife(report);
-    return ReportVerdict::kTaken;
+    switchToStart(report);
+    return ReportResult::kAccepted;
   }
   if (!sameCandidate || report.sequence > candidate_->sequence) candidate_ = report;
-  return ReportVerdict::kDoubtful;
+  return ReportResult::kUnconfirmed;
 }
 
-void LocalBackend::beginLife(const BackendReport& report) {
+void LocalBackend::switchToStart(const BackendReport& report) {
   log_.info("{} has started again, {} ms after the start of its life before", report.incarnation,
             report.startedAtMs - current_.startedAtMs);
   calls_.onBackendRestarted();
-  end(endpoint());
-  take(report);
+  retire(endpoint());
+  activate(report);
 }
 
-ReportVerdict LocalBackend::onOther(const BackendReport& report) {
-  if (isPassed(report)) return ReportVerdict::kOutdated;
-  const bool sure = current_.incarnation.empty() && !afterRestart_;
-  if (askIdentity_ && !sure) {
-    hold(report);
-    return ReportVerdict::kHeld;
+ReportResult LocalBackend::onOtherIncarnation(const BackendReport& report) {
+  if (isSuperseded(report)) return ReportResult::kOutdated;
+  const bool certain = current_.incarnation.empty() && !afterRestart_;
+  if (identityCheck_ && !certain) {
+    queueForIdentity(report);
+    return ReportResult::kPending;
   }
-  if (!current_.incarnation.empty()) end(endpoint());
-  take(report);
-  return ReportVerdict::kTaken;
+  if (!current_.incarnation.empty()) retire(endpoint());
+  activate(report);
+  return ReportResult::kAccepted;
 }
 
-bool LocalBackend::isPassed(const BackendReport& report) const {
-  const auto passed = passed_.find(endpointOf(report));
-  const auto held = held_.find(endpointOf(report));
-  return (passed != passed_.end() && report.sequence <= passed->second) ||
-         (held != held_.end() && report.sequence <= held->second.sequence);
+bool LocalBackend::isSuperseded(const BackendReport& report) const {
+  const auto superseded = supersededSequences_.find(endpointOf(report));
+  const auto pending = pendingReports_.find(endpointOf(report));
+  return (superseded != supersededSequences_.end() && report.sequence <= superseded->second) ||
+         (pending != pendingReports_.end() && report.sequence <= pending->second.sequence);
 }
 
-void LocalBackend::pass(const BackendReport& report) {
-  if (passed_.size() >= kMaxOthers) passed_.erase(passed_.begin());
-  passed_[endpointOf(report)] = report.sequence;
+void LocalBackend::markSuperseded(const BackendReport& report) {
+  if (supersededSequences_.size() >= kMaxOtherIncarnations) supersededSequences_.erase(supersededSequences_.begin());
+  supersededSequences_[endpointOf(report)] = report.sequence;
 }
 
-void LocalBackend::hold(const BackendReport& report) {
-  if (held_.size() >= kMaxOthers) held_.erase(held_.begin());
-  held_[endpointOf(report)] = report;
-  lastHeld_ = endpointOf(report);
-  if (asking_) return;
-  asking_ = true;
+void LocalBackend::queueForIdentity(const BackendReport& report) {
+  if (pendingReports_.size() >= kMaxOtherIncarnations) pendingReports_.erase(pendingReports_.begin());
+  pendingReports_[endpointOf(report)] = report;
+  lastPendingEndpoint_ = endpointOf(report);
+  if (identityCheckRunning_) return;
+  identityCheckRunning_ = true;
   log_.info("{} reports beside {}: the back end is asked who it is", report.incarnation, current_.incarnation);
-  askIdentity_([this](const BackendIdentity& identity) { onAnswer(identity); });
+  identityCheck_([this](const BackendIdentity& identity) { onIdentity(identity); });
 }
 
-void LocalBackend::onAnswer(const BackendIdentity& identity) {
-  asking_ = false;
+void LocalBackend::onIdentity(const BackendIdentity& identity) {
+  identityCheckRunning_ = false;
   const bool afterRestart = std::exchange(afterRestart_, false);
-  const auto held = std::exchange(held_, {});
+  const auto pending = std::exchange(pendingReports_, {});
   const bool known = !identity.incarnation.empty();
   std::optional<BackendReport> chosen;
-  for (const auto& [endpoint, report] : held) {
-    const bool named = known ? report.incarnation == identity.incarnation : endpoint == lastHeld_;
+  for (const auto& [endpoint, report] : pending) {
+    const bool named = known ? report.incarnation == identity.incarnation : endpoint == lastPendingEndpoint_;
     if (named && (!chosen || report.startedAtMs > chosen->startedAtMs)) chosen = report;
     // A name that is not the back end's is late, or was given before its bearer has begun to listen: only what it
     // reports from now on is heeded.
-    if (!named) pass(report);
+    if (!named) markSuperseded(report);
   }
   if (known && identity.incarnation == current_.incarnation) return;
-  if (!current_.incarnation.empty() && known) end(endpoint());
+  if (!current_.incarnation.empty() && known) retire(endpoint());
   if (!chosen || hasEnded(endpointOf(*chosen))) return;
   if (!current_.incarnation.empty()) {
-    pass(current_);
-    leave();
+    markSuperseded(current_);
+    clearCurrent();
   }
   // What an earlier life of this node acknowledged as draining gets no calls for a late report.
   if (afterRestart && identity.leaving) chosen->draining = true;
-  take(*chosen);
+  activate(*chosen);
 }
 
-void LocalBackend::take(const BackendReport& report) {
-  learnedAt_ = report.sequence + 1;  // 0 stands for "by name only"
+void LocalBackend::activate(const BackendReport& report) {
+  firstSequence_ = report.sequence + 1;  // 0 stands for "by name only"
   log_.info("{} is the back end now: version {}, {} slots, {}, sequence {}", endpointOf(report), report.version,
             report.slots, report.draining ? "draining" : "live", report.sequence);
   afterRestart_ = false;
   candidate_.reset();
   current_ = report;
   suspended_ = false;
-  heard();
+  recordContact();
   apply();
 }
 
-void LocalBackend::heard() {
-  unreachable_ = 0;
-  silenceTimer_.start(options_.silentFor);
+void LocalBackend::recordContact() {
+  failedConnections_ = 0;
+  silenceTimer_.start(options_.silenceTimeout);
 }
 
 void LocalBackend::onContact(bool reached) {
   if (current_.incarnation.empty()) return;
-  if (reached) return heard();
-  if (++unreachable_ >= options_.unreachableLimit) suspend("out of reach");
+  if (reached) return recordContact();
+  if (++failedConnections_ >= options_.maxFailedConnections) suspend("out of reach");
 }
 
-void LocalBackend::suspend(const char* because) {
+void LocalBackend::suspend(const char* cause) {
   if (suspended_ || current_.incarnation.empty()) return;
-  log_.warn("{} is {}: it takes no calls until it reports again", current_.incarnation, because);
+  log_.warn("{} is {}: it takes no calls until it reports again", current_.incarnation, cause);
   suspended_ = true;
   apply();
 }
@@ -191,17 +191,17 @@
   // Which of its lives it is can't be told once one of them has ended.
   const auto sameName = [&](const std::string& ended) { return backendNameOf(ended) == incarnation; };
   if (std::any_of(ended_.begin(), ended_.end(), sameName)) return;
-  learnedAt_ = 0;
+  firstSequence_ = 0;
   afterRestart_ = false;
   current_ = BackendReport{};
   current_.incarnation = incarnation;
   log_.info("{} is the back end, by its own word when asked", incarnation);
-  heard();
+  recordContact();
   apply();
 }
 
 void LocalBackend::apply() {
-  const bool draining = current_.draining || stopping_ || suspended_ || mayLeave_;
+  const bool draining = current_.draining || stopping_ || suspended_ || leaveUnconfirmed_;
   calls_.useVersion(current_.version);
   calls_.useIncarnation(endpoint(), current_.slots);
   if (onBackend_) onBackend_(endpoint(), current_);
@@ -211,33 +211,33 @@
 }
 
 void LocalBackend::announce(wire::EndpointCondition::type condition) {
-  const bool known = place_.endpoint == endpoint() && place_.version == current_.version;
+  const bool known = endpointState_.endpoint == endpoint() && endpointState_.version == current_.version;
   if (known && condition == announced_) return;
-  place_.endpoint = endpoint();
-  place_.incarnation = learnedAt_;
-  place_.condition = condition;
-  place_.slots = current_.slots;
-  place_.coldMs = current_.coldMs;
-  place_.version = current_.version;
+  endpointState_.endpoint = endpoint();
+  endpointState_.incarnation = firstSequence_;
+  endpointState_.condition = condition;
+  endpointState_.slots = current_.slots;
+  endpointState_.coldMs = current_.coldMs;
+  endpointState_.version = current_.version;
   announced_ = condition;
-  announce_(place_);
+  announce_(endpointState_);
 }
 
-void LocalBackend::end(const std::string& endpoint) {
+void LocalBackend::retire(const std::string& endpoint) {
   const bool current = endpoint == this->endpoint();
   ended_.push_back(endpoint);
   if (ended_.size() > kMaxEnded) ended_.pop_front();
   if (!current) return;
   log_.info("{} has ended", endpoint);
-  leave();
+  clearCurrent();
 }
 
-void LocalBackend::leave() {
+void LocalBackend::clearCurrent() {
   announce(wire::EndpointCondition::GONE);
   current_ = BackendReport{};
   candidate_.reset();
   suspended_ = false;
-  mayLeave_ = false;
+  leaveUnconfirmed_ = false;
   silenceTimer_.stop();
   calls_.setLeaving(true);
   calls_.useIncarnation("", 0);
@@ -245,29 +245,29 @@
 }
 
 void LocalBackend::onLeave(const std::string& incarnation, int64_t startedAtMs) {
-  const bool ofSomeLife = startedAtMs == 0 && incarnation == current_.incarnation;
-  if (ofSomeLife && hadEarlierLife() && askIdentity_) return askWhetherItLeaves();
-  const auto left = ofSomeLife ? endpoint() : endpointNameOf(incarnation, startedAtMs);
-  if (!hasEnded(left)) end(left);
+  const bool startUnknown = startedAtMs == 0 && incarnation == current_.incarnation;
+  if (startUnknown && hadEarlierStart() && identityCheck_) return confirmLeave();
+  const auto left = startUnknown ? endpoint() : endpointNameOf(incarnation, startedAtMs);
+  if (!hasEnded(left)) retire(left);
 }
 
 /// The farewell may be a late one of an earlier life. Until the back end has said how it is, it gets no calls.
-void LocalBackend::askWhetherItLeaves() {
-  if (mayLeave_) return;
-  mayLeave_ = true;
+void LocalBackend::confirmLeave() {
+  if (leaveUnconfirmed_) return;
+  leaveUnconfirmed_ = true;
   apply();
-  askIdentity_([this, asked = endpoint()](const BackendIdentity& identity) {
-    if (!mayLeave_ || asked != endpoint()) return;
-    mayLeave_ = false;
+  identityCheck_([this, asked = endpoint()](const BackendIdentity& identity) {
+    if (!leaveUnconfirmed_ || asked != endpoint()) return;
+    leaveUnconfirmed_ = false;
     if (identity.well && identity.incarnation == current_.incarnation) return apply();
-    end(asked);
+    retire(asked);
   });
 }
 
 void LocalBackend::onWrongEndpoint(const std::string& endpoint) {
   const bool current = endpoint == this->endpoint() || endpoint == current_.incarnation;
-  if (current && !current_.incarnation.empty()) return end(this->endpoint());
-  if (!hasEnded(endpoint)) end(endpoint);
+  if (current && !current_.incarnation.empty()) return retire(this->endpoint());
+  if (!hasEnded(endpoint)) retire(endpoint);
 }
 
 void LocalBackend::setStopping() {
--- a/src/node/local_backend.h
+++ b/src/node/local_backend.h
@@ -28,11 +28,11 @@
 };
 
 /// What became of a report.
-enum class ReportVerdict {
-  kTaken,
-  kOutdated,  ///< a newer report of the incarnation was taken, or the incarnation has ended
-  kHeld,      ///< it names another incarnation than the one in use; the back end is asked which of them it is
-  kDoubtful,  ///< it is of another life than the one in use, and may be late; its sender is to say it again
+enum class ReportResult {
+  kAccepted,
+  kOutdated,     ///< a newer report of the incarnation was taken, or the incarnation has ended
+  kPending,      ///< it names another incarnation than the one in use; the back end is asked which of them it is
+  kUnconfirmed,  ///< it is of another life than the one in use, and may be late; its sender is to say it again
 };
 
 /// What a back end says of itself when it is asked.
@@ -48,8 +48,8 @@
 /// Times of a back end's life.
 struct LocalBackendOptions {
   /// A back end that neither reported nor answered a call for this long takes no calls until it reports again.
-  base::Duration silentFor = base::seconds(4);
-  int unreachableLimit = 3;  ///< connections in a row that failed, after which it takes none either
+  base::Duration silenceTimeout = base::seconds(4);
+  int maxFailedConnections = 3;  ///< connections in a row that failed, after which it takes none either
 };
 
 /// A report can be late by seconds and come from an incarnation that has crashed since, when another one runs at its
@@ -74,15 +74,15 @@
   using IdentityCheck = std::function<void(IdentityCallback)>;
 
   /// @param place the endpoint's service, address, port and zone as others reach it
-  LocalBackend(wire::EndpointState place, base::Scheduler& scheduler, EndpointCalls& calls, AnnounceFunction announce,
-               const LocalBackendOptions& options = {});
+  LocalBackend(wire::EndpointState endpointState, base::Scheduler& scheduler, EndpointCalls& calls,
+               AnnounceFunction announce, const LocalBackendOptions& options = {});
 
   /// Sets how the back end is asked for its name; without it, the sender of the last report is believed.
   /// @param afterRestart whether an earlier life of this node may have known more of the back end than this one
   void setIdentityCheck(IdentityCheck check, bool afterRestart);
 
   /// Takes a report of the back end.
-  ReportVerdict onReport(const BackendReport& report);
+  ReportResult onReport(const BackendReport& report);
 
   /// Somebody sent what is no report of a back end of this service; nothing is believed of it.
   /// @param what for the log
@@ -111,7 +111,7 @@
   void setStopping();
 
   const std::string& incarnation() const { return current_.incarnation; }
-  const std::string& service() const { return place_.serviceName; }
+  const std::string& service() const { return endpointState_.serviceName; }
 
   /// Called with each report that is taken, and when the back end is gone; with its endpoint's name.
   void onBackend(std::function<void(const std::string& endpoint, const BackendReport&)> handler) {
@@ -123,47 +123,47 @@
 
  private:
   bool hasEnded(const std::string& endpoint) const;
-  bool hadEarlierLife() const;
+  bool hadEarlierStart() const;
   std::string endpoint() const;
-  ReportVerdict onOtherLife(const BackendReport& report);
-  void beginLife(const BackendReport& report);
-  void nameAnew(const BackendReport& report);
-  void askWhetherItLeaves();
-  bool isPassed(const BackendReport& report) const;
-  void pass(const BackendReport& report);
-  ReportVerdict onOther(const BackendReport& report);
-  void take(const BackendReport& report);
-  void hold(const BackendReport& report);
-  void onAnswer(const BackendIdentity& identity);
-  void end(const std::string& endpoint);
-  void leave();
-  void heard();
-  void suspend(const char* because);
+  ReportResult onOtherStart(const BackendReport& report);
+  void switchToStart(const BackendReport& report);
+  void identifyStart(const BackendReport& report);
+  void confirmLeave();
+  bool isSuperseded(const BackendReport& report) const;
+  void markSuperseded(const BackendReport& report);
+  ReportResult onOtherIncarnation(const BackendReport& report);
+  void activate(const BackendReport& report);
+  void queueForIdentity(const BackendReport& report);
+  void onIdentity(const BackendIdentity& identity);
+  void retire(const std::string& endpoint);
+  void clearCurrent();
+  void recordContact();
+  void suspend(const char* cause);
   void apply();
   void announce(wire::EndpointCondition::type condition);
 
   base::Logger log_{"backend"};
   base::DecisionLog unreadable_;  // what is said of reports that can't be read
   int64_t unreadableReports_ = 0;
-  wire::EndpointState place_;
+  wire::EndpointState endpointState_;
   EndpointCalls& calls_;
   AnnounceFunction announce_;
   std::function<void(const std::string&, const BackendReport&)> onBackend_;  // may be empty
   BackendReport current_;                                                    // incarnation empty while there is none
-  int64_t learnedAt_ = 0;          // sequence of the first report of the current incarnation that this process saw
+  int64_t firstSequence_ = 0;      // sequence of the first report of the current incarnation that this process saw
   std::deque<std::string> ended_;  // endpoints that have ended, oldest first
   std::optional<BackendReport> candidate_;  // of another life than the current one
-  bool mayLeave_ = false;                   // until the back end has said whether it does
-  IdentityCheck askIdentity_;               // may be empty
+  bool leaveUnconfirmed_ = false;           // until the back end has said whether it does
+  IdentityCheck identityCheck_;             // may be empty
   bool afterRestart_ = false;               // until this life has heard of the back end
-  bool asking_ = false;
-  std::map<std::string, BackendReport> held_;  // reports that wait for the back end's word, by endpoint
-  std::string lastHeld_;                       // the endpoint that reported last of them
-  std::map<std::string, int64_t> passed_;      // of endpoints that gave way: the newest sequence
+  bool identityCheckRunning_ = false;
+  std::map<std::string, BackendReport> pendingReports_;  // reports that wait for the back end's word, by endpoint
+  std::string lastPendingEndpoint_;                      // the endpoint that reported last of them
+  std::map<std::string, int64_t> supersededSequences_;   // of endpoints that gave way: the newest sequence
   LocalBackendOptions options_;
-  base::Timer silenceTimer_;  // runs while there is an incarnation
-  int unreachable_ = 0;       // connections in a row that failed
-  bool suspended_ = false;    // silent or out of reach, until it reports again
+  base::Timer silenceTimer_;   // runs while there is an incarnation
+  int failedConnections_ = 0;  // connections in a row that failed
+  bool suspended_ = false;     // silent or out of reach, until it reports again
   bool stopping_ = false;
   wire::EndpointCondition::type announced_ = wire::EndpointCondition::GONE;
 };
--- a/src/node/slice_store.cc
+++ b/src/node/slice_store.cc
@@ -8,17 +8,17 @@
 namespace driftlug::node {
 namespace {
 
-bool referencesHold(const table::Table& rows) {
+bool allReferencesResolve(const table::Table& rows) {
   std::vector<table::Problem> problems;
   for (const auto& [key, row] : rows.rows()) table::checkReferences(*row, rows, &problems);
   return problems.empty();
 }
 
 /// @return whether all references hold, provided that they did before the change.
-bool referencesHoldAfter(const table::ChangedRows& change, const table::Table& rows) {
+bool changedReferencesResolve(const table::ChangedRows& change, const table::Table& rows) {
   std::vector<table::Problem> problems;
   for (const auto& row : change.changed) {
-    if (row->deleted && table::mayBeReferredTo(row->key.kind)) return referencesHold(rows);
+    if (row->deleted && table::mayBeReferredTo(row->key.kind)) return allReferencesResolve(rows);
     if (!row->deleted) table::checkReferences(*row, rows, &problems);
   }
   return problems.empty();
@@ -30,14 +30,14 @@
   if (checks_.neverOlder && update.toRevision < version_.revision) return SliceResult::kOlder;
   if (!update.full && update.fromRevision != version_.revision) return SliceResult::kBaseMismatch;
   next->revision = update.toRevision;
-  return update.full ? prepareWhole(&update, next) : prepareDelta(&update, next);
+  return update.full ? prepareFull(&update, next) : prepareDelta(&update, next);
 }
 
-SliceResult SliceStore::prepareWhole(wire::SliceUpdate* update, SliceVersion* next) {
+SliceResult SliceStore::prepareFull(wire::SliceUpdate* update, SliceVersion* next) {
   table::Table rows;
   for (auto& row : update->rows) rows.put(table::storeRow(std::move(row)));
   if (checks_.digest && !(rows.digest() == update->digest)) return SliceResult::kDigestMismatch;
-  if (checks_.references && !referencesHold(rows)) return SliceResult::kDanglingReference;
+  if (checks_.references && !allReferencesResolve(rows)) return SliceResult::kDanglingReference;
   rows.dropTombstones(update->toRevision);
   rows_ = std::move(rows);
   next->digest = rows_.digest();
@@ -54,7 +54,7 @@
     next->routing = version_.routing;
     return SliceResult::kUnchanged;
   }
-  if (checks_.references && !referencesHoldAfter(change.rows(), rows_)) return SliceResult::kDanglingReference;
+  if (checks_.references && !changedReferencesResolve(change.rows(), rows_)) return SliceResult::kDanglingReference;
   const auto changed = change.commit();
   rows_.dropTombstones(update->toRevision);
   next->routing = version_.routing
--- a/src/node/slice_store.h
+++ b/src/node/slice_store.h
@@ -60,7 +60,7 @@
   void setChecks(const Checks& checks) { checks_ = checks; }
 
  private:
-  SliceResult prepareWhole(wire::SliceUpdate* update, SliceVersion* next);
+  SliceResult prepareFull(wire::SliceUpdate* update, SliceVersion* next);
   SliceResult prepareDelta(wire::SliceUpdate* update, SliceVersion* next);
 
   SliceVersion version_;
--- a/src/node/version_reporter.cc
+++ b/src/node/version_reporter.cc
@@ -16,7 +16,7 @@
       random_(random),
       calls_(calls),
       send_(std::move(send)),
-      life_(static_cast<int64_t>(random_.bits() >> 1)),
+      epoch_(static_cast<int64_t>(random_.bits() >> 1)),
       timer_(scheduler, [this] { report(); }) {}
 
 void VersionReporter::useTable(const routing::RoutingTable& table) {
@@ -35,7 +35,7 @@
 void VersionReporter::useBackend(const std::string& endpoint, const std::string& version, int slots, int coldMs) {
   if (endpoint != endpoint_) {
     figures_.clear();
-    life_ = static_cast<int64_t>(random_.bits() >> 1);
+    epoch_ = static_cast<int64_t>(random_.bits() >> 1);
   }
   endpoint_ = endpoint;
   version_ = version;
@@ -43,19 +43,19 @@
   coldUntil_ = scheduler_.now() + base::milliseconds(coldMs);
 }
 
-void VersionReporter::onRun(const EndedRun& run) {
-  if (policy_ && policy_->running) figures_.note(run.route, run.failed, run.took, cold());
+void VersionReporter::onRun(const BackendRunResult& run) {
+  if (policy_ && policy_->running) figures_.note(run.route, run.failed, run.runTime, cold());
 }
 
 void VersionReporter::report() {
   timer_.start(kReportInterval);
-  const bool named = version_ == policy_->standing || version_ == policy_->target;
-  if (endpoint_.empty() || !named) return;
+  const bool inRollout = version_ == policy_->standing || version_ == policy_->target;
+  if (endpoint_.empty() || !inRollout) return;
   wire::VersionReport report;
   report.serviceName = service_;
   report.endpoint = endpoint_;
   report.version = version_;
-  report.life = life_;
+  report.life = epoch_;
   report.sequence = ++sequence_;
   report.revision = tableRevision_;
   report.active = static_cast<int32_t>(calls_.active());
--- a/src/node/version_reporter.h
+++ b/src/node/version_reporter.h
@@ -33,7 +33,7 @@
   void useBackend(const std::string& endpoint, const std::string& version, int slots, int coldMs);
 
   /// A run on the back end has ended.
-  void onRun(const EndedRun& run);
+  void onRun(const BackendRunResult& run);
 
  private:
   bool cold() const { return scheduler_.now() < coldUntil_; }
@@ -50,7 +50,7 @@
   std::string version_;
   int slots_ = 0;
   base::TimePoint coldUntil_{};
-  int64_t life_;
+  int64_t epoch_;
   int64_t sequence_ = 0;
   rollout::run_figures figures_;
   base::Timer timer_;  // runs while a rollout is under way
--- a/test/fleet/fleet_node.cc
+++ b/test/fleet/fleet_node.cc
@@ -259,7 +259,7 @@
 															 return m_client->sendVersions(_message);
 														 });
 	m_endpoint->onRunEnded(
-		[this](const node::EndedRun& _run)
+		[this](const node::BackendRunResult& _run)
 		{
 			m_reporter->onRun(_run);
 		});
--- a/test/node/backend_lives_test.cc
+++ b/test/node/backend_restart_test.cc
@@ -1,5 +1,5 @@
 /// Back ends that start again under their name.
-#include "node/backend_life.h"
+#include "node/endpoint_name.h"
 
 #include "local_backend_fixture.h"
 
@@ -18,7 +18,7 @@
 TEST_CASE_METHOD(LocalBackendFixture, "a back end that starts again under its name is taken at its first report") {
   local.onReport(reportOf(kFirstStart, 400));
   const auto first = announced.back().endpoint;
-  CHECK(local.onReport(reportOf(kFirstStart + 3000, 1)) == ReportVerdict::kTaken);
+  CHECK(local.onReport(reportOf(kFirstStart + 3000, 1)) == ReportResult::kAccepted);
   const auto second = announced.back().endpoint;
   CHECK(first != second);
   CHECK(announced.back().condition == EndpointCondition::LIVE);
@@ -35,9 +35,9 @@
   local.onReport(reportOf(kFirstStart, 400));
   local.onReport(reportOf(kFirstStart + 3000, 1));
   const auto current = announced.back().endpoint;
-  SECTION("a late report") { CHECK(local.onReport(reportOf(kFirstStart, 401)) == ReportVerdict::kOutdated); }
+  SECTION("a late report") { CHECK(local.onReport(reportOf(kFirstStart, 401)) == ReportResult::kOutdated); }
   SECTION("a late word of draining") {
-    CHECK(local.onReport(reportOf(kFirstStart, 402, true)) == ReportVerdict::kOutdated);
+    CHECK(local.onReport(reportOf(kFirstStart, 402, true)) == ReportResult::kOutdated);
   }
   SECTION("a late farewell that says of which life it is") { local.onLeave("i-1", kFirstStart); }
   SECTION("a late answer of an earlier call") { local.onWrongEndpoint(endpointNameOf("i-1", kFirstStart)); }
@@ -47,41 +47,41 @@
   CHECK(backend.requests.size() == 1);
 }
 
-TEST_CASE_METHOD(AskedBackendFixture,
+TEST_CASE_METHOD(IdentityCheckFixture,
                  "of a farewell that may be late the back end decides; until then it gets no calls") {
-  askWhenUnsure(false);
+  enableIdentityCheck(false);
   local.onReport(reportOf(kFirstStart, 400));
   local.onReport(reportOf(kFirstStart + 3000, 1));
   const auto current = announced.back().endpoint;
   local.onLeave("i-1");
   call(1, current);
   CHECK(refusalOf(1) == base::ErrorCode::kDraining);
-  REQUIRE(questions.size() == 1);
+  REQUIRE(identityChecks.size() == 1);
   SECTION("it is well") {
-    questions[0]({"i-1", false, true});
+    identityChecks[0]({"i-1", false, true});
     CHECK(announced.back().condition == EndpointCondition::LIVE);
     call(2, current);
     CHECK(backend.requests.size() == 1);
   }
   SECTION("it leaves") {
-    questions[0]({"i-1", true, false});
+    identityChecks[0]({"i-1", true, false});
     CHECK(announced.back().condition == EndpointCondition::GONE);
-    CHECK(local.onReport(reportOf(kFirstStart + 3000, 2)) == ReportVerdict::kOutdated);
+    CHECK(local.onReport(reportOf(kFirstStart + 3000, 2)) == ReportResult::kOutdated);
   }
   SECTION("it does not say") {
-    questions[0]({"", false, false});
+    identityChecks[0]({"", false, false});
     CHECK(announced.back().condition == EndpointCondition::GONE);
   }
 }
 
-TEST_CASE_METHOD(AskedBackendFixture, "a farewell of the only life that is known ends it at once") {
-  askWhenUnsure(false);
+TEST_CASE_METHOD(IdentityCheckFixture, "a farewell of the only life that is known ends it at once") {
+  enableIdentityCheck(false);
   local.onReport(reportOf(kFirstStart, 4));
   local.onLeave("i-1");
-  CHECK(questions.empty());
+  CHECK(identityChecks.empty());
   CHECK(announced.back().condition == EndpointCondition::GONE);
-  CHECK(local.onReport(reportOf(kFirstStart, 5)) == ReportVerdict::kOutdated);
-  CHECK(local.onReport(reportOf(kFirstStart + 9000, 1)) == ReportVerdict::kTaken);
+  CHECK(local.onReport(reportOf(kFirstStart, 5)) == ReportResult::kOutdated);
+  CHECK(local.onReport(reportOf(kFirstStart + 9000, 1)) == ReportResult::kAccepted);
   CHECK(announced.back().condition == EndpointCondition::LIVE);
 }
 
@@ -92,8 +92,8 @@
   call(1, first);
   call(2, first);
   CHECK(backend.requests.size() == 1);
-  CHECK(local.onReport(reportOf(kFirstStart, 8, true)) == ReportVerdict::kTaken);
-  CHECK(local.onReport(reportOf(kFirstStart + 3000, 1, false, 3)) == ReportVerdict::kTaken);
+  CHECK(local.onReport(reportOf(kFirstStart, 8, true)) == ReportResult::kAccepted);
+  CHECK(local.onReport(reportOf(kFirstStart + 3000, 1, false, 3)) == ReportResult::kAccepted);
   const auto second = announced.back().endpoint;
   CHECK(announced.back().condition == EndpointCondition::LIVE);
   CHECK(announced.back().slots == 3);
@@ -110,17 +110,17 @@
   const auto earlier = kFirstStart - 2000;
   SECTION("nothing listened any more") {
     local.onCrash();
-    CHECK(local.onReport(reportOf(earlier, 1)) == ReportVerdict::kTaken);
+    CHECK(local.onReport(reportOf(earlier, 1)) == ReportResult::kAccepted);
   }
   SECTION("it is silent") {
     runFor(base::seconds(5));
-    CHECK(local.onReport(reportOf(earlier, 1)) == ReportVerdict::kTaken);
+    CHECK(local.onReport(reportOf(earlier, 1)) == ReportResult::kAccepted);
   }
   SECTION("the other one reports again, and it does not") {
-    CHECK(local.onReport(reportOf(earlier, 1)) == ReportVerdict::kDoubtful);
-    CHECK(local.onReport(reportOf(earlier, 1)) == ReportVerdict::kDoubtful);
+    CHECK(local.onReport(reportOf(earlier, 1)) == ReportResult::kUnconfirmed);
+    CHECK(local.onReport(reportOf(earlier, 1)) == ReportResult::kUnconfirmed);
     CHECK(announced.back().endpoint == first);
-    CHECK(local.onReport(reportOf(earlier, 2)) == ReportVerdict::kTaken);
+    CHECK(local.onReport(reportOf(earlier, 2)) == ReportResult::kAccepted);
   }
   CHECK(announced.back().endpoint == endpointNameOf("i-1", earlier));
   CHECK(announced.back().condition == EndpointCondition::LIVE);
@@ -129,14 +129,14 @@
 TEST_CASE_METHOD(LocalBackendFixture, "a late report of an earlier life that this node never knew displaces none") {
   local.onReport(reportOf(kFirstStart, 7));
   const auto current = announced.back().endpoint;
-  CHECK(local.onReport(reportOf(kFirstStart - 9000, 50)) == ReportVerdict::kDoubtful);
-  CHECK(local.onReport(reportOf(kFirstStart, 8)) == ReportVerdict::kTaken);
-  CHECK(local.onReport(reportOf(kFirstStart - 9000, 51)) == ReportVerdict::kDoubtful);
+  CHECK(local.onReport(reportOf(kFirstStart - 9000, 50)) == ReportResult::kUnconfirmed);
+  CHECK(local.onReport(reportOf(kFirstStart, 8)) == ReportResult::kAccepted);
+  CHECK(local.onReport(reportOf(kFirstStart - 9000, 51)) == ReportResult::kUnconfirmed);
   CHECK(announced.back().endpoint == current);
   SECTION("nor does it undo a drain that was acknowledged, however often it comes") {
-    CHECK(local.onReport(reportOf(kFirstStart, 9, true)) == ReportVerdict::kTaken);
+    CHECK(local.onReport(reportOf(kFirstStart, 9, true)) == ReportResult::kAccepted);
     for (int64_t sequence = 52; sequence < 56; ++sequence) {
-      CHECK(local.onReport(reportOf(kFirstStart - 9000, sequence)) == ReportVerdict::kDoubtful);
+      CHECK(local.onReport(reportOf(kFirstStart - 9000, sequence)) == ReportResult::kUnconfirmed);
     }
     CHECK(announced.back().condition == EndpointCondition::DRAINING);
     call(1, current);
@@ -149,7 +149,7 @@
   local.onIdentified("i-1");
   call(1, "i-1");
   CHECK(backend.requests.size() == 1);
-  CHECK(local.onReport(reportOf(kFirstStart, 4)) == ReportVerdict::kTaken);
+  CHECK(local.onReport(reportOf(kFirstStart, 4)) == ReportResult::kAccepted);
   REQUIRE(announced.size() == 3);
   CHECK(announced[1].endpoint == "i-1");
   CHECK(announced[1].condition == EndpointCondition::GONE);
@@ -161,15 +161,15 @@
   CHECK(refusalOf(2) == base::ErrorCode::kNone);
   CHECK(refusalOf(3) == base::ErrorCode::kNone);
   SECTION("a late report of the life before was first") {
-    CHECK(local.onReport(reportOf(kFirstStart + 5000, 2)) == ReportVerdict::kTaken);
+    CHECK(local.onReport(reportOf(kFirstStart + 5000, 2)) == ReportResult::kAccepted);
     CHECK(announced.back().endpoint == endpointNameOf("i-1", kFirstStart + 5000));
   }
 }
 
-TEST_CASE_METHOD(AskedBackendFixture, "after a restart of the node, of two lives of a name the later one is taken") {
-  askWhenUnsure(true);
-  CHECK(local.onReport(reportOf(kFirstStart, 90)) == ReportVerdict::kHeld);
-  CHECK(local.onReport(reportOf(kFirstStart + 3000, 2)) == ReportVerdict::kHeld);
+TEST_CASE_METHOD(IdentityCheckFixture, "after a restart of the node, of two lives of a name the later one is taken") {
+  enableIdentityCheck(true);
+  CHECK(local.onReport(reportOf(kFirstStart, 90)) == ReportResult::kPending);
+  CHECK(local.onReport(reportOf(kFirstStart + 3000, 2)) == ReportResult::kPending);
   answer("i-1");
   CHECK(announced.back().endpoint == endpointNameOf("i-1", kFirstStart + 3000));
 }
--- a/test/node/control_client_fixture.h
+++ b/test/node/control_client_fixture.h
@@ -9,8 +9,8 @@
 
 namespace driftlug::node {
 
-inline const base::Address kHome{"10.0.0.1", 7001};
-inline const base::Address kFar{"10.0.0.2", 7001};
+inline const base::Address kOwnZoneRelay{"10.0.0.1", 7001};
+inline const base::Address kOtherZoneRelay{"10.0.0.2", 7001};
 
 /// A node that was given one seed and learns of relays in two zones.
 struct ControlClientFixture {
@@ -19,7 +19,7 @@
     ControlOptions options;
     options.nodeId = "node";
     options.zone = "zone-1";
-    options.relays = {kHome};
+    options.relays = {kOwnZoneRelay};
     options.nearRelays = 1;
     options.hosts = {"*"};
     options.staleAfter = base::milliseconds(1600);
@@ -47,16 +47,16 @@
     return entry;
   }
 
-  void tellRelays() {
+  void sendRelayList() {
     wire::RelayList list;
-    list.relays = {relayAt(kHome, "zone-1"), relayAt(kFar, "zone-2")};
+    list.relays = {relayAt(kOwnZoneRelay, "zone-1"), relayAt(kOtherZoneRelay, "zone-2")};
     client->onMessage(current(), list);
   }
 
   /// Tells of the home relay and others in another zone.
-  void tellRelays(int count) {
+  void sendRelayList(int count) {
     wire::RelayList list;
-    list.relays.push_back(relayAt(kHome, "zone-1"));
+    list.relays.push_back(relayAt(kOwnZoneRelay, "zone-1"));
     for (int i = 2; i <= count; ++i) list.relays.push_back(relayAt({"10.0.0." + std::to_string(i), 7001}, "zone-2"));
     client->onMessage(current(), list);
   }
--- a/test/node/control_client_suspended_test.cc
+++ b/test/node/control_client_suspended_test.cc
@@ -10,7 +10,7 @@
 struct SuspendedFixture : ControlClientFixture {
   void suspendFor(base::Duration duration) {
     open();
-    tellRelays();
+    sendRelayList();
     version(1);
     heartbeat(1, 2);
     runFor(base::milliseconds(100));
@@ -19,10 +19,10 @@
     const auto connection = current();
     // Arrives, and waits in the socket.
     process.run(process.incarnation(), [this, connection] {
-      wire::NodeHeartbeat old;
-      old.freshness.term = 1;
-      old.freshness.round = 3;
-      client->onMessage(connection, old);
+      wire::NodeHeartbeat staleHeartbeat;
+      staleHeartbeat.freshness.term = 1;
+      staleHeartbeat.freshness.round = 3;
+      client->onMessage(connection, staleHeartbeat);
     });
     runFor(duration);
     process.setFrozen(false);
@@ -66,7 +66,7 @@
 
 TEST_CASE_METHOD(ControlClientFixture, "a node that stood still stays with a relay whose word waits to be read") {
   open();
-  tellRelays();
+  sendRelayList();
   version(1);
   heartbeat(1, 2);
   runFor(base::milliseconds(100));
@@ -75,10 +75,10 @@
   for (int64_t round = 3; round < 8; ++round) {
     runFor(base::milliseconds(380));
     process.run(process.incarnation(), [this, connection, round] {
-      wire::NodeHeartbeat word;
-      word.freshness.term = 1;
-      word.freshness.round = round;
-      client->onMessage(connection, word);
+      wire::NodeHeartbeat queuedHeartbeat;
+      queuedHeartbeat.freshness.term = 1;
+      queuedHeartbeat.freshness.round = round;
+      client->onMessage(connection, queuedHeartbeat);
     });
   }
   process.setFrozen(false);
--- a/test/node/control_client_test.cc
+++ b/test/node/control_client_test.cc
@@ -8,19 +8,19 @@
 
 TEST_CASE_METHOD(ControlClientFixture, "a relay whose word of the controllers stands still is left in time") {
   open();
-  tellRelays();
+  sendRelayList();
   version(1);
   int64_t round = 1;
   for (int i = 0; i < 20; ++i) {
     heartbeat(1, ++round);
     runFor(base::milliseconds(400));
   }
-  CHECK(relay() == kHome);
+  CHECK(relay() == kOwnZoneRelay);
   bool left = false;
   for (int i = 0; i < 80 && !left; ++i) {
     heartbeat(1, round);
     runFor(base::milliseconds(25));
-    left = current() != 0 && relay() == kFar;
+    left = current() != 0 && relay() == kOtherZoneRelay;
   }
   CHECK(left);
 }
@@ -32,7 +32,7 @@
     ControlOptions options;
     options.nodeId = "node";
     options.zone = "zone-1";
-    options.relays = {kHome};
+    options.relays = {kOwnZoneRelay};
     options.nearRelays = 1;
     options.hosts = {"*"};
     ControlClient other(options, process, base::RandomSource(source), own, nullptr, nullptr);
@@ -40,12 +40,12 @@
     other.onOpen(own.connected.rbegin()->first, {});
     wire::RelayList list;
     wire::RelayAddress home;
-    home.address = kHome.host;
-    home.port = kHome.port;
+    home.address = kOwnZoneRelay.host;
+    home.port = kOwnZoneRelay.port;
     home.zone = "zone-1";
     wire::RelayAddress far;
-    far.address = kFar.host;
-    far.port = kFar.port;
+    far.address = kOtherZoneRelay.host;
+    far.port = kOtherZoneRelay.port;
     far.zone = "zone-2";
     list.relays = {home, far};
     other.onMessage(own.connected.rbegin()->first, list);
@@ -53,7 +53,7 @@
     own.connected.erase(first);
     other.onClose(first);
     runFor(base::milliseconds(60));  // sooner than before: the first round of relays is tried without delay
-    REQUIRE(own.connected.rbegin()->second == kFar);
+    REQUIRE(own.connected.rbegin()->second == kOtherZoneRelay);
     const auto connection = own.connected.rbegin()->first;
     other.onOpen(connection, {});
     other.onMessage(connection, list);
@@ -75,20 +75,20 @@
 
 TEST_CASE_METHOD(ControlClientFixture, "a relay that follows an earlier leader is left at once") {
   open();
-  tellRelays();
+  sendRelayList();
   version(1);
   heartbeat(3, 1);
   client->onClose(current());
   network.connected.clear();
   runFor(base::milliseconds(300));
-  REQUIRE(relay() == kFar);
+  REQUIRE(relay() == kOtherZoneRelay);
   open();
   heartbeat(0, 0);
   runFor(base::milliseconds(10));
-  CHECK(relay() == kFar);
+  CHECK(relay() == kOtherZoneRelay);
   heartbeat(2, 50);
   runFor(base::milliseconds(300));
-  CHECK(relay() == kHome);
+  CHECK(relay() == kOwnZoneRelay);
 }
 
 TEST_CASE_METHOD(ControlClientFixture, "seeds that the settings change to are tried too") {
@@ -102,15 +102,15 @@
 
 TEST_CASE_METHOD(ControlClientFixture, "relays that are cut off together are left one after the other at once") {
   open();
-  tellRelays(7);
+  sendRelayList(7);
   version(1);
   heartbeat(1, 10);
   for (int i = 0; i < 6; ++i) {
     heartbeat(1, 10);
     runFor(base::milliseconds(400));
-    if (relay() != kHome) break;
+    if (relay() != kOwnZoneRelay) break;
   }
-  REQUIRE(relay() != kHome);
+  REQUIRE(relay() != kOwnZoneRelay);
   // Three more have heard nothing newer either; the fifth has.
   for (int hop = 0; hop < 3; ++hop) {
     const auto left = relay();
@@ -131,14 +131,14 @@
                  "a relay that was cut off too is left at once, though it heard a little more before") {
   constexpr base::Duration kSinceCut = base::milliseconds(1700);
   open();
-  tellRelays(7);
+  sendRelayList(7);
   version(1);
   heartbeat(1, 10);
-  for (int i = 0; i < 6 && relay() == kHome; ++i) {
+  for (int i = 0; i < 6 && relay() == kOwnZoneRelay; ++i) {
     heartbeat(1, 10, kSinceCut);
     runFor(base::milliseconds(400));
   }
-  REQUIRE(relay() != kHome);
+  REQUIRE(relay() != kOwnZoneRelay);
   // Each of them heard one more round of the leader that they have lost.
   for (int hop = 1; hop <= 3; ++hop) {
     const auto left = relay();
@@ -157,7 +157,7 @@
 
 TEST_CASE_METHOD(ControlClientFixture, "word that was old when it came counts as old") {
   open();
-  tellRelays();
+  sendRelayList();
   version(1);
   heartbeat(1, 9);
   runFor(base::seconds(1));
@@ -170,7 +170,7 @@
 
 TEST_CASE_METHOD(ControlClientFixture, "relays are not run through while the controllers are out") {
   open();
-  tellRelays();
+  sendRelayList();
   version(1);
   heartbeat(1, 10);
   int connections = 0;
@@ -219,7 +219,7 @@
 
 TEST_CASE_METHOD(ControlClientFixture, "a node stays with a relay while a large version is on its way") {
   open();
-  tellRelays();
+  sendRelayList();
   heartbeat(1, 1);
   const auto connection = current();
   // Heartbeats wait behind the version, on a link that takes six seconds for it.
@@ -235,7 +235,7 @@
 
 TEST_CASE_METHOD(ControlClientFixture, "a node leaves a relay when a version stops on its way") {
   open();
-  tellRelays();
+  sendRelayList();
   heartbeat(1, 1);
   const auto connection = current();
   network.partArrived = queue.now();
@@ -245,7 +245,7 @@
 
 TEST_CASE_METHOD(ControlClientFixture, "after a loss of all relays a node tries again at least once a second") {
   open();
-  tellRelays();
+  sendRelayList();
   version(1);
   base::TimePoint lastTry = queue.now();
   for (int i = 0; i < 400; ++i) {
@@ -262,7 +262,7 @@
 
 TEST_CASE_METHOD(ControlClientFixture, "a relay that says nothing is not waited for when there are others") {
   open();
-  tellRelays();
+  sendRelayList();
   client->onClose(current());
   runFor(base::milliseconds(60));  // the next one is tried at once
   const auto silent = current();
@@ -278,23 +278,23 @@
 TEST_CASE_METHOD(ControlClientFixture,
                  "a node without a version doesn't wait long for a relay that has heard of no leader") {
   open();
-  tellRelays();
+  sendRelayList();
   heartbeat(0, 0);
   const auto until = queue.now() + base::milliseconds(1000);
-  while (queue.now() < until && (current() == 0 || relay() == kHome)) runFor(base::milliseconds(10));
+  while (queue.now() < until && (current() == 0 || relay() == kOwnZoneRelay)) runFor(base::milliseconds(10));
   REQUIRE(current() != 0);
-  CHECK(relay() == kFar);
+  CHECK(relay() == kOtherZoneRelay);
   // As long as any, where the relay knows of a leader: its version may be on the way.
   open();
   heartbeat(2, 7);
   runFor(base::milliseconds(1400));
-  CHECK(relay() == kFar);
+  CHECK(relay() == kOtherZoneRelay);
   version(1);
 }
 
 TEST_CASE_METHOD(ControlClientFixture, "while no relay has heard of a leader each gets more time") {
   open();
-  tellRelays();
+  sendRelayList();
   std::vector<base::Duration> stays;
   for (int i = 0; i < 8; ++i) {
     heartbeat(0, 0);
--- a/test/node/endpoint_calls_answers_test.cc
+++ b/test/node/endpoint_calls_answers_test.cc
@@ -13,8 +13,8 @@
 constexpr int64_t kLinkBytesPerSecond = 1'500'000;
 constexpr size_t kLargeAnswer = 90'000;
 constexpr int kTargetMs = 800;
-constexpr base::ConnectionId kFar = 1;
-constexpr base::ConnectionId kOwn = 2;
+constexpr base::ConnectionId kRemoteConnection = 1;
+constexpr base::ConnectionId kLocalConnection = 2;
 
 /// A back end that takes a while and answers with large bodies.
 class LargeBackend : public BackendClient {
@@ -43,7 +43,7 @@
 
   void send(base::ConnectionId connection, const wire::FramePtr& frame) override {
     test::RecordingNetwork::send(connection, frame);
-    if (connection == kOwn) return;
+    if (connection == kLocalConnection) return;
     queuedUntil_ = std::max(queuedUntil_, scheduler_.now()) +
                    base::microsecondsOf(static_cast<double>(frame->size()) / kLinkBytesPerSecond * 1e6);
     longestQueue = std::max(longestQueue, queuedUntil_ - scheduler_.now());
@@ -51,7 +51,7 @@
 
   size_t queuedBytes(base::ConnectionId connection) const override {
     const auto left = std::max(base::Duration(0), queuedUntil_ - scheduler_.now());
-    return connection == kFar ? static_cast<size_t>(left.count() * kLinkBytesPerSecond / 1'000'000) : 0;
+    return connection == kRemoteConnection ? static_cast<size_t>(left.count() * kLinkBytesPerSecond / 1'000'000) : 0;
   }
 
   base::Duration longestQueue{0};
@@ -72,9 +72,9 @@
     calls = std::make_unique<EndpointCalls>(options, process, network, backend, nullptr);
     wire::Hello peer;
     peer.id = "far";
-    calls->onOpen(kFar, peer);
+    calls->onOpen(kRemoteConnection, peer);
     peer.id = "node";
-    calls->onOpen(kOwn, peer);
+    calls->onOpen(kLocalConnection, peer);
   }
 
   /// Asks for answers that take twice of what the link carries.
@@ -104,7 +104,7 @@
 }  // namespace
 
 TEST_CASE_METHOD(Fixture, "answers that a narrow link can't carry in time are refused before they are made") {
-  load(kFar, base::seconds(10));
+  load(kRemoteConnection, base::seconds(10));
   CHECK(network.longestQueue <= base::milliseconds(kTargetMs));
   CHECK(calls->counters().refusedForAnswer > 0);
   // The link is used all the same: nine tenths of what it carries.
@@ -112,7 +112,7 @@
 }
 
 TEST_CASE_METHOD(Fixture, "answers for this node's own callers cross no link, and are not refused") {
-  load(kOwn, base::seconds(3));
+  load(kLocalConnection, base::seconds(3));
   CHECK(calls->counters().refusedForAnswer == 0);
 }
 
--- a/test/node/endpoint_calls_cold_test.cc
+++ b/test/node/endpoint_calls_cold_test.cc
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr int kSlots = 6;
-constexpr double kColdBears = 8;
+constexpr double kColdRatePerS = 8;
 constexpr base::ConnectionId kCaller = 1;
 
 /// A back end that answers at once, and notes when it was asked.
@@ -21,7 +21,7 @@
   explicit PromptBackend(base::Scheduler& scheduler) : scheduler_(scheduler) {}
 
   uint64_t send(const wire::CallRequest&, base::Duration, std::function<void(BackendAnswer)> done) override {
-    askedAt.push_back(scheduler_.now());
+    startedAt.push_back(scheduler_.now());
     scheduler_.schedule(base::milliseconds(5), [done] { done({BackendOutcome::kCompleted, false, 200, {}, ""}); });
     return 1;
   }
@@ -29,14 +29,14 @@
 
   size_t mostInASecond() const {
     size_t most = 0;
-    for (auto first = askedAt.begin(); first != askedAt.end(); ++first) {
-      const auto last = std::lower_bound(first, askedAt.end(), *first + base::seconds(1));
+    for (auto first = startedAt.begin(); first != startedAt.end(); ++first) {
+      const auto last = std::lower_bound(first, startedAt.end(), *first + base::seconds(1));
       most = std::max(most, static_cast<size_t>(last - first));
     }
     return most;
   }
 
-  std::vector<base::TimePoint> askedAt;
+  std::vector<base::TimePoint> startedAt;
 
  private:
   base::Scheduler& scheduler_;
@@ -50,7 +50,7 @@
     options.zone = "zone-1";
     options.dynamicEndpoint = true;
     calls = std::make_unique<EndpointCalls>(options, process, network, backend, nullptr);
-    calls->onDoubtedWarmth([this] { ++questions; });
+    calls->onColdCheckNeeded([this] { ++coldChecks; });
     calls->useIncarnation("i-1", kSlots);
   }
 
@@ -59,7 +59,7 @@
     wire::Row service;
     service.key = table::makeKey(wire::RowKind::SERVICE, "records");
     service.__isset.serviceRow = true;
-    service.serviceRow.__set_coldPerS(kColdBears);
+    service.serviceRow.__set_coldPerS(kColdRatePerS);
     rows.put(table::storeRow(service));
     wire::Row zone;
     zone.key = table::makeKey(wire::RowKind::EVACUATION, "zone-1");
@@ -98,43 +98,43 @@
   std::unique_ptr<EndpointCalls> calls;
   int64_t revision = 0;
   int64_t lastCall = 0;
-  int questions = 0;
+  int coldChecks = 0;
 };
 
 }  // namespace
 
 TEST_CASE_METHOD(Fixture, "a node that started beside a back end of unknown warmth spares it before it has a version") {
-  calls->doubtWarmth();
+  calls->markPossiblyCold();
   load(base::seconds(2));
   CHECK(backend.mostInASecond() <= kSlots);
   useTable(false);
   load(base::seconds(2));
-  CHECK(backend.mostInASecond() <= static_cast<size_t>(kColdBears));
-  CHECK(questions > 0);
+  CHECK(backend.mostInASecond() <= static_cast<size_t>(kColdRatePerS));
+  CHECK(coldChecks > 0);
 }
 
 TEST_CASE_METHOD(Fixture, "a cold back end gets no more than the table says, and a warm one all") {
   useTable(false);
-  calls->onColdTold(base::seconds(3), false);
+  calls->onColdReport(base::seconds(3), false);
   load(base::seconds(2));
-  CHECK(backend.mostInASecond() <= static_cast<size_t>(kColdBears));
+  CHECK(backend.mostInASecond() <= static_cast<size_t>(kColdRatePerS));
   load(base::seconds(2));
-  CHECK(backend.mostInASecond() > 3 * static_cast<size_t>(kColdBears));
+  CHECK(backend.mostInASecond() > 3 * static_cast<size_t>(kColdRatePerS));
 }
 
 TEST_CASE_METHOD(
     Fixture, "in an emptied zone calls are refused as not run; taken back, the back end counts as cold until asked") {
   useTable(true);
   load(base::seconds(1));
-  CHECK(backend.askedAt.empty());
+  CHECK(backend.startedAt.empty());
   CHECK(refusedWith(base::ErrorCode::kZoneEvacuated) == 50);
   useTable(false);
-  CHECK(questions == 1);
+  CHECK(coldChecks == 1);
   load(base::seconds(2));
-  CHECK(backend.mostInASecond() <= static_cast<size_t>(kColdBears));
-  calls->onColdTold(base::Duration(0), true);
+  CHECK(backend.mostInASecond() <= static_cast<size_t>(kColdRatePerS));
+  calls->onColdReport(base::Duration(0), true);
   load(base::seconds(1));
-  CHECK(backend.mostInASecond() > 3 * static_cast<size_t>(kColdBears));
+  CHECK(backend.mostInASecond() > 3 * static_cast<size_t>(kColdRatePerS));
 }
 
 }  // namespace driftlug::node
--- a/test/node/endpoint_calls_test.cc
+++ b/test/node/endpoint_calls_test.cc
@@ -213,7 +213,7 @@
   options.defaultSlots = 1;
   options.defaultQueue = 4;
   options.waitWithinTarget = true;
-  options.leastWaitShare = 0.3;
+  options.minWaitShare = 0.3;
   RecordingNetwork network;
   CountingBackend backend(process);
   EndpointCalls calls(options, process, network, backend, nullptr);
@@ -313,7 +313,7 @@
 }
 
 TEST_CASE_METHOD(Fixture, "the more nodes ask a full endpoint, the longer each is sent away") {
-  const auto sentAwayFor = [this](int nodes) {
+  const auto longestBackoffMs = [this](int nodes) {
     first->network.answers.clear();
     for (int i = 1; i <= nodes; ++i) {
       const auto key = std::to_string(nodes) + "-" + std::to_string(i);
@@ -324,14 +324,14 @@
     runFor(base::seconds(5));
     return longest;
   };
-  sentAwayFor(4);
+  longestBackoffMs(4);
   // Four slots, each held for some 6 ms: one is free about every 1.6 ms, and twice as many requests are wanted.
-  CHECK(sentAwayFor(20) <= 20);
-  const auto forMany = sentAwayFor(400);
+  CHECK(longestBackoffMs(20) <= 20);
+  const auto forMany = longestBackoffMs(400);
   CHECK(forMany >= 200);
   CHECK(forMany <= 450);
   for (int i = 1; i <= 400; ++i) first->calls.onClose(static_cast<base::ConnectionId>(i));
-  CHECK(sentAwayFor(20) <= 20);
+  CHECK(longestBackoffMs(20) <= 20);
 }
 
 namespace {
--- a/test/node/local_backend_fixture.h
+++ b/test/node/local_backend_fixture.h
@@ -41,7 +41,8 @@
   LocalBackendFixture()
       : process(queue, "node", {"zone", "region"}, {"10.0.0.1", 7000}),
         calls(options(), process, network, backend, nullptr),
-        local(place(), process, calls, [this](const wire::EndpointState& state) { announced.push_back(state); }) {
+        local(endpointState(), process, calls,
+              [this](const wire::EndpointState& state) { announced.push_back(state); }) {
     process.start();
     calls.onBackendContact([this](bool reached) { local.onContact(reached); });
     calls.onWrongIncarnation([this](const std::string& endpoint) { local.onWrongEndpoint(endpoint); });
@@ -55,13 +56,13 @@
     return options;
   }
 
-  static wire::EndpointState place() {
-    wire::EndpointState place;
-    place.serviceName = "records";
-    place.address = "10.0.0.1";
-    place.port = 7000;
-    place.zone = "zone";
-    return place;
+  static wire::EndpointState endpointState() {
+    wire::EndpointState endpointState;
+    endpointState.serviceName = "records";
+    endpointState.address = "10.0.0.1";
+    endpointState.port = 7000;
+    endpointState.zone = "zone";
+    return endpointState;
   }
 
   void runFor(base::Duration duration) {
@@ -100,20 +101,20 @@
 };
 
 /// A back end that is asked for its name; the test gives the answers.
-struct AskedBackendFixture : LocalBackendFixture {
-  void askWhenUnsure(bool afterRestart) {
-    local.setIdentityCheck([this](LocalBackend::IdentityCallback done) { questions.push_back(std::move(done)); },
+struct IdentityCheckFixture : LocalBackendFixture {
+  void enableIdentityCheck(bool afterRestart) {
+    local.setIdentityCheck([this](LocalBackend::IdentityCallback done) { identityChecks.push_back(std::move(done)); },
                            afterRestart);
   }
 
   void answer(const std::string& incarnation, bool leaving = false) {
-    REQUIRE(!questions.empty());
-    const auto done = std::move(questions.front());
-    questions.erase(questions.begin());
+    REQUIRE(!identityChecks.empty());
+    const auto done = std::move(identityChecks.front());
+    identityChecks.erase(identityChecks.begin());
     done({incarnation, leaving});
   }
 
-  std::vector<LocalBackend::IdentityCallback> questions;
+  std::vector<LocalBackend::IdentityCallback> identityChecks;
 };
 
 }  // namespace driftlug::node
--- a/test/node/local_backend_test.cc
+++ b/test/node/local_backend_test.cc
@@ -4,81 +4,81 @@
 
 namespace driftlug::node {
 
-TEST_CASE_METHOD(AskedBackendFixture, "a late report of an incarnation that this life does not know displaces none") {
-  askWhenUnsure(true);
+TEST_CASE_METHOD(IdentityCheckFixture, "a late report of an incarnation that this life does not know displaces none") {
+  enableIdentityCheck(true);
   local.onIdentified("i-2");
   local.onReport(report("i-2", 7));
-  CHECK(local.onReport(report("i-1", 50)) == ReportVerdict::kHeld);
+  CHECK(local.onReport(report("i-1", 50)) == ReportResult::kPending);
   call(1, "i-2");
   CHECK(backend.requests.size() == 1);
   answer("i-2");
   CHECK(local.incarnation() == "i-2");
   CHECK(announced.back().endpoint == "i-2");
   CHECK(announced.back().condition == EndpointCondition::LIVE);
-  CHECK(local.onReport(report("i-2", 8)) == ReportVerdict::kTaken);
+  CHECK(local.onReport(report("i-2", 8)) == ReportResult::kAccepted);
   SECTION("it comes once more") {
-    CHECK(local.onReport(report("i-1", 50)) == ReportVerdict::kOutdated);
-    CHECK(local.onReport(report("i-1", 49)) == ReportVerdict::kOutdated);
-    CHECK(questions.empty());
+    CHECK(local.onReport(report("i-1", 50)) == ReportResult::kOutdated);
+    CHECK(local.onReport(report("i-1", 49)) == ReportResult::kOutdated);
+    CHECK(identityChecks.empty());
   }
   SECTION("a newer one comes: the back end is asked again") {
-    CHECK(local.onReport(report("i-1", 51)) == ReportVerdict::kHeld);
+    CHECK(local.onReport(report("i-1", 51)) == ReportResult::kPending);
     answer("i-2");
     CHECK(local.incarnation() == "i-2");
   }
 }
 
-TEST_CASE_METHOD(AskedBackendFixture,
+TEST_CASE_METHOD(IdentityCheckFixture,
                  "a back end that has started again is taken on its own word, and the old one never comes") {
-  askWhenUnsure(false);
-  CHECK(local.onReport(report("i-1", 9)) == ReportVerdict::kTaken);
-  CHECK(local.onReport(report("i-2", 1)) == ReportVerdict::kHeld);
+  enableIdentityCheck(false);
+  CHECK(local.onReport(report("i-1", 9)) == ReportResult::kAccepted);
+  CHECK(local.onReport(report("i-2", 1)) == ReportResult::kPending);
   answer("i-2");
   CHECK(local.incarnation() == "i-2");
   call(1, "i-2");
   CHECK(backend.requests.size() == 1);
-  CHECK(local.onReport(report("i-1", 10)) == ReportVerdict::kOutdated);
-  CHECK(questions.empty());
+  CHECK(local.onReport(report("i-1", 10)) == ReportResult::kOutdated);
+  CHECK(identityChecks.empty());
   CHECK(announced.back().endpoint == "i-2");
 }
 
-TEST_CASE_METHOD(AskedBackendFixture, "of several names only the one that the back end gives is taken") {
-  askWhenUnsure(false);
+TEST_CASE_METHOD(IdentityCheckFixture, "of several names only the one that the back end gives is taken") {
+  enableIdentityCheck(false);
   local.onReport(report("i-1", 9));
   local.onReport(report("i-3", 1));
   local.onReport(report("i-2", 4));
-  REQUIRE(questions.size() == 1);
+  REQUIRE(identityChecks.size() == 1);
   answer("i-3");
   CHECK(local.incarnation() == "i-3");
-  CHECK(local.onReport(report("i-2", 4)) == ReportVerdict::kOutdated);
+  CHECK(local.onReport(report("i-2", 4)) == ReportResult::kOutdated);
 }
 
-TEST_CASE_METHOD(AskedBackendFixture,
+TEST_CASE_METHOD(IdentityCheckFixture,
                  "a back end that does not say who it is is the sender of the last report, for now") {
-  askWhenUnsure(false);
+  enableIdentityCheck(false);
   local.onReport(report("i-2", 9));
   local.onReport(report("i-1", 50));
   answer("");
   CHECK(local.incarnation() == "i-1");
   // The one that gave way without proof comes back by a newer report, not by one that was late.
-  CHECK(local.onReport(report("i-2", 9)) == ReportVerdict::kOutdated);
-  CHECK(local.onReport(report("i-2", 10)) == ReportVerdict::kHeld);
+  CHECK(local.onReport(report("i-2", 9)) == ReportResult::kOutdated);
+  CHECK(local.onReport(report("i-2", 10)) == ReportResult::kPending);
   answer("i-2");
   CHECK(local.incarnation() == "i-2");
   CHECK(announced.back().endpoint == "i-2");
   CHECK(announced.back().condition == EndpointCondition::LIVE);
-  CHECK(local.onReport(report("i-1", 51)) == ReportVerdict::kOutdated);
+  CHECK(local.onReport(report("i-1", 51)) == ReportResult::kOutdated);
 }
 
-TEST_CASE_METHOD(AskedBackendFixture, "after a restart of the node, a late report alone revives nobody") {
-  askWhenUnsure(true);
-  CHECK(local.onReport(report("i-1", 50)) == ReportVerdict::kHeld);
+TEST_CASE_METHOD(IdentityCheckFixture, "after a restart of the node, a late report alone revives nobody") {
+  enableIdentityCheck(true);
+  CHECK(local.onReport(report("i-1", 50)) == ReportResult::kPending);
   CHECK(announced.empty());
   SECTION("another one runs") {
     answer("i-2");
     CHECK(local.incarnation().empty());
-    CHECK(local.onReport(report("i-1", 50)) == ReportVerdict::kOutdated);
-    CHECK(local.onReport(report("i-2", 3)) == ReportVerdict::kTaken);
+    CHECK(local.onReport(report("i-1", 50)) == ReportResult::kOutdated);
+    CHECK(local.onReport(report("i-2", 3)) == ReportResult::kAccepted);
     CHECK(announced.back().endpoint == "i-2");
   }
   SECTION("it runs") {
@@ -91,7 +91,7 @@
     CHECK(announced.back().condition == EndpointCondition::DRAINING);
     call(1, "i-1");
     CHECK(backend.requests.empty());
-    CHECK(local.onReport(report("i-1", 51)) == ReportVerdict::kTaken);
+    CHECK(local.onReport(report("i-1", 51)) == ReportResult::kAccepted);
     CHECK(announced.back().condition == EndpointCondition::LIVE);
   }
   SECTION("nobody says") {
@@ -103,7 +103,7 @@
 TEST_CASE_METHOD(LocalBackendFixture, "no call is taken before the back end has told of itself") {
   call(1, "i-1");
   CHECK(refusalOf(1) == base::ErrorCode::kDraining);
-  CHECK(local.onReport(report("i-1", 1)) == ReportVerdict::kTaken);
+  CHECK(local.onReport(report("i-1", 1)) == ReportResult::kAccepted);
   call(2, "i-1");
   CHECK(backend.requests.size() == 1);
   REQUIRE(announced.size() == 1);
@@ -136,7 +136,7 @@
 
 TEST_CASE_METHOD(LocalBackendFixture, "a late report changes nothing") {
   local.onReport(report("i-1", 5, true));
-  CHECK(local.onReport(report("i-1", 4)) == ReportVerdict::kOutdated);
+  CHECK(local.onReport(report("i-1", 4)) == ReportResult::kOutdated);
   call(1, "i-1");
   CHECK(refusalOf(1) == base::ErrorCode::kDraining);
 }
@@ -146,7 +146,7 @@
   SECTION("it left") { local.onLeave("i-1"); }
   SECTION("another one took its place") { local.onReport(report("i-2", 1)); }
   CHECK(announced.size() >= 2);
-  CHECK(local.onReport(report("i-1", 9)) == ReportVerdict::kOutdated);
+  CHECK(local.onReport(report("i-1", 9)) == ReportResult::kOutdated);
   call(1, "i-1");
   CHECK(refusalOf(1) != base::ErrorCode::kNone);
   CHECK(backend.requests.empty());
@@ -158,8 +158,8 @@
   backend.pending[0]({BackendOutcome::kCompleted, false, 421, {}, ""});
   CHECK(refusalOf(1) == base::ErrorCode::kWrongEndpoint);
   CHECK(announced.back().condition == EndpointCondition::GONE);
-  CHECK(local.onReport(report("i-1", 2)) == ReportVerdict::kOutdated);
-  CHECK(local.onReport(report("i-2", 1)) == ReportVerdict::kTaken);
+  CHECK(local.onReport(report("i-1", 2)) == ReportResult::kOutdated);
+  CHECK(local.onReport(report("i-2", 1)) == ReportResult::kAccepted);
 }
 
 TEST_CASE_METHOD(LocalBackendFixture,
@@ -167,7 +167,8 @@
   local.onReport(report("i-1", 3));
   const auto before = announced.back();
   std::vector<wire::EndpointState> later;
-  LocalBackend restarted(place(), process, calls, [&](const wire::EndpointState& state) { later.push_back(state); });
+  LocalBackend restarted(endpointState(), process, calls,
+                         [&](const wire::EndpointState& state) { later.push_back(state); });
   restarted.onReport(report("i-1", 4));
   REQUIRE(later.size() == 1);
   CHECK(later[0].incarnation > before.incarnation);
--- a/test/node/slice_store_test.cc
+++ b/test/node/slice_store_test.cc
@@ -23,7 +23,7 @@
 const std::vector<std::string> kNames = {"a", "b", "c", "d"};
 
 /// Compares all that calls ask of a version.
-void checkAlike(const routing::RoutingTable& left, const routing::RoutingTable& right) {
+void checkEquivalent(const routing::RoutingTable& left, const routing::RoutingTable& right) {
   for (const auto& name : kNames) {
     const auto* one = left.match(name, "/", "GET");
     const auto* other = right.match(name, "/", "GET");
@@ -59,7 +59,7 @@
       table.put(row);
       REQUIRE(store.apply(deltaOf(table, store.revision(), row)) == SliceResult::kActivated);
       CHECK(store.digest() == table.digest());
-      checkAlike(*store.active(), routing::RoutingTable(table, revision));
+      checkEquivalent(*store.active(), routing::RoutingTable(table, revision));
     }
   }
 }
--- a/test/node/version_on_disk_test.cc
+++ b/test/node/version_on_disk_test.cc
@@ -34,7 +34,7 @@
     client->start(&disk);
   }
 
-  void die(bool powerLost) {
+  void stopNode(bool powerLost) {
     process.kill();
     client.reset();
     network.connected.clear();
@@ -61,10 +61,10 @@
     client->onMessage(connection, update);
   }
 
-  int64_t serves() const { return client->slices().active() ? client->slices().revision() : 0; }
+  int64_t servedRevision() const { return client->slices().active() ? client->slices().revision() : 0; }
 
   /// @return whether the node serves nothing that is older than what it has served.
-  bool neverBack() const { return serves() == 0 || serves() >= newest; }
+  bool neverServedOlder() const { return servedRevision() == 0 || servedRevision() >= newest; }
 
   simulation::EventQueue queue;
   base::RandomSource random;
@@ -80,26 +80,27 @@
 }  // namespace
 
 TEST_CASE("a node that died while it kept a version does not serve an older one after a loss of power") {
-  constexpr int kMoments = 12;  // events from the update to the version in force, and some more
+  constexpr int kMaxEvents = 12;  // events from the update to the version in force, and some more
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    for (int moment = 0; moment <= kMoments; ++moment) {
+    for (int eventCount = 0; eventCount <= kMaxEvents; ++eventCount) {
       Machine machine(seed);
       machine.runFor(kSettled);
       machine.send(1);
       machine.runFor(kSettled);
-      REQUIRE(machine.serves() == 1);
+      REQUIRE(machine.servedRevision() == 1);
       machine.send(2);
-      for (int i = 0; i < moment; ++i) machine.step();
-      machine.die(false);
+      for (int i = 0; i < eventCount; ++i) machine.step();
+      machine.stopNode(false);
       machine.start();
       machine.runFor(kSettled);
-      CHECK(machine.serves() > 0);
-      CHECK(machine.neverBack());
-      machine.die(true);
+      CHECK(machine.servedRevision() > 0);
+      CHECK(machine.neverServedOlder());
+      machine.stopNode(true);
       machine.start();
       machine.runFor(kSettled);
-      INFO("seed " << seed << ", event " << moment << ": " << machine.newest << " back to " << machine.serves());
-      CHECK(machine.neverBack());
+      INFO("seed " << seed << ", event " << eventCount << ": " << machine.newest << " back to "
+                   << machine.servedRevision());
+      CHECK(machine.neverServedOlder());
     }
   }
 }
@@ -113,12 +114,12 @@
     machine.disk.setFull(true);
     machine.send(2);
     machine.runFor(kSettled);
-    CHECK(machine.serves() == 2);
-    machine.die(true);
+    CHECK(machine.servedRevision() == 2);
+    machine.stopNode(true);
     machine.start();
     machine.runFor(kSettled);
-    INFO("seed " << seed << ": " << machine.newest << " back to " << machine.serves());
-    CHECK(machine.neverBack());
+    INFO("seed " << seed << ": " << machine.newest << " back to " << machine.servedRevision());
+    CHECK(machine.neverServedOlder());
   }
 }
 
@@ -135,13 +136,13 @@
     if (healed) {
       machine.disk.setFailing(false);
       machine.runFor(base::seconds(1));
-      CHECK(machine.serves() == 2);
+      CHECK(machine.servedRevision() == 2);
     }
-    machine.die(true);
+    machine.stopNode(true);
     machine.start();
     machine.runFor(kSettled);
-    INFO("seed " << seed << ": " << machine.newest << " back to " << machine.serves());
-    CHECK(machine.neverBack());
+    INFO("seed " << seed << ": " << machine.newest << " back to " << machine.servedRevision());
+    CHECK(machine.neverServedOlder());
   }
 }
 
@@ -151,11 +152,11 @@
     machine.runFor(kSettled);
     machine.send(1);
     machine.runFor(kSettled);
-    machine.die(false);
+    machine.stopNode(false);
     machine.disk.setFailing(true);
     machine.start();
     machine.runFor(base::seconds(3));
-    CHECK(machine.serves() == 0);
+    CHECK(machine.servedRevision() == 0);
     if (!machine.network.connected.empty()) machine.send(2);
     machine.runFor(kSettled);
     const bool healed = seed % 2 == 0;
@@ -165,13 +166,13 @@
       REQUIRE(!machine.network.connected.empty());
       machine.send(3);
       machine.runFor(kSettled);
-      CHECK(machine.serves() == 3);
+      CHECK(machine.servedRevision() == 3);
     }
-    machine.die(true);
+    machine.stopNode(true);
     machine.start();
     machine.runFor(kSettled);
-    INFO("seed " << seed << ": " << machine.newest << " back to " << machine.serves());
-    CHECK(machine.neverBack());
+    INFO("seed " << seed << ": " << machine.newest << " back to " << machine.servedRevision());
+    CHECK(machine.neverServedOlder());
   }
 }
 
