--- a/src/node/endpoint_calls.cc
+++ b/src/node/endpoint_calls.cc
@@ -13,11 +13,11 @@
 
 constexpr int kMisdirectedStatus = 421;
 constexpr int kFirstServerError = 500;
-/// A node that has asked within this time counts as one that will ask again.
+/// A node that sent a request within this time counts as an active caller.
 constexpr base::Duration kActiveCallerWindow = base::seconds(2);
-/// How many requests are wanted for each slot that becomes free, so that none stays empty.
+/// Number of requests invited for each slot that becomes free, so that no slot stays idle.
 constexpr int kRequestsPerFreeSlot = 2;
-/// Suspects on the back end at once, so that a crash names one of them at the most.
+/// Suspects that may run concurrently: with one, a crash identifies at most one suspect.
 constexpr int kMaxConcurrentSuspects = 1;
 constexpr base::Duration kShedRetryAfter = base::milliseconds(100);
 
@@ -73,7 +73,7 @@
   refuseWaitingIfClosed();
 }
 
-/// @return why what waits is refused when no more is taken.
+/// @return the error for waiting calls when no more calls are accepted.
 ErrorCode EndpointCalls::closedError() const {
   if (draining_ || takesCalls()) return ErrorCode::kDraining;
   return evacuated_ ? ErrorCode::kZoneEvacuated : ErrorCode::kVersionNotReleased;
@@ -81,8 +81,8 @@
 
 bool EndpointCalls::versionTakesCalls() const { return !versions_ || versions_->takes(version_); }
 
-/// What waits for a version or in a zone that takes no calls any more runs elsewhere; this holds also for calls of
-/// nodes with an older table.
+/// Refuses waiting calls if the version is not released or the zone is evacuated, so that they run elsewhere. This also
+/// covers calls of nodes with an older table.
 void EndpointCalls::refuseWaitingIfClosed() {
   if (takesCalls()) return;
   limiter_.refuseWaiting();
@@ -112,7 +112,7 @@
   }
   endpoint_ = endpoint;
   endpointSlots_ = slots;
-  // What a cold back end bears stands in the table; until it is here, one request a second for each slot is little.
+  // The table configures the rate for a cold back end; until it arrives, one request per second and slot is a low rate.
   if (!hasTable_) pace_.setRate(slots > 0 ? slots : options_.defaultSlots);
   applyLimits();
 }
@@ -194,7 +194,7 @@
 base::TimePoint EndpointCalls::latestStartOf(const Call& call) const {
   const int targetMs = call.request.targetLatencyMs;
   if (!options_.waitWithinTarget || targetMs == 0) return call.deadline;
-  // A late answer still saves the work that hangs on a nested call; only one that comes after its end is worth nothing.
+  // A late answer to a nested call is still useful to the call that made it, up to the deadline.
   if (call.nested) return call.deadline - base::microsecondsOf(options_.runTimeMargin * averageRunUs(call.request));
   const double targetUs = static_cast<double>(base::Duration(base::milliseconds(targetMs)).count());
   const double spareUs = remainingTargetUs(call.request) - options_.runTimeMargin * averageRunUs(call.request);
@@ -244,7 +244,7 @@
 limits::Priority EndpointCalls::priorityOf(const Call& call) const {
   if (call.nested) return limits::Priority::kNested;
   const auto& request = call.request;
-  // Where targets count, the one that is nearest goes first within a priority, whether it may be repeated or not.
+  // With targets, the nearest one goes first within a priority, whether or not the request may be repeated.
   const bool byTarget = options_.waitWithinTarget && request.targetLatencyMs > 0;
   const auto rank = limits::rankOf(request.priority, byTarget || isRepeatable(request));
   return byTarget && isLate(request) ? limits::afterAllInTime(rank) : rank;
@@ -299,7 +299,7 @@
   const bool completed = answer.outcome == BackendOutcome::kCompleted;
   const bool notReached = answer.outcome == BackendOutcome::kNotSent;
   if (onBackendContact_ && (completed || notReached)) onBackendContact_(completed);
-  if (!completed && hasTable_) markPossiblyCold();  // it may be another life of the back end that answers next
+  if (!completed && hasTable_) markPossiblyCold();  // the back end may have restarted
   if (notReached) {
     return releaseClaimAndRefuse(key, ErrorCode::kBackendUnreachable, base::Duration(0));
   }
@@ -327,7 +327,7 @@
 
 bool EndpointCalls::backendRefused(const CallKey& key, const BackendAnswer& answer) {
   if (answer.httpStatus == kMisdirectedStatus && options_.dynamicEndpoint) {
-    // Another incarnation has taken the address; what this node believed of its back end is over.
+    // Another incarnation has taken over the address.
     const auto endpoint = calls_[key].request.endpoint;
     releaseClaimAndRefuse(key, ErrorCode::kWrongEndpoint, base::Duration(0));
     if (onWrongIncarnation_) onWrongIncarnation_(endpoint);
@@ -382,8 +382,8 @@
   answer(key, std::move(response));
 }
 
-/// The nodes that ask are to ask, all together, somewhat more often than there is room for one more: a request that is
-/// refused has crossed this node's link for nothing, and many nodes fill the link.
+/// Returns the back-off for a calling node. All active callers together should send kRequestsPerFreeSlot requests per
+/// `interval`: refused requests waste bandwidth of this node's link, and those of many nodes can fill it.
 base::Duration EndpointCalls::callerBackoff(base::Duration interval, base::TimePoint CallerNode::*lastSeenAt) const {
   const auto since = scheduler_.now() - kActiveCallerWindow;
   const auto activeCallers = std::count_if(callerNodes_.begin(), callerNodes_.end(),
@@ -439,13 +439,13 @@
     return grantBodies();
   }
   if (!found->second.running) return abandonCall(key);
-  // A request that may not be repeated is let finish, so that its outcome stays known to the back end.
+  // A request that may not be repeated runs to completion, so that its outcome is known to the back end.
   if (!isRepeatable(found->second.request)) return;
   backend_.cancel(found->second.backendId);
   abandonCall(key);
 }
 
-/// Drops a call that nobody waits for any more.
+/// Drops a call whose caller no longer waits for it.
 void EndpointCalls::abandonCall(const CallKey& key) {
   const auto call = calls_.extract(key);
   limiter_.cancel(call.mapped().ticket);
--- a/src/node/endpoint_calls.h
+++ b/src/node/endpoint_calls.h
@@ -1,4 +1,4 @@
-/// The endpoint side of calls: admits them to the back end beside this node.
+/// The endpoint side of calls: admits them to this node's local back end.
 #pragma once
 
 #include <functional>
@@ -24,131 +24,134 @@
 
 namespace driftlug::node {
 
-/// Settings of the endpoint side.
+/// Settings of EndpointCalls.
 struct EndpointOptions {
-  std::string service;  ///< empty on a node without a back end
+  std::string service;  ///< service of the local back end; empty on a node without one
   int defaultSlots = 16;
   int defaultQueue = 32;
-  /// A header, in lower case, by which the back end says that it did not run the request.
+  /// Response header, in lower case, that marks a request that the back end did not run.
   std::string notRunHeader = "x-shed";
-  /// Whether calls are taken only for the incarnation of the back end that useIncarnation() named.
+  /// Whether only calls for the incarnation set by useIncarnation() are accepted.
   bool dynamicEndpoint = false;
-  /// Whether a request is refused at once when it would wait so long for a slot that its answer would miss the target
-  /// latency of its route; else it waits as long as its deadline allows.
+  /// Whether a request is refused at once if its wait for a slot would make it miss the target latency of its route.
+  /// Otherwise a request may wait until its deadline.
   bool waitWithinTarget = false;
-  /// What a cold back end is handed, as a multiple of what it bears by the table.
+  /// Rate of requests to a cold back end, as a multiple of the rate that the table configures.
   double coldOverage = 1;
-  double runTimeMargin = 1.3;  ///< with waitWithinTarget: what is kept free for the run, as a multiple of a usual run
-  double minWaitShare = 0.15;  ///< with waitWithinTarget: share of the target that a request may wait at the least
-  /// Whether nested calls, as far as they can be told, go first: the work that hangs on them is done already.
+  double runTimeMargin = 1.3;  ///< with waitWithinTarget: time reserved for a run, as a multiple of the average run
+  double minWaitShare = 0.15;  ///< with waitWithinTarget: share of the target latency that a request may always wait
+  /// Whether calls that are detected as nested go first: refusing one wastes the work already done for its outer call.
   bool nestedFirst = true;
-  double nestedShare = 0.75;             ///< with nestedFirst: share of the slots that they may hold while others wait
-  std::string requestIdHeader;           ///< header, in lower case, by which logs name a call; empty for none
-  base::Duration overloadRetryAfter{0};  ///< least time after which a refused caller is asked to come back
-  base::Duration maxFullFor = base::milliseconds(1500);  ///< longest time for which an asking node is sent away
+  double nestedShare = 0.75;    ///< with nestedFirst: highest share of slots for nested calls while others wait
+  std::string requestIdHeader;  ///< header, in lower case, whose value identifies a call in logs; empty for none
+  base::Duration overloadRetryAfter{0};                  ///< lower bound of the Retry-After of overload refusals
+  base::Duration maxFullFor = base::milliseconds(1500);  ///< upper bound of the back-off of a calling node
   std::string nodeId;
-  std::string zone;  ///< of this node and its back end
+  std::string zone;  ///< zone of this node and its back end
   overload::body_intake_options bodies;
 };
 
-/// Counters of the endpoint side.
+/// Counters of EndpointCalls.
 struct EndpointCounters {
   int64_t calls = 0;
   int64_t completed = 0;
   int64_t refused = 0;
   int64_t unknown = 0;
-  int64_t heldBack = 0;       ///< refused since their request is held
-  int64_t probationRuns = 0;  ///< of suspects
-  int64_t cutRuns = 0;        ///< whose connection the back end closed without an answer, as it does when it crashes
+  int64_t heldBack = 0;       ///< refused because their request is quarantined
+  int64_t probationRuns = 0;  ///< runs of suspect requests
+  int64_t cutRuns = 0;        ///< runs whose connection the back end closed without an answer, as in a crash
   int64_t cancelled = 0;
   int64_t replayed = 0;              ///< answered from the ledger, without a run
-  int64_t refusedForLink = 0;        ///< refused since their body could not have arrived in time
-  int64_t refusedForAnswer = 0;      ///< refused since their answer could not have left in time
-  base::LatencyHistogram waitTimes;  ///< of calls that started: from their arrival to their start
-  base::LatencyHistogram runTimes;   ///< of completed calls: from their start to the back end's answer
+  int64_t refusedForLink = 0;        ///< refused because their body could not have arrived in time
+  int64_t refusedForAnswer = 0;      ///< refused because their answer could not have been sent in time
+  base::LatencyHistogram waitTimes;  ///< from arrival to start, of calls that started
+  base::LatencyHistogram runTimes;   ///< from start to the back end's answer, of completed calls
 };
 
-/// A run on the back end that has ended.
+/// Result of a run on the back end.
 struct BackendRunResult {
-  int64_t route = 0;    ///< hash of the route's name; 0 where its caller did not tell
-  bool failed = false;  ///< the back end, not the request, was at fault: a 5xx of its own, a cut answer, none in time
+  int64_t route = 0;    ///< hash of the route's name; 0 if the caller did not send it
+  bool failed = false;  ///< failed by the back end: a 5xx status, a connection closed before the answer, or a timeout
   base::Duration runTime{0};
 };
 
-/// A request that may not be repeated is claimed in the ledger before the back end sees it, under its idempotency
-/// key: whoever sends the key again gets the stored answer, or "outcome unknown", and never a second run.
+/// Admits calls to the local back end.
 ///
-/// Invariants: a call answered NOT_RUN was never sent to the back end, or the back end itself said that it did
-/// not run it; a call is sent to the back end at most once.
+/// A request that may not be repeated is claimed in the ledger under its idempotency key before it is sent to the back
+/// end. A resend of the key gets the stored answer or "outcome unknown", never a second run.
+///
+/// Invariants: a call answered NOT_RUN was never sent to the back end, or the back end reported that it did not run it;
+/// a call is sent to the back end at most once.
 class EndpointCalls {
  public:
-  /// @param ledger null where requests that may not be repeated are taken without a claim
+  /// @param ledger null if requests that may not be repeated are accepted without a claim
   EndpointCalls(EndpointOptions options, base::Scheduler& scheduler, base::Network& network, BackendClient& backend,
                 ledger::LedgerClient* ledger);
   ~EndpointCalls();
 
-  /// Takes limits from a new version.
+  /// Applies the limits, released versions and evacuations of a new version of the table.
   void useTable(const routing::RoutingTable& table);
 
-  /// Has requests that crash the back end told from others; without it, none is.
-  /// @param quarantine what is known of them; outlives this object, as `watch` does
-  /// @param watch tells crashes; null where the back end can't be asked
+  /// Enables the quarantine of requests that crash the back end.
+  /// @param quarantine outlives this object, as `watch` does
+  /// @param watch detects crashes; null if the back end can't be probed
   void useQuarantine(quarantine::request_quarantine* quarantine, quarantine::crash_watch* watch);
 
-  /// The standing of requests may have changed: those that wait are judged again.
+  /// Re-evaluates the calls that wait for probation after a change of the quarantine.
   void onQuarantineChange();
 
   void onOpen(base::ConnectionId connection, const wire::Hello& peer);
   void onRequest(base::ConnectionId connection, const wire::CallRequest& request);
-  /// A caller asks for a sign of life.
+  /// Answers a caller's keep-alive.
   void onKeepAlive(base::ConnectionId connection);
 
   void onBodyPiece(base::ConnectionId connection, const wire::CallBodyPiece& piece);
   void onCancel(base::ConnectionId connection, int64_t callId);
-  /// A caller's node stops: a call that has not begun to run is refused.
+  /// Refuses a call of a stopping node unless it has started to run.
   void onWithdraw(base::ConnectionId connection, int64_t callId);
   void onClose(base::ConnectionId connection);
 
-  /// Refuses new calls and those that wait from now on, or accepts calls again; running ones go on.
+  /// Refuses new and waiting calls while draining; running calls continue.
   void setDraining(bool draining);
 
-  /// The back end says that it ends, or does not say so any more: what it cuts then tells of no crash.
+  /// Sets whether the back end is shutting down. Connections that it closes meanwhile do not count as crashes.
   void setLeaving(bool leaving) { leaving_ = leaving; }
 
-  /// The back end beside this node is another incarnation now.
-  /// @param endpoint its name; empty while none is known, and then every call is refused
-  /// @param slots requests that it works on at once; 0 when it does not say
+  /// Sets the incarnation of the back end.
+  /// @param endpoint its name; empty while none is known, in which case every call is refused
+  /// @param slots number of requests that it runs concurrently; 0 if it did not report it
   void useIncarnation(const std::string& endpoint, int slots);
 
-  /// Whether what arrives now may have waited unread while this process was stopped or its machine suspended: nobody
-  /// knows any more how much of its time is left, so it is refused as not run.
+  /// Sets whether requests that arrive now may have waited unread while this process was stopped or its machine
+  /// suspended. Their remaining time is unknown, so they are refused as not run.
   void setStale(bool stale) { stale_ = stale; }
 
-  /// The incarnation in use goes by another name from now on; calls for the former one are taken too.
+  /// Renames the current incarnation; calls for its previous name are still accepted.
   void renameIncarnation(const std::string& endpoint);
 
-  /// The back end has started again: what it was working on is lost, and so are all connections to it.
+  /// Handles a restart of the back end: running calls and connections are lost, waiting calls are refused.
   void onBackendRestarted();
 
-  /// Called when the back end says that it is another incarnation than the named one.
+  /// Sets the handler for calls that the back end rejects as meant for another incarnation.
   void onWrongIncarnation(std::function<void(const std::string&)> handler) { onWrongIncarnation_ = std::move(handler); }
 
-  /// The back end said for how long it is cold, by itself or when it was asked.
+  /// Handles the remaining cold time that the back end reported.
+  /// @param asked whether it is the answer to a cold check
   void onColdReport(base::Duration coldFor, bool asked);
 
-  /// The back end may have turned cold without saying so.
+  /// Treats the back end as cold until a cold check is answered.
   void markPossiblyCold();
 
-  /// Called when the back end is to be asked whether it is cold; the answer goes to onColdReport().
+  /// Sets the handler that asks the back end whether it is cold; the answer goes to onColdReport().
   void onColdCheckNeeded(std::function<void()> handler) { onColdCheckNeeded_ = std::move(handler); }
 
-  /// Called when a run has ended, unless its caller gave it up.
+  /// Sets the handler for finished runs; not called for cancelled ones.
   void onRunEnded(std::function<void(const BackendRunResult&)> handler) { onRunEnded_ = std::move(handler); }
 
-  /// The version of the back end's software changed, or is known now; a rollout decides whether it takes calls.
+  /// Sets the version of the back end's software; rollouts decide by it whether calls are accepted.
   void useVersion(const std::string& version);
 
-  /// Called when the back end has answered a call, or could not be reached for one.
+  /// Sets the handler that is called when the back end answered a call or could not be reached.
   void onBackendContact(std::function<void(bool reached)> handler) { onBackendContact_ = std::move(handler); }
 
   bool draining() const { return draining_; }
@@ -158,7 +161,7 @@
   const overload::body_intake& bodies() const { return bodies_; }
 
  private:
-  /// Time for which a node goes on to tell the ledger how a request ended.
+  /// Time for which reporting the outcome of a request to the ledger is retried.
   static constexpr base::Duration kLedgerTimeout = base::seconds(2);
 
   struct CallKey {
@@ -171,27 +174,27 @@
     wire::CallRequest request;
     base::TimePoint deadline;
     base::TimePoint arrivedAt{};
-    base::TimePoint latestStart{};  // at which the back end must get it for its answer to be of use
-    bool awaitsBody = false;        // pieces of its body are still to come
+    base::TimePoint latestStart{};  // latest start at which the answer is still useful
+    bool awaitsBody = false;        // the body has not arrived completely
     limits::TicketId ticket = 0;
-    std::optional<quarantine::request_fingerprint> fingerprint;  // once it was needed
-    bool suspect = false;                                        // runs on probation
-    bool onProbation = false;                                    // holds the one place for suspects
+    std::optional<quarantine::request_fingerprint> fingerprint;  // computed on first use
+    bool suspect = false;                                        // must run on probation
+    bool onProbation = false;                                    // holds the probation slot
     base::TimePoint onProbationAt{};
-    limits::TicketId probationTicket = 0;  // while it waits for that place
-    bool nested = false;                   // made by a back end, as far as can be told
+    limits::TicketId probationTicket = 0;  // while it waits for the probation slot
+    bool nested = false;                   // detected as a call made by a back end
     limits::Priority priority = limits::Priority::kNormal;
     bool running = false;
     uint64_t backendId = 0;
     base::TimePoint startedAt{};
-    std::string owner;      // of the claim, empty while there is none
-    int claimAttempts = 0;  // while another owner holds the key
+    std::string owner;      // owner of the ledger claim; empty without a claim
+    int claimAttempts = 0;  // attempts to claim the key
   };
 
-  /// When a connected node last asked for something.
+  /// A connected node that sends calls.
   struct CallerNode {
     base::TimePoint lastRequestAt{};
-    base::TimePoint lastBodyAnnouncedAt{};  // a call with a body in pieces
+    base::TimePoint lastBodyAnnouncedAt{};  // last call whose body follows in pieces
   };
 
   void admit(const CallKey& key);
@@ -261,35 +264,35 @@
   ledger::LedgerClient* ledger_;  // may be null
   limits::ColdPace pace_;
   limits::SlotLimiter limiter_;
-  limits::SlotLimiter probation_;                         // one place, for suspects
+  limits::SlotLimiter probation_;                         // one slot, for suspects
   quarantine::request_quarantine* quarantine_ = nullptr;  // may stay null
   quarantine::crash_watch* watch_ = nullptr;              // may stay null
   bool leaving_ = false;
   bool stale_ = false;
   std::map<CallKey, Call> calls_;
   std::map<base::ConnectionId, CallerNode> callerNodes_;
-  std::map<base::ConnectionId, std::string> callerServices_;  // the services beside the connected nodes
+  std::map<base::ConnectionId, std::string> callerServices_;  // services of the connected nodes
   overload::call_origins origins_;
   overload::body_intake bodies_;
   overload::answer_room answers_;
-  base::ConnectionId ownConnection_ = 0;  // of this node's own callers; crosses no link
-  base::Timer bodyTimer_;                 // runs while bodies are awaited
+  base::ConnectionId ownConnection_ = 0;  // of this node's own callers; does not use the link
+  base::Timer bodyTimer_;                 // active while bodies are awaited
   bool draining_ = false;
   bool evacuated_ = false;
   bool hasTable_ = false;
-  base::Timer coldCheckTimer_;          // runs while it is doubtful whether the back end is warm
-  std::map<int, double> averageRunUs_;  // moving averages of runs, by the target latency of their routes
-  base::Timer expiryTimer_;             // runs while requests wait for a slot
-  std::string endpoint_;                // the incarnation of the back end, with dynamicEndpoint
-  std::string previousEndpoint_;        // by which it was known before; may be empty
+  base::Timer coldCheckTimer_;          // active until a cold check is answered
+  std::map<int, double> averageRunUs_;  // moving averages of run times, by target latency of the route
+  base::Timer expiryTimer_;             // active while requests wait for a slot
+  std::string endpoint_;                // incarnation of the back end, with dynamicEndpoint
+  std::string previousEndpoint_;        // name before renameIncarnation(); may be empty
   int endpointSlots_ = 0;
   std::optional<routing::ServiceLimit> tableLimit_;
   std::function<void(const std::string&)> onWrongIncarnation_;  // may be empty
   std::function<void(bool)> onBackendContact_;                  // may be empty
   std::function<void(const BackendRunResult&)> onRunEnded_;     // may be empty
   std::function<void()> onColdCheckNeeded_;                     // may be empty
-  std::string version_;                                         // of the back end's software; may be empty
-  std::optional<rollout::version_policy> versions_;             // that take calls; all where nothing is known
+  std::string version_;                                         // version of the back end's software; may be empty
+  std::optional<rollout::version_policy> versions_;             // versions that accept calls; all if unset
   EndpointCounters counters_;
   base::DecisionLog decisions_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/node/endpoint_calls_bodies.cc
+++ b/src/node/endpoint_calls_bodies.cc
@@ -1,4 +1,4 @@
-/// Bodies of calls that follow in pieces, and answers with large bodies.
+/// Call bodies that arrive in pieces, and admission of calls with large answers.
 #include <algorithm>
 
 #include "node/endpoint_calls.h"
@@ -9,15 +9,15 @@
 
 using base::ErrorCode;
 
-/// Interval at which bodies that will not come are given up, and the room of stalled senders is granted to others.
+/// Interval at which expired bodies are dropped and the grants of stalled senders are passed to others.
 constexpr base::Duration kBodyInterval = base::milliseconds(50);
 
 }  // namespace
 
-/// A body that can't be here in time isn't sent: the refusal costs its sender and this node's link next to nothing. One
-/// that is sent has its place among those that wait for a slot, so that it is not refused once it has crossed the link:
-/// on links of 1 Mbit/s under a load at the limit of the slots, requests served in time rise by 0.05 (mean of six
-/// loaded days, one play each), those of the kind with bodies by 0.08.
+/// A call whose body can't arrive in time is refused before the body is sent, which costs almost no bandwidth. A call
+/// whose body is sent reserves its place in the slot queue, so that it is not refused after the body has crossed the
+/// link. On links of 1 Mbit/s with load at the slot limit, this raises the share of requests served in time by 0.05
+/// (mean of six loaded days, one run each), and by 0.08 for requests with bodies.
 void EndpointCalls::awaitBody(const CallKey& key) {
   auto& call = calls_[key];
   const auto now = scheduler_.now();
@@ -36,7 +36,7 @@
   return {request.priority, request.targetLatencyMs, request.runOnce};
 }
 
-/// @return how long the answer to a call would wait for this node's link, and cross it, behind those that go before it.
+/// @return time until the answer to a call would be sent over this node's link, behind all queued and expected answers.
 base::Duration EndpointCalls::answerDelay(const CallKey& key) const {
   int64_t bytes = answers_.usualBytes(kindOf(calls_.at(key).request));
   for (const auto& [connection, service] : callerServices_) {
@@ -111,7 +111,7 @@
   grantBodies();
 }
 
-/// What a body tells may name its request as one that crashes back ends.
+/// Checks the quarantine again: the fingerprint of a request includes its body.
 void EndpointCalls::onBodyComplete(const CallKey& key) {
   if (standingOfCall(key) == quarantine::standing::clear) return limiter_.setReady(calls_.at(key).ticket);
   limiter_.cancel(calls_.at(key).ticket);
--- a/src/node/endpoint_calls_cold.cc
+++ b/src/node/endpoint_calls_cold.cc
@@ -1,4 +1,4 @@
-/// Back ends that are cold, and zones that are emptied, at the node beside the back end.
+/// Cold back ends and evacuated zones, on the endpoint side.
 #include <utility>
 
 #include "node/endpoint_calls.h"
@@ -6,12 +6,12 @@
 namespace driftlug::node {
 namespace {
 
-/// Pause between two questions whether the back end is cold; one that has no slot free may not answer.
+/// Interval between cold checks; a back end without a free slot may not answer one.
 constexpr base::Duration kColdCheckInterval = base::milliseconds(300);
 
 }  // namespace
 
-/// A zone is taken back when its back ends may have stood idle for long, and gone cold by it.
+/// The back ends of a zone may have gone cold while it was evacuated and they were idle.
 void EndpointCalls::useEvacuation(bool evacuated) {
   if (std::exchange(evacuated_, evacuated) && !evacuated) markPossiblyCold();
 }
--- a/src/node/endpoint_calls_ledger.cc
+++ b/src/node/endpoint_calls_ledger.cc
@@ -1,4 +1,4 @@
-/// Claims of requests that may not be repeated.
+/// Ledger claims for requests that may not be repeated.
 #include <xxhash.h>
 
 #include "node/endpoint_calls.h"
@@ -10,7 +10,7 @@
 
 constexpr base::Duration kLedgerRetryAfter = base::milliseconds(500);
 
-/// @return a hash over what the request asks for, to notice a key that is used for another request.
+/// @return a hash of the request's content, to detect a key that is reused for another request.
 int64_t contentHashOf(const wire::CallRequest& request) {
   const auto content = request.serviceName + '\n' + request.method + '\n' + request.path + '\n' + request.body;
   return static_cast<int64_t>(XXH3_64bits(content.data(), content.size()));
@@ -41,7 +41,7 @@
     case wire::LedgerVerdict::MISMATCH:
       return refuse(key, ErrorCode::kKeyReused, base::Duration(0));
     case wire::LedgerVerdict::CLAIMED:
-      // Another attempt with the key is running, or its node died; its answer may be stored in a moment.
+      // Another attempt with the key is running, or its node crashed; its answer may be stored soon.
       if (calls_[key].claimAttempts >= kMaxClaims) return answerUnknown(key, ErrorCode::kOutcomeUnknown);
       scheduler_.schedule(kClaimInterval, [this, alive = std::weak_ptr<bool>(alive_), key] {
         if (!alive.expired() && calls_.count(key) > 0) claim(key);
@@ -55,8 +55,8 @@
 void EndpointCalls::releaseClaimAndRefuse(const CallKey& key, ErrorCode error, base::Duration retryAfter) {
   const auto& call = calls_[key];
   if (call.owner.empty()) return refuse(key, error, retryAfter);
-  // Another endpoint may run the request only once the key is free again; without the ledger's word it stays claimed,
-  // and a resend will be told that the outcome is unknown.
+  // Another endpoint may run the request only once the key is released. If the ledger does not confirm, the key stays
+  // claimed and a resend is answered with an unknown outcome.
   ledger_->release(call.request.idempotencyKey, call.owner, kLedgerTimeout,
                    [this, alive = std::weak_ptr<bool>(alive_), key, error, retryAfter](const ledger::LedgerAnswer&) {
                      if (!alive.expired() && calls_.count(key) > 0) refuse(key, error, retryAfter);
--- a/src/node/endpoint_calls_quarantine.cc
+++ b/src/node/endpoint_calls_quarantine.cc
@@ -1,4 +1,4 @@
-/// Requests that crash the back end, told from the others that were at work with them.
+/// Quarantine of requests that crash the back end, on the endpoint side.
 #include "node/call_fingerprint.h"
 #include "node/endpoint_calls.h"
 #include "wire/frame.h"
@@ -9,7 +9,7 @@
 using base::ErrorCode;
 using quarantine::standing;
 
-/// Told to callers whose request had to wait for other suspects: a run each, of some hundred milliseconds.
+/// Retry-After for a request that could not run behind other suspects, which run for some hundred milliseconds each.
 constexpr base::Duration kProbationRetryAfter = base::milliseconds(500);
 
 }  // namespace
@@ -25,7 +25,7 @@
   return *call.fingerprint;
 }
 
-/// The node that sends a call may know of a crash that this one has not heard of yet.
+/// Includes the sender's view, which may know of a crash that has not been reported to this node yet.
 standing EndpointCalls::standingOfCall(const CallKey& key) {
   if (quarantine_ == nullptr) return standing::clear;
   const auto reported = calls_.at(key).request.suspect ? standing::suspect : standing::clear;
@@ -44,7 +44,7 @@
   }
 }
 
-/// Suspects wait for each other as long as their answer is of use: their callers have lost a run already.
+/// Suspects wait for each other until their deadline, beyond their target: their callers have already lost a run.
 void EndpointCalls::putOnProbation(const CallKey& key) {
   auto& call = calls_.at(key);
   call.suspect = true;
@@ -75,7 +75,7 @@
   refuse(key, ErrorCode::kRequestHeld, quarantine_->retryAfter(fingerprintOfCall(key)));
 }
 
-/// A call may have become a suspect while it waited for its slot, which it gives back then.
+/// Returns whether a call may run now that it has a slot. One that became a suspect meanwhile releases its slot.
 bool EndpointCalls::mayRunNow(const CallKey& key) {
   auto& call = calls_.at(key);
   const auto treatedAs = standingOfCall(key);
@@ -115,7 +115,7 @@
   }
 }
 
-/// The back end closed the connection without an answer: it has crashed, or the connection was lost.
+/// Handles a connection that the back end closed without an answer: the back end crashed or the connection was lost.
 void EndpointCalls::onCut(const CallKey& key) {
   ++counters_.cutRuns;
   if (watch_ == nullptr || leaving_) return answerUnknown(key, ErrorCode::kBackendFailed);
