--- a/src/node/control_client.cc
+++ b/src/node/control_client.cc
@@ -15,7 +15,7 @@
 constexpr int kMaxBackoffDoublings = 2;
 constexpr int kMaxAttemptDelayDoublings = 4;
 constexpr int kServingTimeoutFactor = 3;
-/// Between attempts to drop a version from a disk that fails: a disk in trouble hangs for seconds.
+/// Interval between attempts to remove a version from a failing disk, which may hang for seconds.
 constexpr base::Duration kDiskRetryInterval = base::milliseconds(200);
 constexpr char kSliceFile[] = "slice";
 constexpr char kTemporaryFile[] = "slice.tmp";
@@ -57,8 +57,8 @@
   network_.setHello(hello);
   lastFreshAt_ = scheduler_.now();
   if (disk_ == nullptr) return join();
-  // What an earlier process wrote may not be durable yet: served before it is, it could be undone by a loss of power,
-  // and an older version be found at the next start.
+  // The version written by a previous process may not be durable yet. If it were served now and a power loss undid the
+  // write, the next start would serve an older version.
   disk_->sync(kSliceFile, [this, alive = std::weak_ptr<bool>(alive_)](const absl::Status& status) {
     if (alive.expired()) return;
     if (!status.ok()) return disablePersistence(status, [this] { join(); });
@@ -95,7 +95,7 @@
 }
 
 base::Duration ControlClient::connectionAttemptDelay() const {
-  // A node that has a version can wait for a relay; one without serves nobody.
+  // A node that has a version can wait for a relay; one without a version serves no calls.
   if (slices_.active()) return options_.servingConnectionAttemptDelay;
   return options_.connectionAttemptDelay * (1 << std::min(completedRounds(), kMaxAttemptDelayDoublings));
 }
@@ -107,9 +107,9 @@
     returnTimer_.start(options_.returnAfter + random_.duration(options_.returnAfter));
 }
 
-/// The connection goes on beside the next one, and the first that is up is used. Given up, each try would begin behind
-/// what is queued in front of the link, and where that takes longer than a try no relay is ever reached: 8 s without
-/// one by a node's log, five relays in reach.
+/// Tries the next relay while the current attempt continues; the first connection that opens is used. If slow attempts
+/// were closed, each new one would queue again behind the traffic on a congested link, and none could succeed once the
+/// queueing delay exceeds the timeout: a node stayed 8 s without a relay while five were reachable.
 void ControlClient::startNextAttempt() {
   pendingConnections_[connection_] = relay_;
   if (pendingConnections_.size() >= options_.maxPendingConnections) {
@@ -118,10 +118,10 @@
     pendingConnections_.erase(oldest);
   }
   connection_ = 0;
-  leaveRelay("slow to answer");
+  leaveRelay("connection attempt is slow");
 }
 
-/// A relay answered after the next one was tried.
+/// Uses a connection that opened after the next relay had been tried.
 void ControlClient::adopt(base::ConnectionId connection) {
   if (connection_ != 0) network_.close(connection_);
   reconnectTimer_.stop();
@@ -153,7 +153,7 @@
   for (const auto& relay : advertisedRelays_.relays) {
     (relay.zone == options_.zone ? near : far).push_back({relay.address, relay.port});
   }
-  // Each node has an order of its own, so that the nodes of a lost relay spread over the others.
+  // Each node uses its own random order, so that the nodes of a lost relay spread over the others.
   const auto shuffle = [this](std::vector<base::Address>* list) {
     for (size_t i = list->size(); i > 1; --i) std::swap((*list)[i - 1], (*list)[random_.below(i)]);
   };
@@ -176,9 +176,9 @@
 }
 
 void ControlClient::returnToOwnZone() {
-  // Relays of other zones are for need only: they are further away, and have nodes of their own.
+  // Relays of other zones are a fallback only: they have higher latency and serve the nodes of their own zone.
   if (!open_ || !sliceReceived_) return returnTimer_.start(options_.returnAfter);
-  log_.info("{} goes back to a relay of its zone, revision {}", options_.nodeId, slices_.revision());
+  log_.info("{} reconnects to a relay of its own zone, revision {}", options_.nodeId, slices_.revision());
   ++counters_.returns;
   network_.close(connection_);
   connection_ = 0;
@@ -210,7 +210,7 @@
   log_.info("{} leaves relay {}:{}: {}, revision {}, fresh {} ms ago, term {}", options_.nodeId, relay_.host,
             relay_.port, cause, slices_.revision(),
             std::chrono::duration_cast<base::milliseconds>(scheduler_.now() - lastFreshAt_).count(), freshness_.term);
-  // Each relay is tried once without much delay; only when none helps does the node wait.
+  // The first round over all relays uses a short delay; back-off starts with the second round.
   const bool atOnce = completedRounds() == 0;
   const auto limit = options_.reconnectDelay * (1 << std::min(completedRounds(), kMaxBackoffDoublings));
   ++attempts_;
@@ -238,7 +238,7 @@
   relayTakesVersionReports_ = peer.takesVersionReports;
   relayGrantsQuotas_ = peer.grantsQuotas;
   if (quotas_ != nullptr) quotas_->askAnew();
-  // All of it: relays that were restarted have forgotten what they knew.
+  // Sends all reports, since a restarted relay has lost them.
   if (quarantine_ != nullptr) sendCrashReports(quarantine_->all());
   if (!announcing_) return;
   ++state_.sequence;
@@ -247,7 +247,7 @@
 
 void ControlClient::onClose(base::ConnectionId connection) {
   if (pendingConnections_.erase(connection) > 0) return;
-  if (connection == connection_) leaveRelay(open_ ? "connection lost" : "not reached");
+  if (connection == connection_) leaveRelay(open_ ? "connection lost" : "connection failed");
 }
 
 void ControlClient::onMessage(base::ConnectionId connection, wire::Message message) {
@@ -289,7 +289,8 @@
   while (!queuedUpdates_.empty() && !persisting_) {
     auto update = std::move(queuedUpdates_.front());
     queuedUpdates_.pop_front();
-    // What the relay sent before it heard of the refusal can't be applied; refusing it would cost another whole slice.
+    // Deltas that the relay sent before it received the rejection can't be applied; each rejection of one would cause
+    // another full update.
     if (awaitingFullSlice_ && !update.full) continue;
     awaitingFullSlice_ = false;
     SliceVersion next;
@@ -317,8 +318,8 @@
   slices_.activate(std::move(next));
   if (result == SliceResult::kActivated) {
     ++counters_.activations;
-    log_.info("{} runs revision {} of relay {}:{}, subscribed for {} ms, {} rows", options_.nodeId, slices_.revision(),
-              relay_.host, relay_.port, base::millisecondsOf(scheduler_.now() - openedAt_),
+    log_.info("{} activated revision {} from relay {}:{}, subscribed for {} ms, {} rows", options_.nodeId,
+              slices_.revision(), relay_.host, relay_.port, base::millisecondsOf(scheduler_.now() - openedAt_),
               slices_.rows().rows().size());
     if (onActivation_) onActivation_(slices_.active());
   }
@@ -327,8 +328,8 @@
 
 void ControlClient::refuse(SliceResult result, int64_t revision) {
   ++counters_.rejected;
-  // A relay that is behind can't help; another one may be further.
-  if (result == SliceResult::kOlder) return leaveRelay("it is behind");
+  // The relay has an older revision than this node; another relay may have a newer one.
+  if (result == SliceResult::kOlder) return leaveRelay("relay has an older revision");
   awaitingFullSlice_ = true;
   wire::SliceRejected rejected;
   rejected.revision = revision;
@@ -340,8 +341,8 @@
 
 void ControlClient::onHeartbeat(const wire::NodeHeartbeat& heartbeat) {
   const auto& freshness = heartbeat.freshness;
-  // A relay that has heard of no leader yet may be starting; one that follows an earlier leader is cut off.
-  if (freshness.term > 0 && freshness.term < freshness_.term) return leaveRelay("it follows an earlier leader");
+  // A relay without a leader may be starting; one that follows an earlier leader is partitioned from the current one.
+  if (freshness.term > 0 && freshness.term < freshness_.term) return leaveRelay("relay follows an earlier leader");
   leaderKnown_ = freshness.term > 0 && (leaderKnown_ || !membership::isNewer(freshness_, freshness));
   if (!membership::isNewer(freshness, freshness_)) return leaveStaleRelay();
   freshness_ = freshness;
@@ -350,14 +351,15 @@
   staleRelays_ = 0;
 }
 
-/// Leaves a relay that has heard nothing recent of the controllers either: several may be cut off together. Each relay
-/// is tried once that fast; when all are stale, the controllers are out, and the node tries two for each `staleAfter`.
+/// Leaves a relay that is as stale as the one before, since several relays may be partitioned together. Each relay is
+/// left this fast only once. If all are stale, the controllers are down, and the node tries two relays per
+/// `staleAfter`.
 void ControlClient::leaveStaleRelay() {
   const bool searching = staleRelays_ > 0 && staleRelays_ < options_.relays.size();
   if (!open_ || !slices_.active() || fresh() || !searching) return;
   ++staleRelays_;
   attempts_ = 0;
-  leaveRelay("its word of the controllers is no newer");
+  leaveRelay("relay is stale as well");
 }
 
 void ControlClient::sendApplied() {
@@ -367,7 +369,7 @@
 }
 
 base::Duration ControlClient::currentFirstSliceTimeout() const {
-  // A node that has a version can wait for a relay that has just started; one without can't.
+  // A node that has a version can wait for a relay that has just started; one without a version serves no calls.
   if (slices_.active()) return options_.firstSliceTimeout * kServingTimeoutFactor;
   if (leaderKnown_) return options_.firstSliceTimeout;
   return std::min(options_.firstSliceTimeout,
@@ -378,18 +380,18 @@
   relayCheckTimer_.start(kRelayCheckInterval);
   if (connection_ == 0) return;
   const auto readUntil = scheduler_.inputReadUntil();
-  // Heartbeats queue behind a large version on a slow link; starting over elsewhere would take longer.
+  // On a slow link, heartbeats queue behind a large update; restarting the transfer elsewhere would take longer.
   const auto part = network_.partArrivedAt(connection_);
   if (open_ && part && readUntil - *part <= options_.relayTimeout) return;
   const bool silent = open_ && readUntil - lastReceivedAt_ > options_.relayTimeout;
   const bool noSlice = open_ && !sliceReceived_ && readUntil - openedAt_ > currentFirstSliceTimeout();
   const bool stale =
       open_ && readUntil - lastFreshAt_ > options_.staleAfter && readUntil - openedAt_ > options_.staleAfter;
-  if (silent) return leaveRelay("silent");
-  if (noSlice) return leaveRelay("no version came");
+  if (silent) return leaveRelay("relay timeout");
+  if (noSlice) return leaveRelay("no slice received");
   if (!stale) return;
   staleRelays_ = std::min(std::max<size_t>(staleRelays_, 1), options_.relays.size() - 1);
-  leaveRelay("its word of the controllers is old");
+  leaveRelay("relay is stale");
 }
 
 void ControlClient::announce(const wire::EndpointState& state) {
@@ -442,7 +444,7 @@
 }
 
 void ControlClient::disablePersistence(const absl::Status& status, std::function<void()> done) {
-  log_.error("{} stops keeping its version on disk: {}", options_.nodeId, base::errorText(status));
+  log_.error("{} no longer stores its version on disk: {}", options_.nodeId, base::errorText(status));
   removeStoredVersion(std::move(done));
 }
 
@@ -450,8 +452,8 @@
   (void)disk_->remove(kSliceFile);
   const auto names = disk_->list();
   const bool removed = names.ok() && std::find(names->begin(), names->end(), kSliceFile) == names->end();
-  // A removal that is not durable is undone by a loss of power; the next start would serve the old version. Until the
-  // disk answers, the node stays at what it runs.
+  // A power loss undoes a removal that is not durable, and the next start would serve the old version. Until the disk
+  // confirms the removal, the node keeps its active version.
   disk_->sync(kSliceFile, [this, alive = std::weak_ptr<bool>(alive_), removed, done](const absl::Status& status) {
     if (alive.expired()) return;
     if (removed && status.ok()) {
@@ -472,7 +474,7 @@
   const auto message = wire::decodeFrame(std::string_view(scan->records[0].payload).substr(wire::kLengthBytes));
   if (!message.ok() || !std::holds_alternative<wire::SliceUpdate>(*message)) return;
   if (slices_.apply(std::get<wire::SliceUpdate>(*message)) != SliceResult::kActivated) return;
-  log_.info("{} serves revision {} from its disk", options_.nodeId, slices_.revision());
+  log_.info("{} serves revision {} from disk", options_.nodeId, slices_.revision());
   if (onActivation_) onActivation_(slices_.active());
 }
 
