--- a/src/node/control_client.cc
+++ b/src/node/control_client.cc
@@ -387,7 +387,7 @@
   const bool noSlice = open_ && !sliceReceived_ && readUntil - openedAt_ > currentFirstSliceTimeout();
   const bool stale =
       open_ && readUntil - lastFreshAt_ > options_.staleAfter && readUntil - openedAt_ > options_.staleAfter;
-  if (silent) return leaveRelay("relay timeout");
+  if (silent) return leaveRelay("silent");
   if (noSlice) return leaveRelay("no slice received");
   if (!stale) return;
   staleRelays_ = std::min(std::max<size_t>(staleRelays_, 1), options_.relays.size() - 1);
--- a/src/node/endpoint_name.cc
+++ b/src/node/endpoint_name.cc
@@ -5,11 +5,11 @@
 namespace driftlug::node {
 namespace {
 
-/// Between the name and the mark of a start. A name that contains it gets a mark in any case, so that the last one is
-/// always the separator.
+/// Separates the name from the suffix of a start. A name that contains it always gets a suffix, so that the last
+/// occurrence is the separator.
 constexpr char kSeparator = '~';
 constexpr char kDigits[] = "0123456789abcdefghijklmnopqrstuvwxyz";
-constexpr uint64_t kBase = 36;  // eight digits for a time of our days, where decimals take thirteen on every call
+constexpr uint64_t kBase = 36;  // a current time takes 8 digits instead of 13 decimal ones, in every call
 
 std::string startSuffixOf(int64_t startedAtMs) {
   std::string suffix;
--- a/src/node/local_backend.cc
+++ b/src/node/local_backend.cc
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr size_t kMaxEnded = 256;
-/// Incarnations that may wait for the back end's word, or have given way: a few crash within the seconds for which a
-/// report can be late.
+/// Limit of pending and of superseded incarnations: only a few can crash within the seconds by which a report can be
+/// late.
 constexpr size_t kMaxOtherIncarnations = 16;
 
 std::string endpointOf(const BackendReport& report) { return endpointNameOf(report.incarnation, report.startedAtMs); }
@@ -44,7 +44,7 @@
 
 void LocalBackend::onUnreadableReport(const std::string& what) {
   ++unreadableReports_;
-  unreadable_.write(base::LineWorth::kFailure, [&] { return fmt::format("a report is refused: {}", what); });
+  unreadable_.write(base::LineWorth::kFailure, [&] { return fmt::format("report rejected: {}", what); });
 }
 
 ReportResult LocalBackend::onReport(const BackendReport& report) {
@@ -66,10 +66,10 @@
   return ReportResult::kAccepted;
 }
 
-/// The first report of a back end that was known only by its name: its announcement must outdo those of this node's
-/// earlier life, and says which of its lives it is.
+/// Handles the first report of a back end that was known only by its name. The report identifies the start, and its
+/// announcement must supersede those of this node's previous process.
 void LocalBackend::identifyStart(const BackendReport& report) {
-  firstSequence_ = report.sequence + 1;  // 0 stands for "by name only"
+  firstSequence_ = report.sequence + 1;  // 0 means "known by name only"
   if (endpointOf(report) != endpoint()) {
     announce(wire::EndpointCondition::GONE);
     calls_.renameIncarnation(endpointOf(report));
@@ -90,7 +90,7 @@
 }
 
 void LocalBackend::switchToStart(const BackendReport& report) {
-  log_.info("{} has started again, {} ms after the start of its life before", report.incarnation,
+  log_.info("{} has restarted, {} ms after its previous start", report.incarnation,
             report.startedAtMs - current_.startedAtMs);
   calls_.onBackendRestarted();
   retire(endpoint());
@@ -127,7 +127,8 @@
   lastPendingEndpoint_ = endpointOf(report);
   if (identityCheckRunning_) return;
   identityCheckRunning_ = true;
-  log_.info("{} reports beside {}: the back end is asked who it is", report.incarnation, current_.incarnation);
+  log_.info("report of {} while {} is current: checking the identity of the back end", report.incarnation,
+            current_.incarnation);
   identityCheck_([this](const BackendIdentity& identity) { onIdentity(identity); });
 }
 
@@ -140,8 +141,7 @@
   for (const auto& [endpoint, report] : pending) {
     const bool named = known ? report.incarnation == identity.incarnation : endpoint == lastPendingEndpoint_;
     if (named && (!chosen || report.startedAtMs > chosen->startedAtMs)) chosen = report;
-    // A name that is not the back end's is late, or was given before its bearer has begun to listen: only what it
-    // reports from now on is heeded.
+    // The report is late, or its sender has not begun to listen yet: only its newer reports are considered.
     if (!named) markSuperseded(report);
   }
   if (known && identity.incarnation == current_.incarnation) return;
@@ -151,14 +151,14 @@
     markSuperseded(current_);
     clearCurrent();
   }
-  // What an earlier life of this node acknowledged as draining gets no calls for a late report.
+  // A drain that a previous process of this node acknowledged must not be undone by a late report.
   if (afterRestart && identity.leaving) chosen->draining = true;
   activate(*chosen);
 }
 
 void LocalBackend::activate(const BackendReport& report) {
-  firstSequence_ = report.sequence + 1;  // 0 stands for "by name only"
-  log_.info("{} is the back end now: version {}, {} slots, {}, sequence {}", endpointOf(report), report.version,
+  firstSequence_ = report.sequence + 1;  // 0 means "known by name only"
+  log_.info("{} is the current back end: version {}, {} slots, {}, sequence {}", endpointOf(report), report.version,
             report.slots, report.draining ? "draining" : "live", report.sequence);
   afterRestart_ = false;
   candidate_.reset();
@@ -176,26 +176,26 @@
 void LocalBackend::onContact(bool reached) {
   if (current_.incarnation.empty()) return;
   if (reached) return recordContact();
-  if (++failedConnections_ >= options_.maxFailedConnections) suspend("out of reach");
+  if (++failedConnections_ >= options_.maxFailedConnections) suspend("unreachable");
 }
 
 void LocalBackend::suspend(const char* cause) {
   if (suspended_ || current_.incarnation.empty()) return;
-  log_.warn("{} is {}: it takes no calls until it reports again", current_.incarnation, cause);
+  log_.warn("{} is {}: it gets no calls until its next report", current_.incarnation, cause);
   suspended_ = true;
   apply();
 }
 
 void LocalBackend::onIdentified(const std::string& incarnation) {
   if (!current_.incarnation.empty() || incarnation.empty()) return;
-  // Which of its lives it is can't be told once one of them has ended.
+  // The start is ambiguous once one start of this name has ended.
   const auto sameName = [&](const std::string& ended) { return backendNameOf(ended) == incarnation; };
   if (std::any_of(ended_.begin(), ended_.end(), sameName)) return;
   firstSequence_ = 0;
   afterRestart_ = false;
   current_ = BackendReport{};
   current_.incarnation = incarnation;
-  log_.info("{} is the back end, by its own word when asked", incarnation);
+  log_.info("{} is the back end, by its answer to the identity check", incarnation);
   recordContact();
   apply();
 }
@@ -251,7 +251,7 @@
   if (!hasEnded(left)) retire(left);
 }
 
-/// The farewell may be a late one of an earlier life. Until the back end has said how it is, it gets no calls.
+/// The sign-off may be a late one of an earlier start. The back end gets no calls until it has answered.
 void LocalBackend::confirmLeave() {
   if (leaveUnconfirmed_) return;
   leaveUnconfirmed_ = true;
--- a/src/node/local_backend.h
+++ b/src/node/local_backend.h
@@ -1,4 +1,4 @@
-/// The back end beside a node, as it tells of itself: dynamic endpoints.
+/// State of a node's local back end, from its reports (dynamic endpoints).
 #pragma once
 
 #include <cstdint>
@@ -15,110 +15,111 @@
 
 namespace driftlug::node {
 
-/// What a back end says of itself now and then. Every start of a back end is a new incarnation: under a name of its
-/// own, or under the name that it had, and then with another time of its start.
+/// Periodic report of a back end. Every start of a back end is a separate endpoint: it has either a new name or the
+/// previous name with another start time.
 struct BackendReport {
-  std::string incarnation;  ///< its name
-  int64_t sequence = 0;     ///< rises with every report of one incarnation
-  int slots = 0;            ///< requests that it works on at once; 0 when it does not say
-  int coldMs = 0;           ///< how much longer it is slow from its start
+  std::string incarnation;  ///< name of the back end
+  int64_t sequence = 0;     ///< increases with every report of a start
+  int slots = 0;            ///< number of requests that it runs concurrently; 0 if unknown
+  int coldMs = 0;           ///< remaining time for which it is slow after its start
   bool draining = false;
-  int64_t startedAtMs = 0;  ///< Unix time of its start by its own clock, which may jump; 0 when it does not say
-  std::string version;      ///< of its software; empty when it does not say
+  int64_t startedAtMs = 0;  ///< Unix time of its start by its own clock, which may jump; 0 if unknown
+  std::string version;      ///< version of its software; empty if unknown
 };
 
-/// What became of a report.
+/// Result of LocalBackend::onReport().
 enum class ReportResult {
   kAccepted,
-  kOutdated,     ///< a newer report of the incarnation was taken, or the incarnation has ended
-  kPending,      ///< it names another incarnation than the one in use; the back end is asked which of them it is
-  kUnconfirmed,  ///< it is of another life than the one in use, and may be late; its sender is to say it again
+  kOutdated,     ///< a newer report was accepted, or the reported start has ended
+  kPending,      ///< it names another incarnation than the current one; an identity check decides
+  kUnconfirmed,  ///< it is of another start of the current incarnation and may be late; the sender has to repeat it
 };
 
-/// What a back end says of itself when it is asked.
+/// Answer of a back end to an identity check.
 struct BackendIdentity {
-  std::string incarnation;      ///< empty when it did not say in time
-  bool leaving = false;         ///< it says that it drains or is not well
-  bool well = false;            ///< it says that it is well; neither when it refused the question for want of a slot
-  std::optional<int> coldMs{};  ///< how much longer it is slow from its start, if it said so
+  std::string incarnation;      ///< empty if it did not answer in time
+  bool leaving = false;         ///< it is draining or unhealthy
+  bool well = false;            ///< it is healthy; both flags are false if it refused the check for lack of a slot
+  std::optional<int> coldMs{};  ///< remaining time for which it is slow after its start, if reported
 };
 
-/// Keeps which incarnation of the back end takes calls, and announces it as an endpoint.
-///
-/// Times of a back end's life.
+/// Timeouts and limits of LocalBackend.
 struct LocalBackendOptions {
-  /// A back end that neither reported nor answered a call for this long takes no calls until it reports again.
+  /// A back end that neither reports nor answers a call for this long gets no calls until its next report.
   base::Duration silenceTimeout = base::seconds(4);
-  int maxFailedConnections = 3;  ///< connections in a row that failed, after which it takes none either
+  int maxFailedConnections = 3;  ///< consecutive failed connections after which it gets no calls until its next report
 };
 
-/// A report can be late by seconds and come from an incarnation that has crashed since, when another one runs at its
-/// address. Sequences tell late from new within one incarnation only, so between two of them the back end itself
-/// decides: it is asked for its name when a report names another one than that in use, or is the first that a restarted
-/// node hears. Until it has answered, the one in use stays in use: its calls name it, and another incarnation refuses
-/// them as not run. When it does not answer, the sender of the last report is taken.
+/// Tracks which incarnation of the local back end accepts calls, and announces it as an endpoint.
+///
+/// A report can be seconds late and come from an incarnation that has crashed and been replaced at its address.
+/// Sequences order the reports of one start only. Between two incarnations, an identity check decides: the back end is
+/// asked for its name when a report names another incarnation than the current one, or is the first report after a
+/// restart of the node. Until it answers, the current incarnation stays in use: calls name their incarnation, and
+/// another one refuses them as not run. If it does not answer, the sender of the last report is used.
 ///
-/// Two lives of one name can't be told by asking. The one that started later is taken at once. The time of a start is
-/// of a clock that may jump back, so one that seems to have started earlier is taken as well once the life in use is
-/// over (nothing listened at its address, or it is silent), or once it has reported twice while the other did not,
-/// unless that one drains: a drain that was acknowledged is never undone by a report that may be late.
+/// An identity check can't distinguish two starts of the same name. A report with a later start time is accepted at
+/// once. Since the clock may jump back, a start with an earlier time is accepted too once the current one is suspended
+/// (nothing listens at its address, or it is silent), or once it has sent two reports with none of the current start in
+/// between. The latter does not apply while the current start is draining: a report that may be late never undoes an
+/// acknowledged drain.
 ///
-/// Invariants: an incarnation that has ended never takes calls again; one that drains takes calls again only after a
-/// newer report says so; a report of the incarnation in use takes effect here before it is acknowledged, whatever is
-/// cut; of an incarnation that gave way, only a newer report than all before is heeded.
+/// Invariants: a start that has ended never gets calls again; a draining one gets calls again only after a newer report
+/// that it is live; a report of the current start takes effect here before it is acknowledged, whatever the state of
+/// the network; of a superseded incarnation, only reports newer than all before are considered.
 class LocalBackend {
  public:
   using AnnounceFunction = std::function<void(const wire::EndpointState&)>;
   using IdentityCallback = std::function<void(const BackendIdentity&)>;
-  /// Asks the back end for its name. The callback is called once, within a bound of the asker's, never from within.
+  /// Asks the back end for its name. Calls the callback exactly once, within its own timeout and never synchronously.
   using IdentityCheck = std::function<void(IdentityCallback)>;
 
-  /// @param place the endpoint's service, address, port and zone as others reach it
+  /// @param endpointState service, address, port and zone of the endpoint as other nodes reach it
   LocalBackend(wire::EndpointState endpointState, base::Scheduler& scheduler, EndpointCalls& calls,
                AnnounceFunction announce, const LocalBackendOptions& options = {});
 
-  /// Sets how the back end is asked for its name; without it, the sender of the last report is believed.
-  /// @param afterRestart whether an earlier life of this node may have known more of the back end than this one
+  /// Sets the identity check; without one, the sender of the last report is used.
+  /// @param afterRestart whether a previous process of this node may have received reports that this one has not
   void setIdentityCheck(IdentityCheck check, bool afterRestart);
 
-  /// Takes a report of the back end.
+  /// Handles a report of the back end.
   ReportResult onReport(const BackendReport& report);
 
-  /// Somebody sent what is no report of a back end of this service; nothing is believed of it.
-  /// @param what for the log
+  /// Counts and logs a report that could not be parsed or is for another service.
+  /// @param what reason, for the log
   void onUnreadableReport(const std::string& what);
 
-  /// The back end named itself when it was asked, as a node does that has just started. Counts only until the first
-  /// report.
+  /// Handles the name that the back end gave when a starting node asked for it. It applies only until the first report.
   void onIdentified(const std::string& incarnation);
 
-  /// A back end ends, or has ended.
-  /// @param startedAtMs as in reports; 0 when it did not say, and then the life in use is meant unless the back end
-  /// says that it is well
+  /// Handles the sign-off of a back end that is stopping or has stopped.
+  /// @param startedAtMs as in reports; 0 if unknown, in which case the current start is meant unless the back end
+  /// answers that it is healthy
   void onLeave(const std::string& incarnation, int64_t startedAtMs = 0);
 
-  /// The back end said that it is not the one that a call was meant for.
-  /// @param endpoint that the call named
+  /// Handles a call that the back end rejected as meant for another incarnation.
+  /// @param endpoint endpoint name in the call
   void onWrongEndpoint(const std::string& endpoint);
 
-  /// A call reached the back end and was answered, or no connection to it could be made.
+  /// Records whether the back end answered a call or could not be connected to.
   void onContact(bool reached);
 
-  /// Nothing listens at the back end's address any more: it takes no calls until it reports again.
+  /// Suspends the back end until its next report, since nothing listens at its address any more.
   void onCrash() { suspend("gone"); }
 
-  /// This node stops: others are told to go elsewhere.
+  /// Announces the endpoint as draining, since this node is stopping.
   void setStopping();
 
   const std::string& incarnation() const { return current_.incarnation; }
   const std::string& service() const { return endpointState_.serviceName; }
 
-  /// Called with each report that is taken, and when the back end is gone; with its endpoint's name.
+  /// Sets the handler for accepted reports, and for the end of the back end, with the endpoint's name (empty at the
+  /// end).
   void onBackend(std::function<void(const std::string& endpoint, const BackendReport&)> handler) {
     onBackend_ = std::move(handler);
   }
 
-  /// @return reports that could not be read.
+  /// @return number of reports that could not be parsed.
   int64_t unreadableReports() const { return unreadableReports_; }
 
  private:
@@ -143,27 +144,27 @@
   void announce(wire::EndpointCondition::type condition);
 
   base::Logger log_{"backend"};
-  base::DecisionLog unreadable_;  // what is said of reports that can't be read
+  base::DecisionLog unreadable_;  // rate-limited log of unreadable reports
   int64_t unreadableReports_ = 0;
   wire::EndpointState endpointState_;
   EndpointCalls& calls_;
   AnnounceFunction announce_;
   std::function<void(const std::string&, const BackendReport&)> onBackend_;  // may be empty
-  BackendReport current_;                                                    // incarnation empty while there is none
-  int64_t firstSequence_ = 0;      // sequence of the first report of the current incarnation that this process saw
-  std::deque<std::string> ended_;  // endpoints that have ended, oldest first
-  std::optional<BackendReport> candidate_;  // of another life than the current one
-  bool leaveUnconfirmed_ = false;           // until the back end has said whether it does
+  BackendReport current_;                                                    // incarnation is empty while there is none
+  int64_t firstSequence_ = 0;  // sequence of the first report of the current start, plus 1; 0 while known by name only
+  std::deque<std::string> ended_;           // endpoints that have ended, oldest first
+  std::optional<BackendReport> candidate_;  // last report of another start of the current incarnation
+  bool leaveUnconfirmed_ = false;           // while an identity check for a sign-off is running
   IdentityCheck identityCheck_;             // may be empty
-  bool afterRestart_ = false;               // until this life has heard of the back end
+  bool afterRestart_ = false;               // until this process has a report or the name of the back end
   bool identityCheckRunning_ = false;
-  std::map<std::string, BackendReport> pendingReports_;  // reports that wait for the back end's word, by endpoint
-  std::string lastPendingEndpoint_;                      // the endpoint that reported last of them
-  std::map<std::string, int64_t> supersededSequences_;   // of endpoints that gave way: the newest sequence
+  std::map<std::string, BackendReport> pendingReports_;  // reports that wait for the identity check, by endpoint
+  std::string lastPendingEndpoint_;                      // endpoint of the last of these reports
+  std::map<std::string, int64_t> supersededSequences_;   // newest sequence of superseded endpoints
   LocalBackendOptions options_;
-  base::Timer silenceTimer_;   // runs while there is an incarnation
-  int failedConnections_ = 0;  // connections in a row that failed
-  bool suspended_ = false;     // silent or out of reach, until it reports again
+  base::Timer silenceTimer_;   // active while there is a current incarnation
+  int failedConnections_ = 0;  // consecutive failed connections
+  bool suspended_ = false;     // silent, unreachable or crashed; until its next report
   bool stopping_ = false;
   wire::EndpointCondition::type announced_ = wire::EndpointCondition::GONE;
 };
--- a/src/node/slice_store.cc
+++ b/src/node/slice_store.cc
@@ -14,7 +14,7 @@
   return problems.empty();
 }
 
-/// @return whether all references hold, provided that they did before the change.
+/// @return whether all references resolve, provided that they did before the change.
 bool changedReferencesResolve(const table::ChangedRows& change, const table::Table& rows) {
   std::vector<table::Problem> problems;
   for (const auto& row : change.changed) {
--- a/src/node/slice_store.h
+++ b/src/node/slice_store.h
@@ -1,4 +1,4 @@
-/// A node's slice of the table, and the rules by which a new version replaces it.
+/// A node's slice of the table, and the checks before a new version replaces it.
 #pragma once
 
 #include <vector>
@@ -8,10 +8,10 @@
 
 namespace driftlug::node {
 
-/// Result of taking an update.
+/// Result of verifying an update.
 enum class SliceResult {
   kActivated,
-  kUnchanged,  ///< the same rows under a newer revision
+  kUnchanged,  ///< same rows under a newer revision
   kOlder,
   kBaseMismatch,
   kDigestMismatch,
@@ -25,19 +25,19 @@
   routing::RoutingTablePtr routing;  ///< null before the first version
 };
 
-/// Invariants: the revision never decreases; a version is active whole or not at all; every reference of an
-/// active version is inside it.
+/// Invariants: the revision never decreases; versions are activated atomically; every reference of an active version
+/// resolves within it.
 class SliceStore {
  public:
-  /// Verifies an update and takes its rows in; where it is refused, the rows are as before.
-  /// @param next set to the version to activate, with kActivated and kUnchanged; nothing else may be prepared before
-  /// that
+  /// Verifies an update and applies its rows; a rejected update leaves the rows unchanged.
+  /// @param next set to the version to activate if the result is kActivated or kUnchanged; it must be activated before
+  /// another update is prepared
   SliceResult prepare(wire::SliceUpdate update, SliceVersion* next);
 
-  /// Replaces the active version in one step.
+  /// Replaces the active version atomically.
   void activate(SliceVersion next) { version_ = std::move(next); }
 
-  /// prepare() and activate() in one.
+  /// Combines prepare() and activate().
   SliceResult apply(wire::SliceUpdate update);
 
   /// @return the active version, null before the first one; callers keep it as long as they need it.
@@ -51,7 +51,7 @@
   /// @return the rows of the version that was prepared last.
   const table::Table& rows() const { return rows_; }
 
-  /// Parts of the verification that the simulator can switch off, to prove that a checker notices.
+  /// Checks that the simulator can disable, to prove that its invariant checkers detect the fault.
   struct Checks {
     bool neverOlder = true;
     bool digest = true;
--- a/src/node/version_reporter.cc
+++ b/src/node/version_reporter.cc
@@ -3,8 +3,8 @@
 namespace driftlug::node {
 namespace {
 
-/// Interval of reports. What is bad is told this much later; at 74 nodes a report of 100 bytes costs four a second
-/// each, while a rollout of the service runs.
+/// Interval of reports, and so the delay of the detection of a bad version. With 74 nodes, each sends four reports of
+/// 100 bytes per second while a rollout of the service is running.
 constexpr base::Duration kReportInterval = base::milliseconds(250);
 
 }  // namespace
@@ -28,7 +28,7 @@
     timer_.stop();
     return figures_.clear();
   }
-  // Nodes hear of an order together; their reports are not to come together.
+  // All nodes receive a rollout at the same time; a random delay spreads their reports.
   if (!timer_.running()) timer_.start(random_.duration(kReportInterval) + base::milliseconds(1));
 }
 
--- a/src/node/version_reporter.h
+++ b/src/node/version_reporter.h
@@ -1,4 +1,4 @@
-/// Tells the controllers how the back end beside this node does while a rollout of its service runs.
+/// Reports how the local back end performs to the controllers while a rollout of its service is running.
 #pragma once
 
 #include <functional>
@@ -13,26 +13,26 @@
 
 namespace driftlug::node {
 
-/// Counts answers by route and reports them, with what is at work, some times a second.
+/// Counts answers by route and reports them, with the number of active calls, several times a second.
 ///
-/// Invariant: without a rollout of the service under way nothing is counted and nothing is sent.
+/// Invariant: without a running rollout of the service, nothing is counted and nothing is sent.
 class VersionReporter {
  public:
   using Send = std::function<bool(const wire::Message&)>;
 
-  /// @param send to the relay in use; false when there is none
+  /// @param send sends to the current relay; returns false if not connected
   VersionReporter(std::string service, base::Scheduler& scheduler, base::RandomSource random, EndpointCalls& calls,
                   Send send);
 
-  /// Takes the policy of the service from a new version of the table.
+  /// Reads the version policy of the service from a new version of the table.
   void useTable(const routing::RoutingTable& table);
 
-  /// The back end beside this node, as it told of itself.
+  /// Sets the local back end from its last report.
   /// @param endpoint empty while none is known
-  /// @param coldMs how much longer it is slow from its start
+  /// @param coldMs remaining time for which it is slow after its start
   void useBackend(const std::string& endpoint, const std::string& version, int slots, int coldMs);
 
-  /// A run on the back end has ended.
+  /// Counts a finished run on the back end.
   void onRun(const BackendRunResult& run);
 
  private:
@@ -53,7 +53,7 @@
   int64_t epoch_;
   int64_t sequence_ = 0;
   rollout::run_figures figures_;
-  base::Timer timer_;  // runs while a rollout is under way
+  base::Timer timer_;  // active while a rollout is running
 };
 
 }  // namespace driftlug::node
