--- a/test/node/backend_restart_test.cc
+++ b/test/node/backend_restart_test.cc
@@ -1,11 +1,11 @@
-/// Back ends that start again under their name.
+/// Back ends that restart under the same name.
 #include "node/endpoint_name.h"
 
 #include "local_backend_fixture.h"
 
 namespace driftlug::node {
 
-TEST_CASE("lives of a back end have names of their own, and its own name can be told from them") {
+TEST_CASE("each start of a back end has its own endpoint name, which contains the name of the back end") {
   const auto first = endpointNameOf("i-1", kFirstStart);
   CHECK(first != endpointNameOf("i-1", kFirstStart + 1));
   CHECK(backendNameOf(first) == "i-1");
@@ -15,7 +15,7 @@
   CHECK(backendNameOf(endpointNameOf("odd~name", kFirstStart)) == "odd~name");
 }
 
-TEST_CASE_METHOD(LocalBackendFixture, "a back end that starts again under its name is taken at its first report") {
+TEST_CASE_METHOD(LocalBackendFixture, "a back end that restarts under its name is accepted with its first report") {
   local.onReport(reportOf(kFirstStart, 400));
   const auto first = announced.back().endpoint;
   CHECK(local.onReport(reportOf(kFirstStart + 3000, 1)) == ReportResult::kAccepted);
@@ -31,16 +31,18 @@
   CHECK(refusalOf(2) == base::ErrorCode::kWrongEndpoint);
 }
 
-TEST_CASE_METHOD(LocalBackendFixture, "what was said of the life before changes nothing any more") {
+TEST_CASE_METHOD(LocalBackendFixture, "late messages of the previous start have no effect") {
   local.onReport(reportOf(kFirstStart, 400));
   local.onReport(reportOf(kFirstStart + 3000, 1));
   const auto current = announced.back().endpoint;
   SECTION("a late report") { CHECK(local.onReport(reportOf(kFirstStart, 401)) == ReportResult::kOutdated); }
-  SECTION("a late word of draining") {
+  SECTION("a late report of draining") {
     CHECK(local.onReport(reportOf(kFirstStart, 402, true)) == ReportResult::kOutdated);
   }
-  SECTION("a late farewell that says of which life it is") { local.onLeave("i-1", kFirstStart); }
-  SECTION("a late answer of an earlier call") { local.onWrongEndpoint(endpointNameOf("i-1", kFirstStart)); }
+  SECTION("a late sign-off with its start time") { local.onLeave("i-1", kFirstStart); }
+  SECTION("a late answer to a call of the previous start") {
+    local.onWrongEndpoint(endpointNameOf("i-1", kFirstStart));
+  }
   CHECK(announced.back().endpoint == current);
   CHECK(announced.back().condition == EndpointCondition::LIVE);
   call(1, current);
@@ -48,7 +50,7 @@
 }
 
 TEST_CASE_METHOD(IdentityCheckFixture,
-                 "of a farewell that may be late the back end decides; until then it gets no calls") {
+                 "a sign-off that may be late is checked with the back end, which gets no calls meanwhile") {
   enableIdentityCheck(false);
   local.onReport(reportOf(kFirstStart, 400));
   local.onReport(reportOf(kFirstStart + 3000, 1));
@@ -57,7 +59,7 @@
   call(1, current);
   CHECK(refusalOf(1) == base::ErrorCode::kDraining);
   REQUIRE(identityChecks.size() == 1);
-  SECTION("it is well") {
+  SECTION("it is healthy") {
     identityChecks[0]({"i-1", false, true});
     CHECK(announced.back().condition == EndpointCondition::LIVE);
     call(2, current);
@@ -68,13 +70,13 @@
     CHECK(announced.back().condition == EndpointCondition::GONE);
     CHECK(local.onReport(reportOf(kFirstStart + 3000, 2)) == ReportResult::kOutdated);
   }
-  SECTION("it does not say") {
+  SECTION("it does not answer") {
     identityChecks[0]({"", false, false});
     CHECK(announced.back().condition == EndpointCondition::GONE);
   }
 }
 
-TEST_CASE_METHOD(IdentityCheckFixture, "a farewell of the only life that is known ends it at once") {
+TEST_CASE_METHOD(IdentityCheckFixture, "a sign-off of the only known start ends it at once") {
   enableIdentityCheck(false);
   local.onReport(reportOf(kFirstStart, 4));
   local.onLeave("i-1");
@@ -85,8 +87,7 @@
   CHECK(announced.back().condition == EndpointCondition::LIVE);
 }
 
-TEST_CASE_METHOD(LocalBackendFixture,
-                 "nothing of the life before holds for the next: slots, drain, runs, what waited") {
+TEST_CASE_METHOD(LocalBackendFixture, "a restart resets slots, drain state, runs and waiting calls") {
   local.onReport(reportOf(kFirstStart, 7));
   const auto first = announced.back().endpoint;
   call(1, first);
@@ -97,18 +98,19 @@
   const auto second = announced.back().endpoint;
   CHECK(announced.back().condition == EndpointCondition::LIVE);
   CHECK(announced.back().slots == 3);
-  // The run that the life before had begun is lost, and holds no slot of this one.
+  // The run of the previous start is lost, and does not occupy a slot of the new one.
   CHECK(backend.cancelled == 1);
   CHECK(calls.limiter().running() == 0);
   for (int64_t id = 3; id <= 5; ++id) call(id, second);
   CHECK(backend.requests.size() == 4);
 }
 
-TEST_CASE_METHOD(LocalBackendFixture, "a later life whose clock went back is taken once the one in use is over") {
+TEST_CASE_METHOD(LocalBackendFixture,
+                 "a start with an earlier time, after a clock jump, is accepted once the current start is over") {
   local.onReport(reportOf(kFirstStart, 7));
   const auto first = announced.back().endpoint;
   const auto earlier = kFirstStart - 2000;
-  SECTION("nothing listened any more") {
+  SECTION("nothing listens at the address") {
     local.onCrash();
     CHECK(local.onReport(reportOf(earlier, 1)) == ReportResult::kAccepted);
   }
@@ -116,7 +118,7 @@
     runFor(base::seconds(5));
     CHECK(local.onReport(reportOf(earlier, 1)) == ReportResult::kAccepted);
   }
-  SECTION("the other one reports again, and it does not") {
+  SECTION("it reports twice, and the current one does not report in between") {
     CHECK(local.onReport(reportOf(earlier, 1)) == ReportResult::kUnconfirmed);
     CHECK(local.onReport(reportOf(earlier, 1)) == ReportResult::kUnconfirmed);
     CHECK(announced.back().endpoint == first);
@@ -126,14 +128,14 @@
   CHECK(announced.back().condition == EndpointCondition::LIVE);
 }
 
-TEST_CASE_METHOD(LocalBackendFixture, "a late report of an earlier life that this node never knew displaces none") {
+TEST_CASE_METHOD(LocalBackendFixture, "a late report of an unknown earlier start does not replace the current one") {
   local.onReport(reportOf(kFirstStart, 7));
   const auto current = announced.back().endpoint;
   CHECK(local.onReport(reportOf(kFirstStart - 9000, 50)) == ReportResult::kUnconfirmed);
   CHECK(local.onReport(reportOf(kFirstStart, 8)) == ReportResult::kAccepted);
   CHECK(local.onReport(reportOf(kFirstStart - 9000, 51)) == ReportResult::kUnconfirmed);
   CHECK(announced.back().endpoint == current);
-  SECTION("nor does it undo a drain that was acknowledged, however often it comes") {
+  SECTION("repeated late reports do not undo an acknowledged drain") {
     CHECK(local.onReport(reportOf(kFirstStart, 9, true)) == ReportResult::kAccepted);
     for (int64_t sequence = 52; sequence < 56; ++sequence) {
       CHECK(local.onReport(reportOf(kFirstStart - 9000, sequence)) == ReportResult::kUnconfirmed);
@@ -145,7 +147,7 @@
 }
 
 TEST_CASE_METHOD(LocalBackendFixture,
-                 "a back end that was known by its name only goes by that of its life once it has told it") {
+                 "a back end known only by name gets the endpoint name of its start with its first report") {
   local.onIdentified("i-1");
   call(1, "i-1");
   CHECK(backend.requests.size() == 1);
@@ -154,19 +156,19 @@
   CHECK(announced[1].endpoint == "i-1");
   CHECK(announced[1].condition == EndpointCondition::GONE);
   CHECK(announced[2].endpoint == endpointNameOf("i-1", kFirstStart));
-  // Calls that were on their way under the name are taken, and what runs goes on.
+  // Calls in flight to the plain name are accepted, and running calls continue.
   backend.pending[0]({BackendOutcome::kCompleted, false, 200, {}, "done"});
   call(2, "i-1");
   call(3, endpointNameOf("i-1", kFirstStart));
   CHECK(refusalOf(2) == base::ErrorCode::kNone);
   CHECK(refusalOf(3) == base::ErrorCode::kNone);
-  SECTION("a late report of the life before was first") {
+  SECTION("the first report was a late one of the previous start") {
     CHECK(local.onReport(reportOf(kFirstStart + 5000, 2)) == ReportResult::kAccepted);
     CHECK(announced.back().endpoint == endpointNameOf("i-1", kFirstStart + 5000));
   }
 }
 
-TEST_CASE_METHOD(IdentityCheckFixture, "after a restart of the node, of two lives of a name the later one is taken") {
+TEST_CASE_METHOD(IdentityCheckFixture, "after a restart of the node, the later of two starts of a name is used") {
   enableIdentityCheck(true);
   CHECK(local.onReport(reportOf(kFirstStart, 90)) == ReportResult::kPending);
   CHECK(local.onReport(reportOf(kFirstStart + 3000, 2)) == ReportResult::kPending);
--- a/test/node/control_client_fixture.h
+++ b/test/node/control_client_fixture.h
@@ -1,4 +1,4 @@
-/// The control connection of a node, on a virtual clock.
+/// Fixture for a node's control connection, on a virtual clock.
 #pragma once
 
 #include <memory>
@@ -12,7 +12,7 @@
 inline const base::Address kOwnZoneRelay{"10.0.0.1", 7001};
 inline const base::Address kOtherZoneRelay{"10.0.0.2", 7001};
 
-/// A node that was given one seed and learns of relays in two zones.
+/// A node with one seed relay that learns of relays in two zones.
 struct ControlClientFixture {
   ControlClientFixture() : process(queue, "node", {"zone-1", "region"}, {"10.0.0.9", 7000}) {
     process.start();
@@ -53,7 +53,7 @@
     client->onMessage(current(), list);
   }
 
-  /// Tells of the home relay and others in another zone.
+  /// Sends a list of the relay in the own zone and others in another zone.
   void sendRelayList(int count) {
     wire::RelayList list;
     list.relays.push_back(relayAt(kOwnZoneRelay, "zone-1"));
--- a/test/node/control_client_suspended_test.cc
+++ b/test/node/control_client_suspended_test.cc
@@ -1,4 +1,4 @@
-/// A node whose machine was suspended.
+/// A node whose machine is suspended or whose process is stopped.
 #include <catch2/catch.hpp>
 
 #include "control_client_fixture.h"
@@ -6,7 +6,7 @@
 namespace driftlug::node {
 namespace {
 
-/// A relay's word that was sent while the node's machine was suspended, and read after it.
+/// A relay's heartbeat that is sent while the node's machine is suspended, and read after the resume.
 struct SuspendedFixture : ControlClientFixture {
   void suspendFor(base::Duration duration) {
     open();
@@ -17,7 +17,7 @@
     process.onAway([this] { client->onAway(); });
     process.setFrozen(true);
     const auto connection = current();
-    // Arrives, and waits in the socket.
+    // Arrives during the suspension and waits in the socket.
     process.run(process.incarnation(), [this, connection] {
       wire::NodeHeartbeat staleHeartbeat;
       staleHeartbeat.freshness.term = 1;
@@ -32,7 +32,7 @@
 }  // namespace
 
 TEST_CASE_METHOD(SuspendedFixture,
-                 "a node that was suspended takes nothing for fresh that it heard before or that has waited") {
+                 "after a suspension, a node considers neither earlier heartbeats nor queued ones as fresh") {
   suspendFor(base::seconds(10));
   CHECK_FALSE(client->fresh());
   runFor(base::seconds(1));
@@ -44,7 +44,7 @@
 }
 
 TEST_CASE_METHOD(SuspendedFixture,
-                 "a node that was suspended for less than its relay may be silent asks it anew at once") {
+                 "after a suspension shorter than the relay timeout, a node subscribes again at once") {
   suspendFor(base::milliseconds(1200));
   REQUIRE(current() != 0);
   open();
@@ -52,19 +52,19 @@
 }
 
 TEST_CASE_METHOD(SuspendedFixture,
-                 "on a clock that stands while the machine is suspended the same node believes old word") {
+                 "with a clock that stops during a suspension, a node considers an old heartbeat as fresh") {
   process.letClockStand(true);
   suspendFor(base::seconds(10));
   CHECK(client->fresh());
 }
 
-TEST_CASE_METHOD(SuspendedFixture, "a moment without a processor changes nothing") {
+TEST_CASE_METHOD(SuspendedFixture, "a short pause without CPU time changes nothing") {
   suspendFor(base::milliseconds(600));
   CHECK(client->fresh());
   CHECK(network.all<wire::NodeSubscribe>().size() == 1);
 }
 
-TEST_CASE_METHOD(ControlClientFixture, "a node that stood still stays with a relay whose word waits to be read") {
+TEST_CASE_METHOD(ControlClientFixture, "a node that was stopped keeps a relay whose heartbeats are queued to be read") {
   open();
   sendRelayList();
   version(1);
--- a/test/node/control_client_test.cc
+++ b/test/node/control_client_test.cc
@@ -6,7 +6,7 @@
 
 namespace driftlug::node {
 
-TEST_CASE_METHOD(ControlClientFixture, "a relay whose word of the controllers stands still is left in time") {
+TEST_CASE_METHOD(ControlClientFixture, "a relay whose freshness does not advance is left in time") {
   open();
   sendRelayList();
   version(1);
@@ -25,8 +25,9 @@
   CHECK(left);
 }
 
-TEST_CASE_METHOD(ControlClientFixture, "a node that left a relay does not go back to it before its time") {
-  // For many random sources, since the times are drawn.
+TEST_CASE_METHOD(ControlClientFixture,
+                 "a node does not return to the relay that it left before its minimum stay elsewhere") {
+  // Covers many seeds, since the delays are random.
   for (uint64_t source = 1; source <= 40; ++source) {
     test::RecordingNetwork own;
     ControlOptions options;
@@ -52,7 +53,7 @@
     const auto first = own.connected.rbegin()->first;
     own.connected.erase(first);
     other.onClose(first);
-    runFor(base::milliseconds(60));  // sooner than before: the first round of relays is tried without delay
+    runFor(base::milliseconds(60));  // the first round over the relays uses a short delay
     REQUIRE(own.connected.rbegin()->second == kOtherZoneRelay);
     const auto connection = own.connected.rbegin()->first;
     other.onOpen(connection, {});
@@ -91,7 +92,7 @@
   CHECK(relay() == kOwnZoneRelay);
 }
 
-TEST_CASE_METHOD(ControlClientFixture, "seeds that the settings change to are tried too") {
+TEST_CASE_METHOD(ControlClientFixture, "seed relays from reloaded settings are tried") {
   client->onClose(current());
   network.connected.clear();
   const base::Address other{"10.0.0.7", 7001};
@@ -100,7 +101,7 @@
   CHECK(relay() == other);
 }
 
-TEST_CASE_METHOD(ControlClientFixture, "relays that are cut off together are left one after the other at once") {
+TEST_CASE_METHOD(ControlClientFixture, "relays that are partitioned together are left in quick succession") {
   open();
   sendRelayList(7);
   version(1);
@@ -111,7 +112,7 @@
     if (relay() != kOwnZoneRelay) break;
   }
   REQUIRE(relay() != kOwnZoneRelay);
-  // Three more have heard nothing newer either; the fifth has.
+  // Three more relays are as stale; the fifth is fresh.
   for (int hop = 0; hop < 3; ++hop) {
     const auto left = relay();
     open();
@@ -128,7 +129,7 @@
 }
 
 TEST_CASE_METHOD(ControlClientFixture,
-                 "a relay that was cut off too is left at once, though it heard a little more before") {
+                 "a relay that is partitioned too is left at once, although its freshness is slightly newer") {
   constexpr base::Duration kSinceCut = base::milliseconds(1700);
   open();
   sendRelayList(7);
@@ -139,7 +140,7 @@
     runFor(base::milliseconds(400));
   }
   REQUIRE(relay() != kOwnZoneRelay);
-  // Each of them heard one more round of the leader that they have lost.
+  // Each of them received one more round of the lost leader.
   for (int hop = 1; hop <= 3; ++hop) {
     const auto left = relay();
     open();
@@ -155,7 +156,7 @@
   CHECK(relay() == fresh);
 }
 
-TEST_CASE_METHOD(ControlClientFixture, "word that was old when it came counts as old") {
+TEST_CASE_METHOD(ControlClientFixture, "the age of a heartbeat counts towards staleness") {
   open();
   sendRelayList();
   version(1);
@@ -168,7 +169,7 @@
   CHECK_FALSE(client->fresh());
 }
 
-TEST_CASE_METHOD(ControlClientFixture, "relays are not run through while the controllers are out") {
+TEST_CASE_METHOD(ControlClientFixture, "a node does not cycle through the relays while the controllers are down") {
   open();
   sendRelayList();
   version(1);
@@ -186,13 +187,13 @@
     }
     heartbeat(1, 10);
   }
-  // Ten seconds: six slow departures, and one fast for each at the most.
+  // In ten seconds, at most six departures by timeout and one fast departure for each.
   CHECK(connections <= 13);
   CHECK(connections >= 4);
 }
 
 TEST_CASE_METHOD(ControlClientFixture,
-                 "an update that can't be applied is refused once, however many follow before the whole slice") {
+                 "an update that can't be applied is rejected once, however many deltas follow before the full slice") {
   open();
   version(1);
   const auto delta = [this](int64_t from, int64_t to, int64_t wrong) {
@@ -217,12 +218,12 @@
   CHECK(refusals() == 2);
 }
 
-TEST_CASE_METHOD(ControlClientFixture, "a node stays with a relay while a large version is on its way") {
+TEST_CASE_METHOD(ControlClientFixture, "a node stays with a relay while a large version is being received") {
   open();
   sendRelayList();
   heartbeat(1, 1);
   const auto connection = current();
-  // Heartbeats wait behind the version, on a link that takes six seconds for it.
+  // Heartbeats queue behind the version, on a link that takes six seconds to transfer it.
   for (int i = 0; i < 12; ++i) {
     network.partArrived = queue.now();
     runFor(base::milliseconds(500));
@@ -233,7 +234,7 @@
   CHECK(client->slices().revision() == 1);
 }
 
-TEST_CASE_METHOD(ControlClientFixture, "a node leaves a relay when a version stops on its way") {
+TEST_CASE_METHOD(ControlClientFixture, "a node leaves a relay when the transfer of a version stalls") {
   open();
   sendRelayList();
   heartbeat(1, 1);
@@ -260,7 +261,7 @@
   }
 }
 
-TEST_CASE_METHOD(ControlClientFixture, "a relay that says nothing is not waited for when there are others") {
+TEST_CASE_METHOD(ControlClientFixture, "a relay that does not answer is not waited for when there are others") {
   open();
   sendRelayList();
   client->onClose(current());
@@ -276,7 +277,7 @@
 }
 
 TEST_CASE_METHOD(ControlClientFixture,
-                 "a node without a version doesn't wait long for a relay that has heard of no leader") {
+                 "a node without a version doesn't wait long for a relay that knows of no leader") {
   open();
   sendRelayList();
   heartbeat(0, 0);
@@ -284,7 +285,7 @@
   while (queue.now() < until && (current() == 0 || relay() == kOwnZoneRelay)) runFor(base::milliseconds(10));
   REQUIRE(current() != 0);
   CHECK(relay() == kOtherZoneRelay);
-  // As long as any, where the relay knows of a leader: its version may be on the way.
+  // A relay that knows of a leader gets the full timeout, since its version may be in flight.
   open();
   heartbeat(2, 7);
   runFor(base::milliseconds(1400));
@@ -292,7 +293,7 @@
   version(1);
 }
 
-TEST_CASE_METHOD(ControlClientFixture, "while no relay has heard of a leader each gets more time") {
+TEST_CASE_METHOD(ControlClientFixture, "the time for each relay grows while no relay knows of a leader") {
   open();
   sendRelayList();
   std::vector<base::Duration> stays;
@@ -310,7 +311,7 @@
 }
 
 TEST_CASE_METHOD(ControlClientFixture,
-                 "the time to answer a connection grows, so that relays behind slow links are reached") {
+                 "the time for a connection attempt grows, so that relays behind slow links are reached") {
   constexpr base::Duration kSlow = base::milliseconds(1200);
   bool reached = false;
   for (int i = 0; i < 100 && !reached; ++i) {
@@ -328,10 +329,10 @@
 
 namespace {
 
-/// A network on which each connection takes a time to come up, and counts as gone when its timeout is shorter.
+/// A network on which each connection needs a handshake time, and fails if its timeout is shorter.
 class SlowNetwork : public test::RecordingNetwork {
  public:
-  static constexpr base::Duration kOwnTimeout = base::milliseconds(700);  // of the transport, where nobody says another
+  static constexpr base::Duration kOwnTimeout = base::milliseconds(700);  // default of the transport
 
   SlowNetwork(base::Scheduler& scheduler, base::Duration handshake) : scheduler_(scheduler), handshake_(handshake) {}
 
@@ -350,7 +351,7 @@
   }
 
   ControlClient* client = nullptr;
-  bool answers = true;  // of connections that begin from now on
+  bool answers = true;  // whether attempts from now on are answered
   size_t mostAtOnce = 0;
 
  private:
@@ -358,7 +359,7 @@
   base::Duration handshake_;
 };
 
-/// A node with a version that knows five relays, behind a link on which a handshake takes a given time.
+/// A node that knows five relays, behind a link with a given handshake time.
 struct SlowLinkFixture : ControlClientFixture {
   void begin(base::Duration handshake) {
     slow = std::make_unique<SlowNetwork>(process, handshake);
@@ -399,18 +400,12 @@
 
 }  // namespace
 
-// Symptom: nodes served a version that was 8 s older than the one in force, and said of themselves that they are ready.
-//
-// Sequence: the machine of a node's relay loses power. The node tries the other four relays, all of them well, and
-// leaves each after 0.7 s; then it begins again, for as long as its link is full.
-//
-// Cause: a connection that is not up after a fixed time was given up, and the next try began at the end of the queue
-// again. On a link with more than 0.7 s of bytes in front of it no try can succeed. The node's own patience grows with
-// each round, but the transport's shorter timeout ended every try first.
-//
-// What settled it: ten lines "leaves relay ...: not reached" of one node from 27.8 s to 35.4 s, each relay twice, 0.70
-// to 0.95 s apart, "fresh 375 ms ago" in the first and "fresh 7960 ms ago" in the last.
-TEST_CASE_METHOD(SlowLinkFixture, "a node behind a full link comes back to a relay within two handshakes") {
+// Guards against nodes that serve a version 8 s out of date while they report to be ready. A node whose relay lost
+// power closed each connection attempt after the transport's timeout of 0.7 s, although its own timeout grew with each
+// round. Every new attempt queued again at the end of a congested link with more than 0.7 s of queued bytes, so none of
+// the four healthy relays was reached: one node made ten attempts from 27.8 s to 35.4 s, two to each relay and 0.70 to
+// 0.95 s apart, while its freshness aged from 375 to 7960 ms.
+TEST_CASE_METHOD(SlowLinkFixture, "a node behind a congested link reconnects to a relay within two handshakes") {
   constexpr base::Duration kHandshake = base::milliseconds(1200);
   begin(kHandshake);
   runUntilConnected(base::seconds(10));
@@ -423,10 +418,10 @@
   REQUIRE(served->connected());
   CHECK(queue.now() - lostAt <= 2 * kHandshake);
   runFor(base::seconds(4));
-  CHECK(slow->connected.size() == 1);  // what was tried beside it is closed
+  CHECK(slow->connected.size() == 1);  // the parallel attempts are closed
 }
 
-TEST_CASE_METHOD(SlowLinkFixture, "relays that don't answer are tried beside each other, a few at a time") {
+TEST_CASE_METHOD(SlowLinkFixture, "relays that don't answer are tried in parallel, a few at a time") {
   begin(base::milliseconds(50));
   runUntilConnected(base::seconds(1));
   takeVersion();
--- a/test/node/endpoint_calls_answers_test.cc
+++ b/test/node/endpoint_calls_answers_test.cc
@@ -1,4 +1,4 @@
-/// Large answers on a narrow link.
+/// Admission of calls with large answers on a slow link.
 #include <catch2/catch.hpp>
 
 #include <algorithm>
@@ -16,7 +16,7 @@
 constexpr base::ConnectionId kRemoteConnection = 1;
 constexpr base::ConnectionId kLocalConnection = 2;
 
-/// A back end that takes a while and answers with large bodies.
+/// A back end that answers after 150 ms with large bodies.
 class LargeBackend : public BackendClient {
  public:
   explicit LargeBackend(base::Scheduler& scheduler) : scheduler_(scheduler) {}
@@ -36,7 +36,7 @@
   base::Scheduler& scheduler_;
 };
 
-/// Answers wait in front of the link, which carries so many bytes a second.
+/// A network whose link sends kLinkBytesPerSecond and queues the rest.
 class NarrowNetwork : public test::RecordingNetwork {
  public:
   explicit NarrowNetwork(base::Scheduler& scheduler) : scheduler_(scheduler) {}
@@ -77,7 +77,7 @@
     calls->onOpen(kLocalConnection, peer);
   }
 
-  /// Asks for answers that take twice of what the link carries.
+  /// Requests answers at twice the bandwidth of the link.
   void load(base::ConnectionId connection, base::Duration duration) {
     constexpr auto kGap = base::milliseconds(30);
     for (base::Duration at{0}; at < duration; at += kGap) {
@@ -103,15 +103,15 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(Fixture, "answers that a narrow link can't carry in time are refused before they are made") {
+TEST_CASE_METHOD(Fixture, "calls whose answers a slow link can't carry in time are refused before they run") {
   load(kRemoteConnection, base::seconds(10));
   CHECK(network.longestQueue <= base::milliseconds(kTargetMs));
   CHECK(calls->counters().refusedForAnswer > 0);
-  // The link is used all the same: nine tenths of what it carries.
+  // At least nine tenths of the link's bandwidth is still used.
   CHECK(backend.runs * static_cast<int64_t>(kLargeAnswer) >= kLinkBytesPerSecond * 10 * 9 / 10);
 }
 
-TEST_CASE_METHOD(Fixture, "answers for this node's own callers cross no link, and are not refused") {
+TEST_CASE_METHOD(Fixture, "calls of this node's own callers do not use the link and are not refused") {
   load(kLocalConnection, base::seconds(3));
   CHECK(calls->counters().refusedForAnswer == 0);
 }
--- a/test/node/endpoint_calls_cold_test.cc
+++ b/test/node/endpoint_calls_cold_test.cc
@@ -1,4 +1,4 @@
-/// The node beside a back end that is cold, or whose zone is emptied.
+/// The endpoint side with a cold back end or an evacuated zone.
 #include <catch2/catch.hpp>
 
 #include <algorithm>
@@ -15,7 +15,7 @@
 constexpr double kColdRatePerS = 8;
 constexpr base::ConnectionId kCaller = 1;
 
-/// A back end that answers at once, and notes when it was asked.
+/// A back end that answers after 5 ms and records when requests arrive.
 class PromptBackend : public BackendClient {
  public:
   explicit PromptBackend(base::Scheduler& scheduler) : scheduler_(scheduler) {}
@@ -68,7 +68,7 @@
     calls->useTable(routing::RoutingTable(rows, ++revision));
   }
 
-  /// Other nodes send far more than a cold back end bears.
+  /// Sends 50 requests per second, far more than a cold back end can handle.
   void load(base::Duration duration) {
     constexpr auto kGap = base::milliseconds(20);
     for (base::Duration at{0}; at < duration; at += kGap) {
@@ -103,7 +103,7 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(Fixture, "a node that started beside a back end of unknown warmth spares it before it has a version") {
+TEST_CASE_METHOD(Fixture, "a back end that may be cold gets a low rate of requests before the node has a table") {
   calls->markPossiblyCold();
   load(base::seconds(2));
   CHECK(backend.mostInASecond() <= kSlots);
@@ -113,7 +113,7 @@
   CHECK(coldChecks > 0);
 }
 
-TEST_CASE_METHOD(Fixture, "a cold back end gets no more than the table says, and a warm one all") {
+TEST_CASE_METHOD(Fixture, "a cold back end gets at most the rate in the table, and a warm one gets all requests") {
   useTable(false);
   calls->onColdReport(base::seconds(3), false);
   load(base::seconds(2));
@@ -123,7 +123,8 @@
 }
 
 TEST_CASE_METHOD(
-    Fixture, "in an emptied zone calls are refused as not run; taken back, the back end counts as cold until asked") {
+    Fixture,
+    "calls in an evacuated zone are refused as not run; afterwards the back end counts as cold until checked") {
   useTable(true);
   load(base::seconds(1));
   CHECK(backend.startedAt.empty());
--- a/test/node/endpoint_calls_test.cc
+++ b/test/node/endpoint_calls_test.cc
@@ -10,7 +10,7 @@
 namespace driftlug::node {
 namespace {
 
-/// Keeps the answers that are sent.
+/// Records the messages that are sent.
 class RecordingNetwork : public base::Network {
  public:
   void setHello(const wire::Hello&) override {}
@@ -29,7 +29,7 @@
   std::vector<int64_t> accepted;
 };
 
-/// A back end that counts its runs and ends them in a given way.
+/// A back end that counts its runs and answers them with `next`.
 class CountingBackend : public BackendClient {
  public:
   explicit CountingBackend(base::Scheduler& scheduler) : scheduler_(scheduler) {}
@@ -124,7 +124,7 @@
   CHECK(first->backend.runs + second->backend.runs == 1);
 }
 
-TEST_CASE_METHOD(Fixture, "two attempts at once run once, and both get the answer") {
+TEST_CASE_METHOD(Fixture, "two concurrent attempts run once, and both get the answer") {
   first->file(1, "key", "claim 7");
   second->file(2, "key", "claim 7");
   runFor(base::seconds(2));
@@ -145,7 +145,7 @@
   CHECK(second->backend.runs == 0);
 }
 
-TEST_CASE_METHOD(Fixture, "a filing that a back end shed may run elsewhere") {
+TEST_CASE_METHOD(Fixture, "a filing that a back end refused as not run may run elsewhere") {
   wire::HttpHeader shed;
   shed.name = "x-shed";
   shed.value = "1";
@@ -161,7 +161,7 @@
   CHECK(second->backend.runs == 1);
 }
 
-TEST_CASE_METHOD(Fixture, "what has waited unread while the machine was suspended is refused as not run") {
+TEST_CASE_METHOD(Fixture, "requests that waited unread while the machine was suspended are refused as not run") {
   first->calls.setStale(true);
   first->file(1, "key", "claim 7");
   first->calls.setStale(false);
@@ -185,7 +185,7 @@
   CHECK(first->calls.limiter().running() == 0);
 }
 
-TEST_CASE_METHOD(Fixture, "a key that is used for another filing is refused") {
+TEST_CASE_METHOD(Fixture, "a key that is reused for another filing is refused") {
   first->file(1, "key", "claim 7");
   runFor(base::seconds(1));
   second->file(2, "key", "claim 8");
@@ -196,7 +196,7 @@
   CHECK(second->backend.runs == 0);
 }
 
-TEST_CASE_METHOD(Fixture, "slots are free again after each way a filing can end") {
+TEST_CASE_METHOD(Fixture, "slots are released after every outcome of a filing") {
   for (int i = 0; i < 20; ++i) {
     first->file(i, "key-" + std::to_string(i % 7), "claim " + std::to_string(i % 3));
     runFor(base::milliseconds(900));
@@ -207,7 +207,7 @@
   CHECK(first->calls.active() == 0);
 }
 
-TEST_CASE_METHOD(Fixture, "a call that is late already gives way to one that can make its target") {
+TEST_CASE_METHOD(Fixture, "a call that is already late runs after calls that can still meet their target") {
   EndpointOptions options;
   options.service = "records";
   options.defaultSlots = 1;
@@ -233,14 +233,14 @@
   ask(2, 0);    // takes the slot
   ask(3, 400);  // late
   ask(4, 0);
-  ask(5, 50);  // has waited, and can still make it
+  ask(5, 50);  // has waited, and can still meet its target
   runFor(base::milliseconds(100));
   std::vector<int64_t> order;
   for (const auto& answer : network.answers) order.push_back(answer.callId);
   CHECK(order == std::vector<int64_t>{1, 2, 5, 4, 3});
 }
 
-TEST_CASE_METHOD(Fixture, "a nested call goes first, and waits as long as its answer is of use") {
+TEST_CASE_METHOD(Fixture, "a nested call goes first, and may wait as long as its answer is useful") {
   EndpointOptions options;
   options.service = "records";
   options.defaultSlots = 1;
@@ -266,7 +266,7 @@
     request.targetLatencyMs = targetMs;
     calls.onRequest(node, request);
   };
-  for (int i = 0; i < 40; ++i) {  // those of target 20 come from beside one service only
+  for (int i = 0; i < 40; ++i) {  // calls with target 20 come from nodes of one service only
     ask(1 + i % 2, 100, 2000);
     runFor(base::milliseconds(10));
     ask(1, 20, 400);
@@ -284,7 +284,7 @@
   CHECK(completed == std::vector<int64_t>{101, 106, 107, 108, 109, 110, 111, 112, 113, 102, 103, 104, 105});
 }
 
-TEST_CASE_METHOD(Fixture, "a call that is withdrawn is refused while it waits, and let finish while it runs") {
+TEST_CASE_METHOD(Fixture, "a withdrawn call is refused while it waits, and completes while it runs") {
   EndpointOptions options;
   options.service = "records";
   options.defaultSlots = 1;
@@ -312,7 +312,7 @@
   CHECK(backend.runs == 1);
 }
 
-TEST_CASE_METHOD(Fixture, "the more nodes ask a full endpoint, the longer each is sent away") {
+TEST_CASE_METHOD(Fixture, "the back-off of each caller grows with the number of nodes that call a full endpoint") {
   const auto longestBackoffMs = [this](int nodes) {
     first->network.answers.clear();
     for (int i = 1; i <= nodes; ++i) {
@@ -325,7 +325,7 @@
     return longest;
   };
   longestBackoffMs(4);
-  // Four slots, each held for some 6 ms: one is free about every 1.6 ms, and twice as many requests are wanted.
+  // Four slots, each held for about 6 ms, free one slot per 1.6 ms, for which two requests are invited.
   CHECK(longestBackoffMs(20) <= 20);
   const auto forMany = longestBackoffMs(400);
   CHECK(forMany >= 200);
@@ -336,7 +336,7 @@
 
 namespace {
 
-/// An endpoint node on a link of 7.8 Mbit/s, to which bodies come in pieces.
+/// An endpoint node on a link of 7.8 Mbit/s that receives bodies in pieces.
 struct UploadFixture : Fixture {
   static constexpr int64_t kBodyBytes = 60'000;
 
@@ -364,7 +364,7 @@
     calls->onRequest(1, request);
   }
 
-  /// Sends what was granted and not sent so far.
+  /// Sends the bytes that have been granted and not sent yet.
   void sendGranted() {
     const auto grants = std::move(network.grants);
     network.grants.clear();
@@ -385,7 +385,7 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(UploadFixture, "a body comes in the pieces that were granted, and the back end gets it whole") {
+TEST_CASE_METHOD(UploadFixture, "a body arrives in the granted pieces, and the back end gets it complete") {
   announce(1);
   CHECK(!network.grants.empty());
   CHECK(network.grants.back().upToBytes < kBodyBytes);
@@ -413,13 +413,13 @@
 }
 
 TEST_CASE_METHOD(UploadFixture,
-                 "a call whose body has to wait is acknowledged, so that its node is not held for silent") {
+                 "a call whose body has to wait is acknowledged, so that this node does not appear silent") {
   for (int64_t id = 1; id <= 5; ++id) announce(id);
   CHECK(network.accepted == std::vector<int64_t>{1, 2, 3, 4, 5});
   CHECK(network.grants.back().callId == 1);
 }
 
-TEST_CASE_METHOD(UploadFixture, "a body that no frame could carry is refused") {
+TEST_CASE_METHOD(UploadFixture, "a body larger than a frame is refused") {
   wire::CallRequest request;
   request.callId = 1;
   request.serviceName = "proofs";
@@ -431,7 +431,7 @@
 }
 
 TEST_CASE_METHOD(UploadFixture,
-                 "a call whose body is on its way has its place in the queue, and no body comes for nothing") {
+                 "a call whose body is in flight reserves its place in the queue, and no body is sent in vain") {
   EndpointOptions options;
   options.service = "proofs";
   options.defaultSlots = 1;
@@ -451,7 +451,7 @@
   for (const auto& answer : network.answers) CHECK(answer.outcome == wire::CallOutcome::COMPLETED);
 }
 
-TEST_CASE_METHOD(UploadFixture, "a stop refuses the calls whose bodies are half in, and they never run") {
+TEST_CASE_METHOD(UploadFixture, "draining refuses calls whose bodies are incomplete, and they never run") {
   announce(1);
   sendGranted();
   calls->setDraining(true);
@@ -465,7 +465,7 @@
   CHECK(calls->bodies().empty());
 }
 
-TEST_CASE_METHOD(UploadFixture, "a caller that leaves while its body comes gives its room to the next one") {
+TEST_CASE_METHOD(UploadFixture, "a call cancelled while its body arrives passes its grant to the next one") {
   announce(1);
   announce(2);
   CHECK(network.grants.back().callId == 1);
@@ -477,7 +477,7 @@
   CHECK(calls->bodies().empty());
 }
 
-TEST_CASE_METHOD(UploadFixture, "a sender that never sends its body is refused once it would be late") {
+TEST_CASE_METHOD(UploadFixture, "a call whose body is never sent is refused once it would be late") {
   announce(1);
   runFor(base::milliseconds(200));
   CHECK(network.answers.empty());
--- a/test/node/local_backend_fixture.h
+++ b/test/node/local_backend_fixture.h
@@ -1,4 +1,4 @@
-/// A node's view of the back end beside it, on a virtual clock.
+/// Fixtures for a node and its local back end, on a virtual clock.
 #pragma once
 
 #include <catch2/catch.hpp>
@@ -11,7 +11,7 @@
 
 using wire::EndpointCondition;
 
-/// A back end that never answers by itself.
+/// A back end whose answers are given by the test.
 class SilentBackend : public BackendClient {
  public:
   uint64_t send(const wire::CallRequest& request, base::Duration, std::function<void(BackendAnswer)> done) override {
@@ -32,7 +32,7 @@
 
 inline constexpr int64_t kFirstStart = 1'764'720'000'000;  // Unix milliseconds
 
-/// A report of a life of a back end that started again under its name.
+/// A report of one of several starts of the back end i-1.
 inline BackendReport reportOf(int64_t startedAtMs, int64_t sequence, bool draining = false, int slots = 1) {
   return {"i-1", sequence, slots, 0, draining, startedAtMs};
 }
@@ -81,7 +81,7 @@
     calls.onRequest(1, request);
   }
 
-  /// @return the error with which a call was refused, or kNone when it was not.
+  /// @return the error with which a call was refused, or kNone if it was not.
   base::ErrorCode refusalOf(int64_t id) {
     for (const auto& response : network.all<wire::CallResponse>()) {
       if (response.callId != id) continue;
@@ -100,7 +100,7 @@
   LocalBackend local;
 };
 
-/// A back end that is asked for its name; the test gives the answers.
+/// Records identity checks; the test gives the answers.
 struct IdentityCheckFixture : LocalBackendFixture {
   void enableIdentityCheck(bool afterRestart) {
     local.setIdentityCheck([this](LocalBackend::IdentityCallback done) { identityChecks.push_back(std::move(done)); },
--- a/test/node/local_backend_test.cc
+++ b/test/node/local_backend_test.cc
@@ -4,7 +4,7 @@
 
 namespace driftlug::node {
 
-TEST_CASE_METHOD(IdentityCheckFixture, "a late report of an incarnation that this life does not know displaces none") {
+TEST_CASE_METHOD(IdentityCheckFixture, "a late report of an unknown incarnation does not replace the current one") {
   enableIdentityCheck(true);
   local.onIdentified("i-2");
   local.onReport(report("i-2", 7));
@@ -16,12 +16,12 @@
   CHECK(announced.back().endpoint == "i-2");
   CHECK(announced.back().condition == EndpointCondition::LIVE);
   CHECK(local.onReport(report("i-2", 8)) == ReportResult::kAccepted);
-  SECTION("it comes once more") {
+  SECTION("it is repeated") {
     CHECK(local.onReport(report("i-1", 50)) == ReportResult::kOutdated);
     CHECK(local.onReport(report("i-1", 49)) == ReportResult::kOutdated);
     CHECK(identityChecks.empty());
   }
-  SECTION("a newer one comes: the back end is asked again") {
+  SECTION("a newer one arrives: the identity is checked again") {
     CHECK(local.onReport(report("i-1", 51)) == ReportResult::kPending);
     answer("i-2");
     CHECK(local.incarnation() == "i-2");
@@ -29,7 +29,7 @@
 }
 
 TEST_CASE_METHOD(IdentityCheckFixture,
-                 "a back end that has started again is taken on its own word, and the old one never comes") {
+                 "a restarted back end is accepted after an identity check, and the old incarnation never returns") {
   enableIdentityCheck(false);
   CHECK(local.onReport(report("i-1", 9)) == ReportResult::kAccepted);
   CHECK(local.onReport(report("i-2", 1)) == ReportResult::kPending);
@@ -42,7 +42,8 @@
   CHECK(announced.back().endpoint == "i-2");
 }
 
-TEST_CASE_METHOD(IdentityCheckFixture, "of several names only the one that the back end gives is taken") {
+TEST_CASE_METHOD(IdentityCheckFixture,
+                 "of several reported names, only the one confirmed by the back end is accepted") {
   enableIdentityCheck(false);
   local.onReport(report("i-1", 9));
   local.onReport(report("i-3", 1));
@@ -54,13 +55,13 @@
 }
 
 TEST_CASE_METHOD(IdentityCheckFixture,
-                 "a back end that does not say who it is is the sender of the last report, for now") {
+                 "without an answer to the identity check, the sender of the last report is used for now") {
   enableIdentityCheck(false);
   local.onReport(report("i-2", 9));
   local.onReport(report("i-1", 50));
   answer("");
   CHECK(local.incarnation() == "i-1");
-  // The one that gave way without proof comes back by a newer report, not by one that was late.
+  // An incarnation that was superseded without confirmation returns with a newer report, not with a late one.
   CHECK(local.onReport(report("i-2", 9)) == ReportResult::kOutdated);
   CHECK(local.onReport(report("i-2", 10)) == ReportResult::kPending);
   answer("i-2");
@@ -70,23 +71,24 @@
   CHECK(local.onReport(report("i-1", 51)) == ReportResult::kOutdated);
 }
 
-TEST_CASE_METHOD(IdentityCheckFixture, "after a restart of the node, a late report alone revives nobody") {
+TEST_CASE_METHOD(IdentityCheckFixture,
+                 "after a restart of the node, a late report alone does not activate an incarnation") {
   enableIdentityCheck(true);
   CHECK(local.onReport(report("i-1", 50)) == ReportResult::kPending);
   CHECK(announced.empty());
-  SECTION("another one runs") {
+  SECTION("another incarnation is running") {
     answer("i-2");
     CHECK(local.incarnation().empty());
     CHECK(local.onReport(report("i-1", 50)) == ReportResult::kOutdated);
     CHECK(local.onReport(report("i-2", 3)) == ReportResult::kAccepted);
     CHECK(announced.back().endpoint == "i-2");
   }
-  SECTION("it runs") {
+  SECTION("it is running") {
     answer("i-1");
     CHECK(local.incarnation() == "i-1");
     CHECK(announced.back().condition == EndpointCondition::LIVE);
   }
-  SECTION("it runs, and had said to the node's earlier life that it drains") {
+  SECTION("it is running, and had reported to the node's previous process that it drains") {
     answer("i-1", true);
     CHECK(announced.back().condition == EndpointCondition::DRAINING);
     call(1, "i-1");
@@ -94,13 +96,13 @@
     CHECK(local.onReport(report("i-1", 51)) == ReportResult::kAccepted);
     CHECK(announced.back().condition == EndpointCondition::LIVE);
   }
-  SECTION("nobody says") {
+  SECTION("there is no answer") {
     answer("");
     CHECK(local.incarnation() == "i-1");
   }
 }
 
-TEST_CASE_METHOD(LocalBackendFixture, "no call is taken before the back end has told of itself") {
+TEST_CASE_METHOD(LocalBackendFixture, "no call is accepted before the first report of the back end") {
   call(1, "i-1");
   CHECK(refusalOf(1) == base::ErrorCode::kDraining);
   CHECK(local.onReport(report("i-1", 1)) == ReportResult::kAccepted);
@@ -119,8 +121,7 @@
   CHECK(backend.requests.empty());
 }
 
-TEST_CASE_METHOD(LocalBackendFixture,
-                 "from the report on, a draining back end gets no new call, not even one that waited") {
+TEST_CASE_METHOD(LocalBackendFixture, "after its report, a draining back end gets no new call and no waiting one") {
   local.onReport(report("i-1", 1));
   call(1, "i-1");
   call(2, "i-1");
@@ -141,7 +142,7 @@
   CHECK(refusalOf(1) == base::ErrorCode::kDraining);
 }
 
-TEST_CASE_METHOD(LocalBackendFixture, "an incarnation that has ended never comes back") {
+TEST_CASE_METHOD(LocalBackendFixture, "an incarnation that has ended never returns") {
   local.onReport(report("i-1", 1));
   SECTION("it left") { local.onLeave("i-1"); }
   SECTION("another one took its place") { local.onReport(report("i-2", 1)); }
@@ -152,7 +153,7 @@
   CHECK(backend.requests.empty());
 }
 
-TEST_CASE_METHOD(LocalBackendFixture, "a back end that says it is another one ends the incarnation") {
+TEST_CASE_METHOD(LocalBackendFixture, "a back end that rejects a call as misdirected ends the incarnation") {
   local.onReport(report("i-1", 1));
   call(1, "i-1");
   backend.pending[0]({BackendOutcome::kCompleted, false, 421, {}, ""});
@@ -163,7 +164,7 @@
 }
 
 TEST_CASE_METHOD(LocalBackendFixture,
-                 "after a restart of the node, the next report outdoes what its earlier life announced") {
+                 "after a restart of the node, the next report supersedes the announcements of its previous process") {
   local.onReport(report("i-1", 3));
   const auto before = announced.back();
   std::vector<wire::EndpointState> later;
@@ -175,7 +176,7 @@
 }
 
 TEST_CASE_METHOD(LocalBackendFixture,
-                 "a back end that named itself takes calls, and its first report outdoes earlier announcements") {
+                 "a back end known by name gets calls, and its first report supersedes earlier announcements") {
   local.onIdentified("i-1");
   call(1, "i-1");
   CHECK(backend.requests.size() == 1);
@@ -191,7 +192,7 @@
   CHECK(local.incarnation().empty());
 }
 
-TEST_CASE_METHOD(LocalBackendFixture, "a back end that can't be reached takes no calls until it reports again") {
+TEST_CASE_METHOD(LocalBackendFixture, "an unreachable back end gets no calls until its next report") {
   local.onReport(report("i-1", 1));
   for (int64_t id = 1; id <= 3; ++id) {
     call(id, "i-1");
@@ -208,7 +209,7 @@
   CHECK(refusalOf(5) == base::ErrorCode::kNone);
 }
 
-TEST_CASE_METHOD(LocalBackendFixture, "a back end that falls silent takes no calls; one that answers is not silent") {
+TEST_CASE_METHOD(LocalBackendFixture, "a silent back end gets no calls; one that answers calls is not silent") {
   local.onReport(report("i-1", 1));
   call(1, "i-1");
   runFor(base::seconds(3));
@@ -221,7 +222,7 @@
   CHECK(announced.back().condition == EndpointCondition::LIVE);
 }
 
-TEST_CASE_METHOD(LocalBackendFixture, "a node that stops announces that its endpoint drains") {
+TEST_CASE_METHOD(LocalBackendFixture, "a stopping node announces its endpoint as draining") {
   local.onReport(report("i-1", 1));
   local.setStopping();
   CHECK(announced.back().condition == EndpointCondition::DRAINING);
@@ -231,9 +232,9 @@
 }
 
 TEST_CASE_METHOD(LocalBackendFixture,
-                 "what would miss its target by waiting is refused, at once or when that is certain") {
+                 "a call that would miss its target by waiting is refused, at once or as soon as that is certain") {
   local.onReport(report("i-1", 1));
-  // A first run tells that a usual one takes 100 ms.
+  // The first run sets the average run time to 100 ms.
   call(1, "i-1", 200);
   runFor(base::milliseconds(100));
   backend.pending[0]({BackendOutcome::kCompleted, false, 200, {}, ""});
@@ -258,8 +259,7 @@
   CHECK(backend.requests[1].callId == 3);
 }
 
-TEST_CASE_METHOD(LocalBackendFixture,
-                 "a caller that leaves ends what may be repeated at the back end, and the next one starts") {
+TEST_CASE_METHOD(LocalBackendFixture, "cancelling a repeatable call cancels its run, and the next call starts") {
   local.onReport(report("i-1", 1));
   for (int64_t id = 1; id <= 4; ++id) call(id, "i-1");
   REQUIRE(backend.requests.size() == 1);
@@ -276,7 +276,7 @@
 }
 
 TEST_CASE_METHOD(LocalBackendFixture,
-                 "what may not be repeated is let finish when its caller leaves, and withdrawn while it waits") {
+                 "a cancelled call that may not be repeated completes if it runs, and is dropped if it waits") {
   local.onReport(report("i-1", 1));
   wire::CallRequest request;
   request.serviceName = "records";
--- a/test/node/slice_store_test.cc
+++ b/test/node/slice_store_test.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// What the relay would send to a store that runs a revision: the rows that differ.
+/// The delta that a relay sends to a store at revision `from`.
 wire::SliceUpdate deltaOf(const table::Table& table, int64_t from, const table::RowPtr& row) {
   wire::SliceUpdate update;
   update.fromRevision = from;
@@ -22,7 +22,7 @@
 
 const std::vector<std::string> kNames = {"a", "b", "c", "d"};
 
-/// Compares all that calls ask of a version.
+/// Compares everything that calls read from a routing table.
 void checkEquivalent(const routing::RoutingTable& left, const routing::RoutingTable& right) {
   for (const auto& name : kNames) {
     const auto* one = left.match(name, "/", "GET");
@@ -48,12 +48,12 @@
 
 }  // namespace
 
-TEST_CASE("a version that follows a change is as one built anew") {
+TEST_CASE("a version updated by a delta equals one that is built from all rows") {
   for (uint64_t seed = 1; seed <= 30; ++seed) {
     test::RowDraw draw(seed);
     table::Table table;
     SliceStore store;
-    store.setChecks({true, true, false});  // rows refer to any others here
+    store.setChecks({true, true, false});  // these rows refer to arbitrary others
     for (int64_t revision = 1; revision <= 100; ++revision) {
       const auto row = draw.next(revision);
       table.put(row);
@@ -64,7 +64,7 @@
   }
 }
 
-TEST_CASE("an update that is refused leaves rows and version as they were") {
+TEST_CASE("a rejected update leaves the rows and the version unchanged") {
   table::Table table;
   SliceStore store;
   for (const auto& row : {test::secretRow("k", 1), test::serviceRow("s", 2, {"k"})}) {
--- a/test/node/version_on_disk_test.cc
+++ b/test/node/version_on_disk_test.cc
@@ -9,9 +9,9 @@
 namespace {
 
 const base::Address kRelay{"10.0.0.1", 7001};
-constexpr base::Duration kSettled = base::milliseconds(100);  // far above the longest sync of a simulated disk
+constexpr base::Duration kSettled = base::milliseconds(100);  // far longer than any sync of a simulated disk
 
-/// One machine with a disk: its node dies and starts again, with and without a loss of power.
+/// A machine with a disk whose node stops and restarts, with or without a power loss.
 struct Machine {
   explicit Machine(uint64_t seed)
       : random(seed),
@@ -41,7 +41,7 @@
     if (powerLost) disk.crash();
   }
 
-  /// @return whether an event ran within the time.
+  /// @return whether an event ran within kSettled.
   bool step() { return queue.runNext(queue.now() + kSettled); }
 
   void runFor(base::Duration duration) {
@@ -50,7 +50,7 @@
     }
   }
 
-  /// The relay sends a whole slice.
+  /// Sends a full slice as the relay.
   void send(int64_t revision) {
     const auto connection = network.connected.rbegin()->first;
     if (!client->connected()) client->onOpen(connection, {});
@@ -63,7 +63,7 @@
 
   int64_t servedRevision() const { return client->slices().active() ? client->slices().revision() : 0; }
 
-  /// @return whether the node serves nothing that is older than what it has served.
+  /// @return whether the node does not serve an older version than before.
   bool neverServedOlder() const { return servedRevision() == 0 || servedRevision() >= newest; }
 
   simulation::EventQueue queue;
@@ -72,15 +72,15 @@
   simulation::SimulatedDisk disk;
   test::RecordingNetwork network;
   std::unique_ptr<ControlClient> client;
-  int64_t newest = 0;  // of the revisions that the node has served
+  int64_t newest = 0;  // newest revision that the node has served
 };
 
-constexpr uint64_t kSeeds = 40;  // what a loss of power undoes is drawn
+constexpr uint64_t kSeeds = 40;  // the writes that a power loss undoes are random
 
 }  // namespace
 
-TEST_CASE("a node that died while it kept a version does not serve an older one after a loss of power") {
-  constexpr int kMaxEvents = 12;  // events from the update to the version in force, and some more
+TEST_CASE("a node that stopped while storing a version does not serve an older one after a power loss") {
+  constexpr int kMaxEvents = 12;  // events until the version is active, and a few more
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     for (int eventCount = 0; eventCount <= kMaxEvents; ++eventCount) {
       Machine machine(seed);
@@ -105,7 +105,7 @@
   }
 }
 
-TEST_CASE("a version that a full disk can't take leaves no older one behind") {
+TEST_CASE("a version that does not fit on a full disk leaves no older version stored") {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     Machine machine(seed);
     machine.runFor(kSettled);
@@ -123,7 +123,7 @@
   }
 }
 
-TEST_CASE("a version waits for a disk that can neither keep it nor drop the one before") {
+TEST_CASE("a version is not activated while a failing disk can neither store it nor remove the previous one") {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     Machine machine(seed);
     machine.runFor(kSettled);
@@ -146,7 +146,7 @@
   }
 }
 
-TEST_CASE("a node whose disk fails at its start serves nothing that the disk could undo") {
+TEST_CASE("a node whose disk fails at its start serves no version that a power loss could undo") {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     Machine machine(seed);
     machine.runFor(kSettled);
