--- a/test/node/version_on_disk_test.cc
+++ b/test/node/version_on_disk_test.cc
@@ -30,7 +30,8 @@
     options.hosts = {"*"};
     client = std::make_unique<ControlClient>(
         options, process, base::RandomSource(random.bits()), network,
-        [this](const routing::RoutingTablePtr&) { newest = std::max(newest, client->slices().revision()); }, nullptr);
+        [this](const routing::RoutingTablePtr&) { newestServed = std::max(newestServed, client->slices().revision()); },
+        nullptr);
     client->start(&disk);
   }
 
@@ -64,7 +65,7 @@
   int64_t servedRevision() const { return client->slices().active() ? client->slices().revision() : 0; }
 
   /// @return whether the node does not serve an older version than before.
-  bool neverServedOlder() const { return servedRevision() == 0 || servedRevision() >= newest; }
+  bool neverServedOlder() const { return servedRevision() == 0 || servedRevision() >= newestServed; }
 
   simulation::EventQueue queue;
   base::RandomSource random;
@@ -72,7 +73,7 @@
   simulation::SimulatedDisk disk;
   test::RecordingNetwork network;
   std::unique_ptr<ControlClient> client;
-  int64_t newest = 0;  // newest revision that the node has served
+  int64_t newestServed = 0;  // newest revision that the node has served
 };
 
 constexpr uint64_t kSeeds = 40;  // the writes that a power loss undoes are random
@@ -98,7 +99,7 @@
       machine.stopNode(true);
       machine.start();
       machine.runFor(kSettled);
-      INFO("seed " << seed << ", event " << eventCount << ": " << machine.newest << " back to "
+      INFO("seed " << seed << ", event " << eventCount << ": " << machine.newestServed << " back to "
                    << machine.servedRevision());
       CHECK(machine.neverServedOlder());
     }
@@ -118,7 +119,7 @@
     machine.stopNode(true);
     machine.start();
     machine.runFor(kSettled);
-    INFO("seed " << seed << ": " << machine.newest << " back to " << machine.servedRevision());
+    INFO("seed " << seed << ": " << machine.newestServed << " back to " << machine.servedRevision());
     CHECK(machine.neverServedOlder());
   }
 }
@@ -141,7 +142,7 @@
     machine.stopNode(true);
     machine.start();
     machine.runFor(kSettled);
-    INFO("seed " << seed << ": " << machine.newest << " back to " << machine.servedRevision());
+    INFO("seed " << seed << ": " << machine.newestServed << " back to " << machine.servedRevision());
     CHECK(machine.neverServedOlder());
   }
 }
@@ -171,7 +172,7 @@
     machine.stopNode(true);
     machine.start();
     machine.runFor(kSettled);
-    INFO("seed " << seed << ": " << machine.newest << " back to " << machine.servedRevision());
+    INFO("seed " << seed << ": " << machine.newestServed << " back to " << machine.servedRevision());
     CHECK(machine.neverServedOlder());
   }
 }
