--- a/src/node/control_client.cc
+++ b/src/node/control_client.cc
@@ -122,7 +122,7 @@
 }
 
 /// Uses a connection that opened after the next relay had been tried.
-void ControlClient::adopt(base::ConnectionId connection) {
+void ControlClient::usePendingConnection(base::ConnectionId connection) {
   if (connection_ != 0) network_.close(connection_);
   reconnectTimer_.stop();
   connection_ = connection;
@@ -139,15 +139,15 @@
 
 void ControlClient::useSeeds(const std::vector<base::Address>& seeds) {
   seeds_ = seeds;
-  useRelays();
+  updateRelays();
 }
 
 void ControlClient::onRelayList(const wire::RelayList& list) {
   advertisedRelays_ = list;
-  useRelays();
+  updateRelays();
 }
 
-void ControlClient::useRelays() {
+void ControlClient::updateRelays() {
   std::vector<base::Address> near;
   std::vector<base::Address> far;
   for (const auto& relay : advertisedRelays_.relays) {
@@ -211,16 +211,16 @@
             relay_.port, cause, slices_.revision(),
             std::chrono::duration_cast<base::milliseconds>(scheduler_.now() - lastFreshAt_).count(), freshness_.term);
   // The first round over all relays uses a short delay; back-off starts with the second round.
-  const bool atOnce = completedRounds() == 0;
+  const bool firstRound = completedRounds() == 0;
   const auto limit = options_.reconnectDelay * (1 << std::min(completedRounds(), kMaxBackoffDoublings));
   ++attempts_;
-  switchRelay(random_.duration(atOnce ? options_.reconnectDelay / 4 : limit));
+  switchRelay(random_.duration(firstRound ? options_.reconnectDelay / 4 : limit));
 }
 
 int ControlClient::completedRounds() const { return attempts_ / std::max(1, static_cast<int>(options_.relays.size())); }
 
 void ControlClient::onOpen(base::ConnectionId connection, const wire::Hello& peer) {
-  if (pendingConnections_.count(connection) > 0 && !open_) adopt(connection);
+  if (pendingConnections_.count(connection) > 0 && !open_) usePendingConnection(connection);
   if (connection != connection_) return;
   closePendingConnections();
   open_ = true;
--- a/src/node/control_client.h
+++ b/src/node/control_client.h
@@ -128,12 +128,12 @@
   void join();
   void connect();
   void startNextAttempt();
-  void adopt(base::ConnectionId connection);
+  void usePendingConnection(base::ConnectionId connection);
   void closePendingConnections();
   void armReturnTimer();
   base::Duration connectionAttemptDelay() const;
   void onRelayList(const wire::RelayList& list);
-  void useRelays();
+  void updateRelays();
   void switchRelay(base::Duration delay);
   /// @return how often all relays have been tried without success.
   int completedRounds() const;
--- a/src/node/endpoint_calls.cc
+++ b/src/node/endpoint_calls.cc
@@ -63,7 +63,7 @@
   pace_.setRate(table.coldPerS(options_.service) * options_.coldOverage);
   hasTable_ = true;
   if (pace_.doubtful() && !coldCheckTimer_.running()) startColdCheck();
-  useEvacuation(table.evacuated(options_.zone));
+  setEvacuated(table.evacuated(options_.zone));
   applyLimits();
   refuseWaitingIfClosed();
 }
@@ -75,16 +75,16 @@
 
 /// @return the error for waiting calls when no more calls are accepted.
 ErrorCode EndpointCalls::closedError() const {
-  if (draining_ || takesCalls()) return ErrorCode::kDraining;
+  if (draining_ || acceptsCalls()) return ErrorCode::kDraining;
   return evacuated_ ? ErrorCode::kZoneEvacuated : ErrorCode::kVersionNotReleased;
 }
 
-bool EndpointCalls::versionTakesCalls() const { return !versions_ || versions_->takes(version_); }
+bool EndpointCalls::versionAcceptsCalls() const { return !versions_ || versions_->takes(version_); }
 
 /// Refuses waiting calls if the version is not released or the zone is evacuated, so that they run elsewhere. This also
 /// covers calls of nodes with an older table.
 void EndpointCalls::refuseWaitingIfClosed() {
-  if (takesCalls()) return;
+  if (acceptsCalls()) return;
   limiter_.refuseWaiting();
   probation_.refuseWaiting();
   refuseAwaitingBodies();
@@ -263,7 +263,7 @@
     error = ErrorCode::kDraining;
   } else if (evacuated_) {
     error = ErrorCode::kZoneEvacuated;
-  } else if (!versionTakesCalls()) {
+  } else if (!versionAcceptsCalls()) {
     error = ErrorCode::kVersionNotReleased;
   } else if (stale_) {
     error = ErrorCode::kStaleRequest;
@@ -360,7 +360,7 @@
 
 void EndpointCalls::releaseSlot(const Call& call) {
   if (call.running) limiter_.release(scheduler_.now() - call.startedAt, call.priority);
-  if (call.onProbation) probation_.release(scheduler_.now() - call.onProbationAt, call.priority);
+  if (call.onProbation) probation_.release(scheduler_.now() - call.probationStartedAt, call.priority);
 }
 
 void EndpointCalls::refuse(const CallKey& key, ErrorCode error, base::Duration retryAfter) {
@@ -388,7 +388,7 @@
   const auto since = scheduler_.now() - kActiveCallerWindow;
   const auto activeCallers = std::count_if(callerNodes_.begin(), callerNodes_.end(),
                                            [&](const auto& item) { return item.second.*lastSeenAt >= since; });
-  return std::min(options_.maxFullFor, interval * activeCallers / kRequestsPerFreeSlot);
+  return std::min(options_.maxCallerBackoff, interval * activeCallers / kRequestsPerFreeSlot);
 }
 
 std::string EndpointCalls::requestIdOf(const wire::CallRequest& request) const {
--- a/src/node/endpoint_calls.h
+++ b/src/node/endpoint_calls.h
@@ -44,8 +44,8 @@
   bool nestedFirst = true;
   double nestedShare = 0.75;    ///< with nestedFirst: highest share of slots for nested calls while others wait
   std::string requestIdHeader;  ///< header, in lower case, whose value identifies a call in logs; empty for none
-  base::Duration overloadRetryAfter{0};                  ///< lower bound of the Retry-After of overload refusals
-  base::Duration maxFullFor = base::milliseconds(1500);  ///< upper bound of the back-off of a calling node
+  base::Duration overloadRetryAfter{0};                        ///< lower bound of the Retry-After of overload refusals
+  base::Duration maxCallerBackoff = base::milliseconds(1500);  ///< upper bound of the back-off of a calling node
   std::string nodeId;
   std::string zone;  ///< zone of this node and its back end
   overload::body_intake_options bodies;
@@ -180,7 +180,7 @@
     std::optional<quarantine::request_fingerprint> fingerprint;  // computed on first use
     bool suspect = false;                                        // must run on probation
     bool onProbation = false;                                    // holds the probation slot
-    base::TimePoint onProbationAt{};
+    base::TimePoint probationStartedAt{};
     limits::TicketId probationTicket = 0;  // while it waits for the probation slot
     bool nested = false;                   // detected as a call made by a back end
     limits::Priority priority = limits::Priority::kNormal;
@@ -236,9 +236,9 @@
   limits::Priority priorityOf(const Call& call) const;
   void releaseSlot(const Call& call);
   void applyLimits();
-  bool versionTakesCalls() const;
-  bool takesCalls() const { return versionTakesCalls() && !evacuated_; }
-  void useEvacuation(bool evacuated);
+  bool versionAcceptsCalls() const;
+  bool acceptsCalls() const { return versionAcceptsCalls() && !evacuated_; }
+  void setEvacuated(bool evacuated);
   void startColdCheck();
   base::ErrorCode closedError() const;
   void refuseWaitingIfClosed();
--- a/src/node/endpoint_calls_cold.cc
+++ b/src/node/endpoint_calls_cold.cc
@@ -12,7 +12,7 @@
 }  // namespace
 
 /// The back ends of a zone may have gone cold while it was evacuated and they were idle.
-void EndpointCalls::useEvacuation(bool evacuated) {
+void EndpointCalls::setEvacuated(bool evacuated) {
   if (std::exchange(evacuated_, evacuated) && !evacuated) markPossiblyCold();
 }
 
--- a/src/node/endpoint_calls_quarantine.cc
+++ b/src/node/endpoint_calls_quarantine.cc
@@ -56,7 +56,7 @@
       [this, key] {
         auto& started = calls_.at(key);
         started.onProbation = true;
-        started.onProbationAt = scheduler_.now();
+        started.probationStartedAt = scheduler_.now();
         started.probationTicket = 0;
         acquireSlot(key);
       },
@@ -78,8 +78,8 @@
 /// Returns whether a call may run now that it has a slot. One that became a suspect meanwhile releases its slot.
 bool EndpointCalls::mayRunNow(const CallKey& key) {
   auto& call = calls_.at(key);
-  const auto treatedAs = standingOfCall(key);
-  if (treatedAs == standing::held) {
+  const auto currentStanding = standingOfCall(key);
+  if (currentStanding == standing::held) {
     refuseHeld(key);
     return false;
   }
@@ -87,7 +87,7 @@
     ++counters_.probationRuns;
     return true;
   }
-  if (treatedAs == standing::clear) return true;
+  if (currentStanding == standing::clear) return true;
   call.running = false;
   limiter_.release(base::Duration(0), call.priority);
   putOnProbation(key);
@@ -102,12 +102,12 @@
   for (const auto& key : waiting) {
     const auto found = calls_.find(key);
     if (found == calls_.end() || found->second.probationTicket == 0) continue;
-    const auto treatedAs = standingOfCall(key);
-    if (treatedAs == standing::suspect) continue;
+    const auto currentStanding = standingOfCall(key);
+    if (currentStanding == standing::suspect) continue;
     probation_.cancel(found->second.probationTicket);
     found->second.probationTicket = 0;
     found->second.suspect = false;
-    if (treatedAs == standing::held) {
+    if (currentStanding == standing::held) {
       refuseHeld(key);
     } else {
       acquireSlot(key);
--- a/src/node/local_backend.cc
+++ b/src/node/local_backend.cc
@@ -19,7 +19,7 @@
 
 LocalBackend::LocalBackend(wire::EndpointState endpointState, base::Scheduler& scheduler, EndpointCalls& calls,
                            AnnounceFunction announce, const LocalBackendOptions& options)
-    : unreadable_("backend", scheduler, base::kOneLineASecond),
+    : unreadableReportLog_("backend", scheduler, base::kOneLineASecond),
       endpointState_(std::move(endpointState)),
       calls_(calls),
       announce_(std::move(announce)),
@@ -44,7 +44,7 @@
 
 void LocalBackend::onUnreadableReport(const std::string& what) {
   ++unreadableReports_;
-  unreadable_.write(base::LineWorth::kFailure, [&] { return fmt::format("report rejected: {}", what); });
+  unreadableReportLog_.write(base::LineWorth::kFailure, [&] { return fmt::format("report rejected: {}", what); });
 }
 
 ReportResult LocalBackend::onReport(const BackendReport& report) {
@@ -99,8 +99,8 @@
 
 ReportResult LocalBackend::onOtherIncarnation(const BackendReport& report) {
   if (isSuperseded(report)) return ReportResult::kOutdated;
-  const bool certain = current_.incarnation.empty() && !afterRestart_;
-  if (identityCheck_ && !certain) {
+  const bool confirmed = current_.incarnation.empty() && !afterRestart_;
+  if (identityCheck_ && !confirmed) {
     queueForIdentity(report);
     return ReportResult::kPending;
   }
--- a/src/node/local_backend.h
+++ b/src/node/local_backend.h
@@ -144,7 +144,7 @@
   void announce(wire::EndpointCondition::type condition);
 
   base::Logger log_{"backend"};
-  base::DecisionLog unreadable_;  // rate-limited log of unreadable reports
+  base::DecisionLog unreadableReportLog_;  // rate-limited log of unreadable reports
   int64_t unreadableReports_ = 0;
   wire::EndpointState endpointState_;
   EndpointCalls& calls_;
--- a/test/node/control_client_test.cc
+++ b/test/node/control_client_test.cc
@@ -130,13 +130,13 @@
 
 TEST_CASE_METHOD(ControlClientFixture,
                  "a relay that is partitioned too is left at once, although its freshness is slightly newer") {
-  constexpr base::Duration kSinceCut = base::milliseconds(1700);
+  constexpr base::Duration kSincePartition = base::milliseconds(1700);
   open();
   sendRelayList(7);
   version(1);
   heartbeat(1, 10);
   for (int i = 0; i < 6 && relay() == kOwnZoneRelay; ++i) {
-    heartbeat(1, 10, kSinceCut);
+    heartbeat(1, 10, kSincePartition);
     runFor(base::milliseconds(400));
   }
   REQUIRE(relay() != kOwnZoneRelay);
@@ -144,7 +144,7 @@
   for (int hop = 1; hop <= 3; ++hop) {
     const auto left = relay();
     open();
-    heartbeat(1, 10 + hop, kSinceCut + hop * base::milliseconds(100));
+    heartbeat(1, 10 + hop, kSincePartition + hop * base::milliseconds(100));
     version(1);
     runFor(base::milliseconds(100));
     CHECK(relay() != left);
@@ -346,13 +346,13 @@
       connected.erase(id);
       client->onClose(id);
     });
-    mostAtOnce = std::max(mostAtOnce, connected.size());
+    maxConcurrentAttempts = std::max(maxConcurrentAttempts, connected.size());
     return id;
   }
 
   ControlClient* client = nullptr;
   bool answers = true;  // whether attempts from now on are answered
-  size_t mostAtOnce = 0;
+  size_t maxConcurrentAttempts = 0;
 
  private:
   base::Scheduler& scheduler_;
@@ -380,7 +380,7 @@
     while (!served->connected() && queue.now() < until) runFor(base::milliseconds(20));
   }
 
-  void takeVersion() {
+  void receiveVersion() {
     wire::SliceUpdate update;
     update.full = true;
     update.toRevision = 1;
@@ -410,7 +410,7 @@
   begin(kHandshake);
   runUntilConnected(base::seconds(10));
   REQUIRE(served->connected());
-  takeVersion();
+  receiveVersion();
   CHECK(served->slices().revision() == 1);
   loseRelay();
   const auto lostAt = queue.now();
@@ -424,12 +424,12 @@
 TEST_CASE_METHOD(SlowLinkFixture, "relays that don't answer are tried in parallel, a few at a time") {
   begin(base::milliseconds(50));
   runUntilConnected(base::seconds(1));
-  takeVersion();
+  receiveVersion();
   slow->answers = false;
   loseRelay();
   runFor(base::seconds(20));
   CHECK(!served->connected());
-  CHECK(slow->mostAtOnce <= 4);
+  CHECK(slow->maxConcurrentAttempts <= 4);
   slow->answers = true;
   const auto backAt = queue.now();
   runUntilConnected(base::seconds(5));
--- a/test/node/endpoint_calls_answers_test.cc
+++ b/test/node/endpoint_calls_answers_test.cc
@@ -17,9 +17,9 @@
 constexpr base::ConnectionId kLocalConnection = 2;
 
 /// A back end that answers after 150 ms with large bodies.
-class LargeBackend : public BackendClient {
+class LargeAnswerBackend : public BackendClient {
  public:
-  explicit LargeBackend(base::Scheduler& scheduler) : scheduler_(scheduler) {}
+  explicit LargeAnswerBackend(base::Scheduler& scheduler) : scheduler_(scheduler) {}
 
   uint64_t send(const wire::CallRequest&, base::Duration, std::function<void(BackendAnswer)> done) override {
     ++runs;
@@ -37,9 +37,9 @@
 };
 
 /// A network whose link sends kLinkBytesPerSecond and queues the rest.
-class NarrowNetwork : public test::RecordingNetwork {
+class SlowLinkNetwork : public test::RecordingNetwork {
  public:
-  explicit NarrowNetwork(base::Scheduler& scheduler) : scheduler_(scheduler) {}
+  explicit SlowLinkNetwork(base::Scheduler& scheduler) : scheduler_(scheduler) {}
 
   void send(base::ConnectionId connection, const wire::FramePtr& frame) override {
     test::RecordingNetwork::send(connection, frame);
@@ -95,8 +95,8 @@
 
   simulation::EventQueue queue;
   simulation::Process process;
-  NarrowNetwork network;
-  LargeBackend backend;
+  SlowLinkNetwork network;
+  LargeAnswerBackend backend;
   std::unique_ptr<EndpointCalls> calls;
   int64_t lastCall = 0;
 };
--- a/test/node/endpoint_calls_cold_test.cc
+++ b/test/node/endpoint_calls_cold_test.cc
@@ -16,9 +16,9 @@
 constexpr base::ConnectionId kCaller = 1;
 
 /// A back end that answers after 5 ms and records when requests arrive.
-class PromptBackend : public BackendClient {
+class FastBackend : public BackendClient {
  public:
-  explicit PromptBackend(base::Scheduler& scheduler) : scheduler_(scheduler) {}
+  explicit FastBackend(base::Scheduler& scheduler) : scheduler_(scheduler) {}
 
   uint64_t send(const wire::CallRequest&, base::Duration, std::function<void(BackendAnswer)> done) override {
     startedAt.push_back(scheduler_.now());
@@ -27,7 +27,7 @@
   }
   void cancel(uint64_t) override {}
 
-  size_t mostInASecond() const {
+  size_t maxStartsPerSecond() const {
     size_t most = 0;
     for (auto first = startedAt.begin(); first != startedAt.end(); ++first) {
       const auto last = std::lower_bound(first, startedAt.end(), *first + base::seconds(1));
@@ -94,7 +94,7 @@
   simulation::EventQueue queue;
   simulation::Process process;
   test::RecordingNetwork network;
-  PromptBackend backend;
+  FastBackend backend;
   std::unique_ptr<EndpointCalls> calls;
   int64_t revision = 0;
   int64_t lastCall = 0;
@@ -106,10 +106,10 @@
 TEST_CASE_METHOD(Fixture, "a back end that may be cold gets a low rate of requests before the node has a table") {
   calls->markPossiblyCold();
   load(base::seconds(2));
-  CHECK(backend.mostInASecond() <= kSlots);
+  CHECK(backend.maxStartsPerSecond() <= kSlots);
   useTable(false);
   load(base::seconds(2));
-  CHECK(backend.mostInASecond() <= static_cast<size_t>(kColdRatePerS));
+  CHECK(backend.maxStartsPerSecond() <= static_cast<size_t>(kColdRatePerS));
   CHECK(coldChecks > 0);
 }
 
@@ -117,9 +117,9 @@
   useTable(false);
   calls->onColdReport(base::seconds(3), false);
   load(base::seconds(2));
-  CHECK(backend.mostInASecond() <= static_cast<size_t>(kColdRatePerS));
+  CHECK(backend.maxStartsPerSecond() <= static_cast<size_t>(kColdRatePerS));
   load(base::seconds(2));
-  CHECK(backend.mostInASecond() > 3 * static_cast<size_t>(kColdRatePerS));
+  CHECK(backend.maxStartsPerSecond() > 3 * static_cast<size_t>(kColdRatePerS));
 }
 
 TEST_CASE_METHOD(
@@ -132,10 +132,10 @@
   useTable(false);
   CHECK(coldChecks == 1);
   load(base::seconds(2));
-  CHECK(backend.mostInASecond() <= static_cast<size_t>(kColdRatePerS));
+  CHECK(backend.maxStartsPerSecond() <= static_cast<size_t>(kColdRatePerS));
   calls->onColdReport(base::Duration(0), true);
   load(base::seconds(1));
-  CHECK(backend.mostInASecond() > 3 * static_cast<size_t>(kColdRatePerS));
+  CHECK(backend.maxStartsPerSecond() > 3 * static_cast<size_t>(kColdRatePerS));
 }
 
 }  // namespace driftlug::node
