--- a/src/consensus/raft.cc
+++ b/src/consensus/raft.cc
@@ -123,7 +123,7 @@
   if (role_ != RaftRole::kLeader) return makeError(ErrorCode::kNotLeader, "this member does not lead");
   // Until an entry of its own term is applied, a leader may not know of a membership change committed by an earlier
   // leader.
-  if (!appliedOwnTerm()) return makeError(ErrorCode::kNotAccepted, "this leader has just been elected");
+  if (!appliedOwnTerm()) return makeError(ErrorCode::kNotAccepted, "this leader has just begun");
   if (membershipChangePending()) return makeError(ErrorCode::kNotAccepted, "another membership change is in progress");
   std::set<std::string> before;
   std::set<std::string> after;
--- a/src/controller/controller_membership.cc
+++ b/src/controller/controller_membership.cc
@@ -93,7 +93,7 @@
     if (remaining == 0) return makeError(ErrorCode::kNotAccepted, "the last voter can't be removed");
     const bool leavingActive = raft_->recentlyActive(leaving->id);
     if (healthy * 2 <= remaining || (leavingActive && healthy < remaining)) {
-      return makeError(ErrorCode::kNotAccepted, "not enough of the remaining voters are active and caught up");
+      return makeError(ErrorCode::kNotAccepted, "the remaining voters are not all there and caught up");
     }
   }
   pendingAdditions_.erase(name);
--- a/src/controller/http_api.cc
+++ b/src/controller/http_api.cc
@@ -63,7 +63,7 @@
 absl::StatusOr<wire::Mutation> parseMutation(const json& item) {
   if (!item.is_object()) return badBody("each edit must be an object");
   const auto kind = table::kindFromName(item.value("kind", ""));
-  if (kind == 0) return badBody("the edit has no known kind");
+  if (kind == 0) return badBody("edit without a known kind");
   const auto key = table::makeKey(kind, item.value("name", ""));
   wire::Mutation mutation;
   mutation.expectedRevision = item.value("expected_revision", int64_t{-1});
@@ -73,7 +73,7 @@
     mutation.row.deleted = true;
     return mutation;
   }
-  if (!item.contains("row")) return badBody(table::keyText(key) + ": the edit has neither row nor delete");
+  if (!item.contains("row")) return badBody(table::keyText(key) + ": neither row nor delete");
   auto row = table::rowFromJson(key, item["row"]);
   if (!row.ok()) return row.status();
   mutation.row = std::move(*row);
@@ -82,7 +82,7 @@
 
 absl::StatusOr<wire::EditCommand> parseEdit(const std::string& body, int64_t currentRevision) {
   const auto document = json::parse(body, nullptr, false);
-  if (!document.is_object()) return badBody("the body is not a JSON object");
+  if (!document.is_object()) return badBody("the body is no JSON object");
   try {
     wire::EditCommand edit;
     edit.requestId = document.value("request_id", "");
@@ -92,9 +92,8 @@
       return badBody("request_id must have 1 to 200 bytes");
     }
     const auto edits = document.find("edits");
-    if (edits == document.end() || !edits->is_array() || edits->empty())
-      return badBody("edits must be a non-empty list");
-    if (edits->size() > kMaxMutations) return badBody("too many edits in one request");
+    if (edits == document.end() || !edits->is_array() || edits->empty()) return badBody("edits must be a list");
+    if (edits->size() > kMaxMutations) return badBody("too many edits at once");
     for (const auto& item : *edits) {
       auto mutation = parseMutation(item);
       if (!mutation.ok()) return mutation.status();
@@ -126,7 +125,7 @@
     case ErrorCode::kOutcomeUnknown:
       return "send the same request_id and body again to learn the outcome";
     case ErrorCode::kNotLeader:
-      return "there is no leader now; nothing was accepted, try again";
+      return "no controller leads now; nothing was accepted, try again";
     case ErrorCode::kStorageFull:
       return "the controller's disk is full; nothing was accepted";
     default:
@@ -142,7 +141,7 @@
 
 absl::StatusOr<ControllerAddress> parseController(const std::string& body) {
   const auto document = json::parse(body, nullptr, false);
-  if (!document.is_object()) return badBody("the body is not a JSON object");
+  if (!document.is_object()) return badBody("the body is no JSON object");
   try {
     ControllerAddress address;
     address.name = document.at("name").get<std::string>();
@@ -151,7 +150,7 @@
     address.httpPort = document.at("http_port").get<int>();
     return address;
   } catch (const json::exception& error) {
-    return badBody(std::string("name, address, frame_port and http_port are required: ") + error.what());
+    return badBody(std::string("name, address, frame_port and http_port are needed: ") + error.what());
   }
 }
 
@@ -169,7 +168,7 @@
       rollouts_(controller, [this](const HttpRequest& request) { return notLeaderResponse(request); }) {}
 
 HttpResponse HttpApi::notLeaderResponse(const HttpRequest& request) const {
-  auto response = errorResponse(ErrorCode::kNotLeader, "this controller is not the leader");
+  auto response = errorResponse(ErrorCode::kNotLeader, "another controller leads, or none does");
   const auto leader = controller_.leaderName();
   for (const auto& member : controller_.raft().members()) {
     if (member.name != leader || member.name == controller_.name()) continue;
@@ -317,7 +316,7 @@
   int64_t revision = 0;
   const auto text = request.path.substr(std::string(kRevisionsPath).size());
   if (!absl::SimpleAtoi(text.substr(0, text.find('/')), &revision)) {
-    return respond(errorResponse(ErrorCode::kBadRequestBody, "the revision is not a number"));
+    return respond(errorResponse(ErrorCode::kBadRequestBody, "the revision is no number"));
   }
   if (controller_.raft().role() != consensus::RaftRole::kLeader) return respond(notLeaderResponse(request));
   const int64_t waitMs = std::clamp<int64_t>(numberParameter(request, "wait_ms", 0), 0, kMaxWaitMs);
--- a/src/controller/rollout_http_api.cc
+++ b/src/controller/rollout_http_api.cc
@@ -27,11 +27,11 @@
   const auto bad = [](const char* what) { return base::makeError(ErrorCode::kBadRequestBody, what); };
   const auto document = json::parse(body, nullptr, false);
   if (!document.is_object()) {
-    return bad("the body is not a JSON object");
+    return bad("the body is no JSON object");
   }
   const auto version = document.find("version");
   if (version == document.end() || !version->is_string() || version->get<std::string>().empty()) {
-    return bad("version must be a non-empty string");
+    return bad("version must be text");
   }
   const auto finishBy = document.find("finish_by_ms");
   if (finishBy == document.end() || !finishBy->is_number_integer() || 0 >= finishBy->get<int64_t>() ||
--- a/src/controller/rollouts.cc
+++ b/src/controller/rollouts.cc
@@ -154,7 +154,7 @@
 }
 
 void Rollouts::order(const RolloutOrder& order, RolloutCallback done) {
-  if (!controller_.leads()) return done(refused(ErrorCode::kNotLeader, "this controller is not the leader"));
+  if (!controller_.leads()) return done(refused(ErrorCode::kNotLeader, "another controller leads, or none does"));
   controller_.confirmLeadership([this, alive = std::weak_ptr<bool>(alive_), order, done](bool confirmed) {
     if (alive.expired()) return;
     if (!confirmed) return done(refused(ErrorCode::kOutcomeUnknown, "send the order again"));
@@ -168,7 +168,7 @@
     return done(refused(ErrorCode::kInvalidEdit, "there is no such service"));
   }
   const auto row = rowOf(order.service);
-  if (!row) return done(refused(ErrorCode::kNotAccepted, "no endpoint of the service has reported its version yet"));
+  if (!row) return done(refused(ErrorCode::kNotAccepted, "no endpoint of the service has told its version yet"));
   const auto& current = row->rolloutRow;
   const bool same = current.target == order.target;
   if (current.state == RolloutState::RUNNING) {
@@ -193,7 +193,7 @@
 }
 
 void Rollouts::abort(const std::string& service, RolloutCallback done) {
-  if (!controller_.leads()) return done(refused(ErrorCode::kNotLeader, "this controller is not the leader"));
+  if (!controller_.leads()) return done(refused(ErrorCode::kNotLeader, "another controller leads, or none does"));
   const auto row = rowOf(service);
   const auto running = running_.find(service);
   if (row && recentlyRolledBack(service, row->rolloutRow)) return done({});
@@ -202,8 +202,7 @@
   auto next = rollout::rollout_driver::rollBack(row->rolloutRow, elapsed, "an operator took it back");
   submit(service, std::move(next), row->revision, "abort", [this, service, done](ErrorCode code) {
     if (code == ErrorCode::kNone) log_.info("service={} order rolled back by an operator", service);
-    done({code,
-          code == ErrorCode::kNone ? "" : "the rollout changed concurrently, or no quorum was reached; try again"});
+    done({code, code == ErrorCode::kNone ? "" : "a step was taken meanwhile, or nobody agreed; try again"});
   });
 }
 
--- a/src/rollout/rollout_driver.cc
+++ b/src/rollout/rollout_driver.cc
@@ -53,7 +53,7 @@
 
 std::string reasonOf(const version_verdict& _verdict)
 {
-	return _verdict.reason.empty() ? "no evidence against the version" : _verdict.reason;
+	return _verdict.reason.empty() ? "nothing speaks against the version" : _verdict.reason;
 }
 
 }  // namespace
--- a/src/rollout/version_evidence.cc
+++ b/src/rollout/version_evidence.cc
@@ -186,7 +186,7 @@
 		const auto span =
 			kAllTime == _span ? "all answers" : absl::StrFormat("the last %d ms", _span / base::milliseconds(1));
 		_verdict->reason =
-			absl::StrFormat("%s %s: strength %.2f over %d endpoints excluding the worst %d, from %s", _name, route,
+			absl::StrFormat("%s %s: strength %.2f over %d endpoints without the worst %d, of %s", _name, route,
 							_result.strength, _result.testedEndpoints, _result.excludedEndpoints, span);
 	};
 	for (const auto& symptom : kSymptoms)
