--- a/src/descriptors/descriptor_shares.cc
+++ b/src/descriptors/descriptor_shares.cc
@@ -25,7 +25,7 @@
 
 descriptor_shares shareDescriptors(size_t _limit)
 {
-	const size_t reserve = std::min(kReserve, _limit / kReserveDivisor);
+	const size_t reserve = std::min(kReservedDescriptors, _limit / kReserveDivisor);
 	const size_t left = _limit - reserve;
 	descriptor_shares shares;
 	shares.callers = shareOf(left, kCallersDivisor);
--- a/src/descriptors/descriptor_shares.h
+++ b/src/descriptors/descriptor_shares.h
@@ -9,7 +9,7 @@
 /// Descriptors that belong to no share: up to 200 for files and pipes, 64 connections at each of two listeners for
 /// pages, listeners, connections to relays, and sockets that are closed in the next turn of the loop. A process with
 /// few descriptors reserves a quarter of them.
-constexpr size_t kReserve = 512;
+constexpr size_t kReservedDescriptors = 512;
 constexpr size_t kReserveDivisor = 4;
 
 /// Connections to a listener for pages: probes, scrapes and reports of a back end, a few a second.
--- a/src/lifecycle/planned_stop.cc
+++ b/src/lifecycle/planned_stop.cc
@@ -8,8 +8,8 @@
 {
 /// What a planned stop keeps at its end for the answers to calls that it gives up: two turns of the loop of a busy
 /// node, and the way to the caller.
-constexpr base::Duration kLastAnswers = base::milliseconds(200);
-constexpr base::Duration kPoll = base::milliseconds(20);  // Between two looks at what is in progress.
+constexpr base::Duration kFinalAnswerTime = base::milliseconds(200);
+constexpr base::Duration kPollInterval = base::milliseconds(20);  // Between two looks at what is in progress.
 
 }  // namespace
 
@@ -33,10 +33,10 @@
 						 {
 							 refuse();
 						 });
-	m_scheduler.schedule(std::max(base::Duration(0), m_times.timeout - kLastAnswers),
+	m_scheduler.schedule(std::max(base::Duration(0), m_times.timeout - kFinalAnswerTime),
 						 [this]
 						 {
-							 giveUp();
+							 abortPending();
 						 });
 }
 
@@ -50,7 +50,7 @@
 	poll();
 }
 
-void planned_stop::giveUp()
+void planned_stop::abortPending()
 {
 	readNoMore();
 	m_target.refuseWaiting();
@@ -88,7 +88,7 @@
 		// What was read in this turn shows in the next poll.
 		readNoMore();
 	}
-	m_scheduler.schedule(kPoll,
+	m_scheduler.schedule(kPollInterval,
 						 [this]
 						 {
 							 poll();
--- a/src/lifecycle/planned_stop.h
+++ b/src/lifecycle/planned_stop.h
@@ -62,7 +62,7 @@
 	};
 
 	void refuse();
-	void giveUp();
+	void abortPending();
 	void readNoMore();
 	void poll();
 	bool allAnswered() const;
--- a/src/limits/cold_pace.cc
+++ b/src/limits/cold_start_limiter.cc
@@ -1,4 +1,4 @@
-#include "limits/cold_pace.h"
+#include "limits/cold_start_limiter.h"
 
 #include <algorithm>
 #include <chrono>
@@ -9,43 +9,43 @@
 constexpr base::Duration kWindow = base::seconds(1);
 /// Longest time that a word of the back end is on its way, a second and its repeat at another node; what comes later
 /// than this behind a doubt was said after it.
-constexpr base::Duration kWordDelay = base::seconds(3);
+constexpr base::Duration kMaxReportDelay = base::seconds(3);
 
 }  // namespace
 
-void ColdPace::onTold(base::Duration coldFor, bool asked) {
+void ColdStartLimiter::onColdReport(base::Duration coldFor, bool requested) {
   const auto now = time_.now();
-  if (asked) {
+  if (requested) {
     coldUntil_ = now + coldFor;
-    doubtedAt_.reset();
+    uncertainSince_.reset();
     return;
   }
   coldUntil_ = std::max(coldUntil_, now + coldFor);
-  if (doubtedAt_ && now - *doubtedAt_ > kWordDelay) doubtedAt_.reset();
+  if (uncertainSince_ && now - *uncertainSince_ > kMaxReportDelay) uncertainSince_.reset();
 }
 
-void ColdPace::onDoubt() {
-  if (!doubtedAt_) doubtedAt_ = time_.now();
+void ColdStartLimiter::markUncertain() {
+  if (!uncertainSince_) uncertainSince_ = time_.now();
 }
 
-bool ColdPace::bounds() const { return perSecond_ > 0 && (doubtedAt_ || coldUntil_ > time_.now()); }
+bool ColdStartLimiter::isLimiting() const { return perSecond_ > 0 && (uncertainSince_ || coldUntil_ > time_.now()); }
 
-void ColdPace::onStart() {
+void ColdStartLimiter::onStart() {
   // Also where nothing is bounded yet: what started just before counts.
   const auto now = time_.now();
   while (!starts_.empty() && now - starts_.front() >= kWindow) starts_.pop_front();
   starts_.push_back(now);
 }
 
-std::optional<base::TimePoint> ColdPace::heldUntil() const {
+std::optional<base::TimePoint> ColdStartLimiter::blockedUntil() const {
   const auto most = std::max<size_t>(1, static_cast<size_t>(perSecond_));
-  if (!bounds() || starts_.size() < most) return std::nullopt;
+  if (!isLimiting() || starts_.size() < most) return std::nullopt;
   const auto next = starts_[starts_.size() - most] + kWindow;
   return next > time_.now() ? std::optional(next) : std::nullopt;
 }
 
-base::Duration ColdPace::interval() const {
-  if (!bounds()) return base::Duration(0);
+base::Duration ColdStartLimiter::interval() const {
+  if (!isLimiting()) return base::Duration(0);
   return std::chrono::duration_cast<base::Duration>(std::chrono::duration<double>(1 / perSecond_));
 }
 
--- a/src/limits/cold_pace.h
+++ b/src/limits/cold_start_limiter.h
@@ -13,31 +13,31 @@
 ///
 /// The node beside a back end sees every request to it, so the bound is exact here, whatever callers know. A back end
 /// may turn cold without a word, as when it was out of reach for a while: until it has been asked, it counts as cold.
-class ColdPace {
+class ColdStartLimiter {
  public:
-  explicit ColdPace(const base::TimeSource& time) : time_(time) {}
+  explicit ColdStartLimiter(const base::TimeSource& time) : time_(time) {}
 
   /// Sets what a cold back end bears, in requests a second; 0 where that is not known, and then nothing is bounded.
   void setRate(double perSecond) { perSecond_ = perSecond; }
 
   /// The back end said for how long it is cold.
   /// @param asked whether it was asked just now; what it says by itself may be some seconds old
-  void onTold(base::Duration coldFor, bool asked);
+  void onColdReport(base::Duration coldFor, bool requested);
 
   /// The back end may have turned cold.
-  void onDoubt();
+  void markUncertain();
 
   /// @return whether the back end is to be asked.
-  bool doubtful() const { return doubtedAt_ && perSecond_ > 0; }
+  bool isUncertain() const { return uncertainSince_ && perSecond_ > 0; }
 
   /// @return whether starts are bounded now.
-  bool bounds() const;
+  bool isLimiting() const;
 
   /// A request starts.
   void onStart();
 
   /// @return when the next request may start; nothing where one may start now
-  std::optional<base::TimePoint> heldUntil() const;
+  std::optional<base::TimePoint> blockedUntil() const;
 
   /// @return the mean time between two starts at the bound; 0 where nothing is bounded.
   base::Duration interval() const;
@@ -46,7 +46,7 @@
   const base::TimeSource& time_;
   double perSecond_ = 0;
   base::TimePoint coldUntil_{};
-  std::optional<base::TimePoint> doubtedAt_;
+  std::optional<base::TimePoint> uncertainSince_;
   std::deque<base::TimePoint> starts_;  // of the last second
 };
 
--- a/src/limits/slot_limiter.cc
+++ b/src/limits/slot_limiter.cc
@@ -24,34 +24,36 @@
   startWaiting();
 }
 
-bool SlotLimiter::mayStart() const { return running_ < maxConcurrent_ && (pace_ == nullptr || !pace_->heldUntil()); }
+bool SlotLimiter::mayStart() const {
+  return running_ < maxConcurrent_ && (coldStartLimiter_ == nullptr || !coldStartLimiter_->blockedUntil());
+}
 
-std::optional<base::TimePoint> SlotLimiter::nextPacedStart() const {
-  if (pace_ == nullptr || waiting_.empty() || running_ >= maxConcurrent_) return std::nullopt;
-  return pace_->heldUntil();
+std::optional<base::TimePoint> SlotLimiter::nextRateLimitedStart() const {
+  if (coldStartLimiter_ == nullptr || waiting_.empty() || running_ >= maxConcurrent_) return std::nullopt;
+  return coldStartLimiter_->blockedUntil();
 }
 
-base::Duration SlotLimiter::pacedWait(std::ptrdiff_t ahead) const {
-  if (pace_ == nullptr) return base::Duration(0);
-  const auto held = pace_->heldUntil();
-  return (held ? *held - time_.now() : base::Duration(0)) + pace_->interval() * ahead;
+base::Duration SlotLimiter::rateLimitWait(std::ptrdiff_t ahead) const {
+  if (coldStartLimiter_ == nullptr) return base::Duration(0);
+  const auto held = coldStartLimiter_->blockedUntil();
+  return (held ? *held - time_.now() : base::Duration(0)) + coldStartLimiter_->interval() * ahead;
 }
 
 base::Duration SlotLimiter::expectedWait(Priority priority, base::TimePoint latestStart) const {
-  const Order own{priority, latestStart, nextTicket_};
+  const QueueKey own{priority, latestStart, nextTicket_};
   const auto before = std::distance(waiting_.begin(), waiting_.lower_bound(own));
   // Slots are free beside those that wait only while some of these aren't ready.
   const auto free = std::max(0, maxConcurrent_ - running_);
   const auto ahead = 1 + before - free;
-  const auto paced = pacedWait(before);
+  const auto paced = rateLimitWait(before);
   if (ahead <= 0) return paced;
   const auto share = static_cast<double>(ahead) / std::max(1, maxConcurrent_);
-  return std::max<base::Duration>(paced, base::Duration(static_cast<int64_t>(heldUs_ * share)));
+  return std::max<base::Duration>(paced, base::Duration(static_cast<int64_t>(averageHoldUs_ * share)));
 }
 
 base::Duration SlotLimiter::slotInterval() const {
-  const auto held = base::Duration(static_cast<int64_t>(heldUs_ / std::max(1, maxConcurrent_)));
-  return pace_ == nullptr ? held : std::max(held, pace_->interval());
+  const auto held = base::Duration(static_cast<int64_t>(averageHoldUs_ / std::max(1, maxConcurrent_)));
+  return coldStartLimiter_ == nullptr ? held : std::max(held, coldStartLimiter_->interval());
 }
 
 std::optional<base::TimePoint> SlotLimiter::nextExpiry() const {
@@ -115,7 +117,7 @@
   ++running_;
   if (priority == Priority::kNested) ++runningNested_;
   ++counters_.admitted;
-  if (pace_ != nullptr) pace_->onStart();
+  if (coldStartLimiter_ != nullptr) coldStartLimiter_->onStart();
 }
 
 SlotLimiter::Waiting::iterator SlotLimiter::nextToStart() {
@@ -155,12 +157,12 @@
   --running_;
   if (priority == Priority::kNested) --runningNested_;
   const auto heldUs = static_cast<double>(held.count());
-  heldUs_ = heldUs_ == 0 ? heldUs : heldUs_ * (1 - kAverageWeight) + heldUs * kAverageWeight;
+  averageHoldUs_ = averageHoldUs_ == 0 ? heldUs : averageHoldUs_ * (1 - kAverageWeight) + heldUs * kAverageWeight;
   startWaiting();
 }
 
 void SlotLimiter::refuseWaiting() {
-  std::map<Order, Request> refused;
+  std::map<QueueKey, Request> refused;
   refused.swap(waiting_);
   for (auto& [order, request] : refused) request.refuse(SlotRefusal::kClosed);
 }
--- a/src/limits/slot_limiter.h
+++ b/src/limits/slot_limiter.h
@@ -8,12 +8,12 @@
 #include <optional>
 
 #include "base/time.h"
-#include "limits/cold_pace.h"
+#include "limits/cold_start_limiter.h"
 
 namespace driftlug::limits {
 
 /// Which requests go first when slots are short; the lower the number, the more urgent. Numbers above those named
-/// here come from routes of lower priority, see rankOf().
+/// here come from routes of lower priority, see priorityFor().
 enum class Priority : int {
   kNested = -1,  ///< made by a back end for a call that it is running, which fails with it
   kMustRun = 0,  ///< filings, orders: requests that may not be repeated
@@ -22,15 +22,15 @@
 
 /// @return the rank of a request: by the priority of its route (0 is the most urgent), then by whether it may be
 /// repeated.
-inline Priority rankOf(int routePriority, bool repeatable) {
+inline Priority priorityFor(int routePriority, bool repeatable) {
   const auto within = static_cast<int>(repeatable ? Priority::kNormal : Priority::kMustRun);
   return static_cast<Priority>(2 * routePriority + within);
 }
 
 /// @return the rank of a request that is late already: behind all that are not, and in the same order among its kind.
-inline Priority afterAllInTime(Priority priority) {
-  constexpr int kLateRanks = 1 << 20;
-  return static_cast<Priority>(kLateRanks + static_cast<int>(priority));
+inline Priority latePriority(Priority priority) {
+  constexpr int kLateOffset = 1 << 20;
+  return static_cast<Priority>(kLateOffset + static_cast<int>(priority));
 }
 
 /// Identifies one request within a limiter.
@@ -84,10 +84,10 @@
 
   /// Starts no more than a pace allows.
   /// @param pace outlives this object; null for none
-  void usePace(ColdPace* pace) { pace_ = pace; }
+  void setColdStartLimiter(ColdStartLimiter* coldStartLimiter) { coldStartLimiter_ = coldStartLimiter; }
 
   /// @return when the pace lets the next of the waiting requests start, if it is the pace that it waits for.
-  std::optional<base::TimePoint> nextPacedStart() const;
+  std::optional<base::TimePoint> nextRateLimitedStart() const;
 
   /// Starts what waits, as far as there is room and the pace allows.
   void startWaiting();
@@ -119,11 +119,11 @@
   const SlotCounters& counters() const { return counters_; }
 
  private:
-  struct Order {
+  struct QueueKey {
     Priority priority;
     base::TimePoint latestStart;
     TicketId ticket;
-    auto operator<=>(const Order&) const = default;
+    auto operator<=>(const QueueKey&) const = default;
   };
 
   struct Request {
@@ -132,10 +132,10 @@
     bool ready = true;
   };
 
-  using Waiting = std::map<Order, Request>;
+  using Waiting = std::map<QueueKey, Request>;
 
   bool mayStart() const;
-  base::Duration pacedWait(std::ptrdiff_t ahead) const;
+  base::Duration rateLimitWait(std::ptrdiff_t ahead) const;
   Waiting::iterator nextToStart();
   void admit(Priority priority);
   bool displaceFor(Priority priority);
@@ -144,12 +144,12 @@
   int maxConcurrent_;
   int maxQueued_;
   int running_ = 0;
-  ColdPace* pace_ = nullptr;  // may stay null
+  ColdStartLimiter* coldStartLimiter_ = nullptr;  // may stay null
   int runningNested_ = 0;
   double nestedShare_ = 1;
   TicketId nextTicket_ = 1;
-  Waiting waiting_;    // first to start first
-  double heldUs_ = 0;  // moving average of how long a slot is held
+  Waiting waiting_;           // first to start first
+  double averageHoldUs_ = 0;  // moving average of how long a slot is held
   SlotCounters counters_;
 };
 
--- a/src/node/control_client.cc
+++ b/src/node/control_client.cc
@@ -236,7 +236,7 @@
   relayTakesCrashReports_ = peer.takesCrashReports;
   relayTakesVersionReports_ = peer.takesVersionReports;
   relayGrantsQuotas_ = peer.grantsQuotas;
-  if (quotas_ != nullptr) quotas_->askAnew();
+  if (quotas_ != nullptr) quotas_->resendAll();
   // All of it: relays that were restarted have forgotten what they knew.
   if (quarantine_ != nullptr) sendCrashReports(quarantine_->all());
   if (!announcing_) return;
--- a/src/node/endpoint_calls.cc
+++ b/src/node/endpoint_calls.cc
@@ -50,7 +50,7 @@
                    }),
       decisions_("endpoint", scheduler) {
   limiter_.setNestedShare(options_.nestedShare);
-  limiter_.usePace(&pace_);
+  limiter_.setColdStartLimiter(&pace_);
 }
 
 EndpointCalls::~EndpointCalls() { alive_.reset(); }
@@ -62,7 +62,7 @@
   versions_ = versions != nullptr ? std::optional(*versions) : std::nullopt;
   pace_.setRate(table.coldPerS(options_.service) * options_.coldOverage);
   hasTable_ = true;
-  if (pace_.doubtful() && !warmthTimer_.running()) askForWarmth();
+  if (pace_.isUncertain() && !warmthTimer_.running()) askForWarmth();
   useEvacuation(table.evacuated(options_.zone));
   applyLimits();
   refuseUnreleased();
@@ -225,7 +225,7 @@
 void EndpointCalls::armExpiry() {
   auto next = limiter_.nextExpiry();
   if (const auto suspect = probation_.nextExpiry(); suspect && (!next || *suspect < *next)) next = suspect;
-  if (const auto paced = limiter_.nextPacedStart(); paced && (!next || *paced < *next)) next = paced;
+  if (const auto paced = limiter_.nextRateLimitedStart(); paced && (!next || *paced < *next)) next = paced;
   if (!next) return expiryTimer_.stop();
   expiryTimer_.start(std::max<base::Duration>(base::milliseconds(1), *next - scheduler_.now()));
 }
@@ -244,8 +244,8 @@
   const auto& request = call.request;
   // Where targets count, the one that is nearest goes first within a priority, whether it may be repeated or not.
   const bool byTarget = options_.waitWithinTarget && request.targetLatencyMs > 0;
-  const auto rank = limits::rankOf(request.priority, byTarget || isRepeatable(request));
-  return byTarget && isLate(request) ? limits::afterAllInTime(rank) : rank;
+  const auto rank = limits::priorityFor(request.priority, byTarget || isRepeatable(request));
+  return byTarget && isLate(request) ? limits::latePriority(rank) : rank;
 }
 
 bool EndpointCalls::refuseAtOnce(const CallKey& key, const wire::CallRequest& request) {
@@ -310,7 +310,7 @@
   stored.headers = std::move(answer.headers);
   stored.body = std::move(answer.body);
   const auto& call = found->second;
-  answers_.onAnswer(kindOf(call.request), stored.body.size());
+  answers_.onResponse(kindOf(call.request), stored.body.size());
   noteRun(call);
   noteRanWell(key);
   if (!call.owner.empty()) ledger_->complete(call.request.idempotencyKey, call.owner, stored, kLedgerPatience);
--- a/src/node/endpoint_calls.h
+++ b/src/node/endpoint_calls.h
@@ -12,12 +12,12 @@
 #include "base/network.h"
 #include "base/time.h"
 #include "ledger/ledger_client.h"
-#include "limits/cold_pace.h"
+#include "limits/cold_start_limiter.h"
 #include "limits/slot_limiter.h"
 #include "node/call_types.h"
-#include "overload/answer_room.h"
-#include "overload/body_intake.h"
-#include "overload/call_origins.h"
+#include "overload/body_flow_controller.h"
+#include "overload/nested_call_detector.h"
+#include "overload/response_transfer_estimator.h"
 #include "quarantine/crash_watch.h"
 #include "quarantine/request_quarantine.h"
 #include "routing/routing_table.h"
@@ -48,7 +48,7 @@
   base::Duration maxFullFor = base::milliseconds(1500);  ///< longest time for which an asking node is sent away
   std::string nodeId;
   std::string zone;  ///< of this node and its back end
-  overload::body_intake_options bodies;
+  overload::body_flow_controller_options bodies;
 };
 
 /// Counters of the endpoint side.
@@ -155,7 +155,7 @@
   size_t active() const { return calls_.size(); }
   const EndpointCounters& counters() const { return counters_; }
   const limits::SlotLimiter& limiter() const { return limiter_; }
-  const overload::body_intake& bodies() const { return bodies_; }
+  const overload::body_flow_controller& bodies() const { return bodies_; }
 
  private:
   /// Time for which a node goes on to tell the ledger how a request ended.
@@ -259,7 +259,7 @@
   base::Network& network_;
   BackendClient& backend_;
   ledger::LedgerClient* ledger_;  // may be null
-  limits::ColdPace pace_;
+  limits::ColdStartLimiter pace_;
   limits::SlotLimiter limiter_;
   limits::SlotLimiter probation_;                         // one place, for suspects
   quarantine::request_quarantine* quarantine_ = nullptr;  // may stay null
@@ -269,9 +269,9 @@
   std::map<CallKey, Call> calls_;
   std::map<base::ConnectionId, Asker> askers_;
   std::map<base::ConnectionId, std::string> callerServices_;  // the services beside the connected nodes
-  overload::call_origins origins_;
-  overload::body_intake bodies_;
-  overload::answer_room answers_;
+  overload::nested_call_detector origins_;
+  overload::body_flow_controller bodies_;
+  overload::response_transfer_estimator answers_;
   base::ConnectionId beside_ = 0;  // of this node's own callers; crosses no link
   base::Timer bodyTimer_;          // runs while bodies are awaited
   bool draining_ = false;
--- a/src/node/endpoint_calls_bodies.cc
+++ b/src/node/endpoint_calls_bodies.cc
@@ -38,21 +38,21 @@
 
 /// @return how long the answer to a call would wait for this node's link, and cross it, behind those that go before it.
 base::Duration EndpointCalls::answerDelay(const CallKey& key) const {
-  int64_t bytes = answers_.usualBytes(kindOf(calls_.at(key).request));
+  int64_t bytes = answers_.typicalBytes(kindOf(calls_.at(key).request));
   for (const auto& [connection, service] : callerServices_) {
     bytes += static_cast<int64_t>(network_.queuedBytes(connection));
   }
   for (const auto& [other, call] : calls_) {
     if (other == key || other.connection == beside_) continue;
     const auto kind = kindOf(call.request);
-    if (answers_.large(kind)) bytes += answers_.usualBytes(kind);
+    if (answers_.isLarge(kind)) bytes += answers_.typicalBytes(kind);
   }
-  return answers_.timeFor(bytes);
+  return answers_.transferTime(bytes);
 }
 
 bool EndpointCalls::answerWouldBeLate(const CallKey& key) const {
   const auto& request = calls_.at(key).request;
-  if (key.connection == beside_ || !answers_.large(kindOf(request))) return false;
+  if (key.connection == beside_ || !answers_.isLarge(kindOf(request))) return false;
   const auto target = base::milliseconds(request.targetLatencyMs > 0 ? request.targetLatencyMs : request.remainingMs);
   const auto left = std::min<base::Duration>(target, base::milliseconds(request.remainingMs));
   return base::microsecondsOf(usualRunUs(request)) + answerDelay(key) > left;
@@ -60,7 +60,7 @@
 
 void EndpointCalls::refuseForAnswer(const CallKey& key) {
   ++counters_.refusedForAnswer;
-  const auto usual = answers_.timeFor(answers_.usualBytes(kindOf(calls_[key].request)));
+  const auto usual = answers_.transferTime(answers_.typicalBytes(kindOf(calls_[key].request)));
   const auto delay = answerDelay(key);
   wire::CallResponse response;
   response.fullForMs = base::millisecondsOf(sentAwayFor(usual, &Asker::askedAt));
--- a/src/node/endpoint_calls_cold.cc
+++ b/src/node/endpoint_calls_cold.cc
@@ -17,18 +17,18 @@
 }
 
 void EndpointCalls::doubtWarmth() {
-  pace_.onDoubt();
-  if (pace_.doubtful() && !warmthTimer_.running()) askForWarmth();
+  pace_.markUncertain();
+  if (pace_.isUncertain() && !warmthTimer_.running()) askForWarmth();
 }
 
 void EndpointCalls::askForWarmth() {
-  if (!pace_.doubtful()) return;
+  if (!pace_.isUncertain()) return;
   warmthTimer_.start(kWarmthInterval);
   if (onDoubtedWarmth_) onDoubtedWarmth_();
 }
 
 void EndpointCalls::onColdTold(base::Duration coldFor, bool asked) {
-  pace_.onTold(coldFor, asked);
+  pace_.onColdReport(coldFor, asked);
   limiter_.startWaiting();
   armExpiry();
 }
--- a/src/node/endpoint_links.cc
+++ b/src/node/endpoint_links.cc
@@ -129,7 +129,7 @@
   const auto fitting = std::min(options_.subset.endpoints, linksPerService());
   if (fitting == subsetEndpoints_) return false;
   auto subset = options_.subset;
-  subset.mostOfOwnZone = std::max<size_t>(1, subset.mostOfOwnZone * fitting / subset.endpoints);
+  subset.maxInOwnZone = std::max<size_t>(1, subset.maxInOwnZone * fitting / subset.endpoints);
   subset.endpoints = fitting;
   subset_ = subsetting::endpoint_subset(subset, options_.nodeId, options_.zone);
   subsetEndpoints_ = fitting;
--- a/src/node/entry_calls.cc
+++ b/src/node/entry_calls.cc
@@ -152,9 +152,9 @@
     if (!alive.expired()) onDeadline(id);
   });
   auto& budget = budgets_.try_emplace(call.service, options_.retryBurst).first->second;
-  budget.useBurst(retryBurst());
+  budget.setBurst(retryBurst());
   budget.onRequest(rule.budgetPercent);
-  const auto* tenant = call.tenant.empty() ? nullptr : table_->tenants().named(call.tenant);
+  const auto* tenant = call.tenant.empty() ? nullptr : table_->tenants().findByName(call.tenant);
   if (quotas_ != nullptr && tenant != nullptr && tenant->limited()) {
     askForPermit(id, call.tenant);
     return id;
--- a/src/node/entry_calls.h
+++ b/src/node/entry_calls.h
@@ -14,7 +14,7 @@
 #include "base/time.h"
 #include "node/call_types.h"
 #include "node/endpoint_links.h"
-#include "overload/caller_patience.h"
+#include "overload/caller_wait_estimator.h"
 #include "quarantine/request_quarantine.h"
 #include "quota/quota_queue.h"
 #include "retry/retry_budget.h"
@@ -222,11 +222,11 @@
   base::Network& network_;
   routing::RoutingTablePtr table_;  // null before the first version
   routing::EndpointPicker picker_;
-  std::map<std::string, routing::WeightedSplit> splits_;         // by route
-  std::map<std::string, routing::WeightedSplit> versionSplits_;  // by service
-  std::function<bool()> fresh_;                                  // may be empty
-  std::map<std::string, overload::caller_patience> patience_;    // by route
-  std::map<std::string, retry::RetryBudget> budgets_;            // by service
+  std::map<std::string, routing::WeightedSplit> splits_;             // by route
+  std::map<std::string, routing::WeightedSplit> versionSplits_;      // by service
+  std::function<bool()> fresh_;                                      // may be empty
+  std::map<std::string, overload::caller_wait_estimator> patience_;  // by route
+  std::map<std::string, retry::RetryBudget> budgets_;                // by service
   std::map<CallId, Call> calls_;
   std::map<int64_t, Attempt> attempts_;  // by the id that travels in frames
   EndpointLinks links_;
--- a/src/overload/body_intake.cc
+++ b/src/overload/body_flow_controller.cc
@@ -1,4 +1,4 @@
-#include "overload/body_intake.h"
+#include "overload/body_flow_controller.h"
 
 #include <algorithm>
 
@@ -8,7 +8,7 @@
 {
 /// Taken for a link of which nothing is known, in bytes a second: a gigabit, so that nobody is refused before anything
 /// was seen of it.
-constexpr double kUnknownBytesPerSecond = 125e6;
+constexpr double kDefaultBytesPerSecond = 125e6;
 /// Share of a link that bodies get at the most; the rest is for answers, small calls and control.
 constexpr double kBodyShare = 0.85;
 /// How much may be on its way at once, as time on the link: several round trips between zones of a few milliseconds,
@@ -17,9 +17,9 @@
 /// What is granted at once, as time on the link: small messages wait that long behind a piece.
 constexpr double kGrantSeconds = 0.01;
 /// Below this a piece costs more in frames and turns of the loop than it spares others.
-constexpr int64_t kLeastGrantBytes = int64_t{8} << 10;
-constexpr int64_t kMostGrantBytes = int64_t{64} << 10;
-constexpr int64_t kMostWindowBytes = int64_t{512} << 10;
+constexpr int64_t kMinGrantBytes = int64_t{8} << 10;
+constexpr int64_t kMaxGrantBytes = int64_t{64} << 10;
+constexpr int64_t kMaxWindowBytes = int64_t{512} << 10;
 /// A sender that has not used its grant for so long is stalled, and holds nobody else up.
 constexpr base::Duration kStalledAfter = base::milliseconds(250);
 /// Span over which one sample of the rate is taken.
@@ -28,7 +28,7 @@
 constexpr double kSampleWeight = 0.2;
 /// The rate is never taken for less than this share of what the link is said to carry: a few stalled senders are no
 /// measure of it.
-constexpr double kLeastShare = 0.1;
+constexpr double kMinRateShare = 0.1;
 
 double secondsOf(base::Duration _duration)
 {
@@ -42,35 +42,35 @@
 
 }  // namespace
 
-body_intake::body_intake(const body_intake_options& _options)
+body_flow_controller::body_flow_controller(const body_flow_controller_options& _options)
 	: m_options(_options)
 	, m_bytesPerSecond(0 < _options.linkBytesPerSecond ? kBodyShare * static_cast<double>(_options.linkBytesPerSecond)
-													   : kUnknownBytesPerSecond)
+													   : kDefaultBytesPerSecond)
 {
 }
 
-int64_t body_intake::bytesPerSecond() const
+int64_t body_flow_controller::bytesPerSecond() const
 {
 	return static_cast<int64_t>(m_bytesPerSecond);
 }
 
-int64_t body_intake::grantBytes() const
+int64_t body_flow_controller::grantBytes() const
 {
-	return std::clamp(static_cast<int64_t>(m_bytesPerSecond * kGrantSeconds), kLeastGrantBytes, kMostGrantBytes);
+	return std::clamp(static_cast<int64_t>(m_bytesPerSecond * kGrantSeconds), kMinGrantBytes, kMaxGrantBytes);
 }
 
-int64_t body_intake::windowBytes() const
+int64_t body_flow_controller::windowBytes() const
 {
 	const auto window = static_cast<int64_t>(m_bytesPerSecond * kWindowSeconds);
-	return std::clamp(window, 2 * grantBytes(), kMostWindowBytes);
+	return std::clamp(window, 2 * grantBytes(), kMaxWindowBytes);
 }
 
-bool body_intake::empty() const
+bool body_flow_controller::empty() const
 {
 	return m_bodies.empty();
 }
 
-int64_t body_intake::missingBytes() const
+int64_t body_flow_controller::missingBytes() const
 {
 	int64_t missing = 0;
 	for (const auto& [body, state] : m_bodies)
@@ -80,36 +80,36 @@
 	return missing;
 }
 
-base::Duration body_intake::expectedWait(int64_t _bytes, int _rank, base::TimePoint _neededAt) const
+base::Duration body_flow_controller::expectedWait(int64_t _bytes, int _rank, base::TimePoint _deadline) const
 {
 	int64_t ahead = _bytes;
-	for (const auto& [place, state] : m_order)
+	for (const auto& [key, state] : m_order)
 	{
-		const bool goesFirst = place.rank < _rank || (place.rank == _rank && place.neededAt <= _neededAt);
+		const bool goesFirst = key.rank < _rank || (key.rank == _rank && key.deadline <= _deadline);
 		// What was granted comes first, whoever needs it.
 		ahead += goesFirst ? state->bytes - state->arrived : state->granted - state->arrived;
 	}
 	return durationOf(static_cast<double>(ahead) / m_bytesPerSecond);
 }
 
-void body_intake::announce(const body_id& _body, int64_t _bytes, int _rank, base::TimePoint _neededAt,
-						   base::TimePoint _now)
+void body_flow_controller::announce(const body_id& _body, int64_t _bytes, int _rank, base::TimePoint _deadline,
+									base::TimePoint _now)
 {
 	if (m_bodies.empty())
 	{
-		m_sampleBegan = _now;
+		m_sampleStartedAt = _now;
 		m_sampleBytes = 0;
 	}
 
 	incoming& state = m_bodies[_body];
 	state.bytes = _bytes;
 	state.rank = _rank;
-	state.neededAt = _neededAt;
-	state.movedAt = _now;
-	m_order[{_rank, _neededAt, _body}] = &state;
+	state.deadline = _deadline;
+	state.lastProgressAt = _now;
+	m_order[{_rank, _deadline, _body}] = &state;
 }
 
-bool body_intake::onBytes(const body_id& _body, int64_t _bytes, base::TimePoint _now)
+bool body_flow_controller::onBytes(const body_id& _body, int64_t _bytes, base::TimePoint _now)
 {
 	const auto found = m_bodies.find(_body);
 	if (m_bodies.end() == found)
@@ -117,10 +117,10 @@
 		return false;
 	}
 
-	learnRate(_bytes, _now);
+	updateRateEstimate(_bytes, _now);
 	incoming& state = found->second;
 	state.arrived = std::min(state.bytes, state.arrived + _bytes);
-	state.movedAt = _now;
+	state.lastProgressAt = _now;
 	const bool whole = state.arrived == state.bytes;
 	if (whole)
 	{
@@ -129,12 +129,12 @@
 	return whole;
 }
 
-void body_intake::drop(const body_id& _body)
+void body_flow_controller::drop(const body_id& _body)
 {
 	forget(_body);
 }
 
-void body_intake::forget(const body_id& _body)
+void body_flow_controller::forget(const body_id& _body)
 {
 	const auto found = m_bodies.find(_body);
 	if (m_bodies.end() == found)
@@ -142,16 +142,16 @@
 		return;
 	}
 
-	m_order.erase({found->second.rank, found->second.neededAt, _body});
+	m_order.erase({found->second.rank, found->second.deadline, _body});
 	m_bodies.erase(found);
 }
 
-bool body_intake::isStalled(const incoming& _body, base::TimePoint _now)
+bool body_flow_controller::isStalled(const incoming& _body, base::TimePoint _now)
 {
-	return _body.granted > _body.arrived && _now - _body.movedAt > kStalledAfter;
+	return _body.granted > _body.arrived && _now - _body.lastProgressAt > kStalledAfter;
 }
 
-int64_t body_intake::onTheWay(base::TimePoint _now) const
+int64_t body_flow_controller::inFlightBytes(base::TimePoint _now) const
 {
 	int64_t bytes = 0;
 	for (const auto& [body, state] : m_bodies)
@@ -161,33 +161,33 @@
 	return bytes;
 }
 
-std::vector<body_grant> body_intake::grant(base::TimePoint _now)
+std::vector<body_grant> body_flow_controller::grant(base::TimePoint _now)
 {
 	std::vector<body_grant> grants;
-	int64_t room = windowBytes() - onTheWay(_now);
-	for (auto& [place, state] : m_order)
+	int64_t room = windowBytes() - inFlightBytes(_now);
+	for (auto& [key, state] : m_order)
 	{
 		while (0 < room && state->granted < state->bytes && !isStalled(*state, _now))
 		{
 			const int64_t more = std::min(grantBytes(), state->bytes - state->granted);
 			state->granted += more;
-			state->movedAt = _now;
+			state->lastProgressAt = _now;
 			room -= more;
-			grants.push_back({place.body, state->granted});
+			grants.push_back({key.body, state->granted});
 		}
 	}
 	return grants;
 }
 
-std::vector<body_id> body_intake::takeExpired(base::TimePoint _now)
+std::vector<body_id> body_flow_controller::takeExpired(base::TimePoint _now)
 {
 	std::vector<body_id> expired;
-	for (const auto& [place, state] : m_order)
+	for (const auto& [key, state] : m_order)
 	{
 		const bool comes = 0 < state->granted && !isStalled(*state, _now);
-		if (place.neededAt <= _now && !comes)
+		if (key.deadline <= _now && !comes)
 		{
-			expired.push_back(place.body);
+			expired.push_back(key.body);
 		}
 	}
 	for (const auto& body : expired)
@@ -197,10 +197,10 @@
 	return expired;
 }
 
-void body_intake::learnRate(int64_t _bytes, base::TimePoint _now)
+void body_flow_controller::updateRateEstimate(int64_t _bytes, base::TimePoint _now)
 {
 	m_sampleBytes += _bytes;
-	const base::Duration span = _now - m_sampleBegan;
+	const base::Duration span = _now - m_sampleStartedAt;
 	if (kSampleSpan > span)
 	{
 		return;
@@ -216,9 +216,9 @@
 	if (0 < m_options.linkBytesPerSecond)
 	{
 		const auto link = static_cast<double>(m_options.linkBytesPerSecond);
-		m_bytesPerSecond = std::clamp(m_bytesPerSecond, kLeastShare * link, kBodyShare * link);
+		m_bytesPerSecond = std::clamp(m_bytesPerSecond, kMinRateShare * link, kBodyShare * link);
 	}
-	m_sampleBegan = _now;
+	m_sampleStartedAt = _now;
 	m_sampleBytes = 0;
 }
 
--- a/src/overload/body_intake.h
+++ b/src/overload/body_flow_controller.h
@@ -1,6 +1,6 @@
 /// Which request bodies cross a node's link, and when.
-#ifndef DRIFTLUG_OVERLOAD_BODY_INTAKE_H_HEADER_GUARD
-#define DRIFTLUG_OVERLOAD_BODY_INTAKE_H_HEADER_GUARD
+#ifndef DRIFTLUG_OVERLOAD_BODY_FLOW_CONTROLLER_H_HEADER_GUARD
+#define DRIFTLUG_OVERLOAD_BODY_FLOW_CONTROLLER_H_HEADER_GUARD
 
 #include <cstdint>
 #include <map>
@@ -11,7 +11,7 @@
 namespace driftlug::overload
 {
 /// Settings of an intake.
-struct body_intake_options
+struct body_flow_controller_options
 {
 	/// What the node's link carries, in bytes a second; 0 where it is not known.
 	int64_t linkBytesPerSecond = 0;
@@ -40,19 +40,19 @@
 ///
 /// Invariants: the granted bytes on their way, without those of stalled senders, stay within windowBytes() and one
 /// grant; each body is granted in order, never beyond its size.
-class body_intake
+class body_flow_controller
 {
 public:
-	explicit body_intake(const body_intake_options& _options);
+	explicit body_flow_controller(const body_flow_controller_options& _options);
 
 	/// @param[in] _bytes The size of a body that is not announced yet.
 	/// @param[in] _rank How urgent its call is, lower first.
-	/// @param[in] _neededAt When it has to be there, at the latest.
+	/// @param[in] _deadline When it has to be there, at the latest.
 	/// @returns How long it would take until it is there, behind those that go first.
-	base::Duration expectedWait(int64_t _bytes, int _rank, base::TimePoint _neededAt) const;
+	base::Duration expectedWait(int64_t _bytes, int _rank, base::TimePoint _deadline) const;
 
 	/// Queues a body.
-	void announce(const body_id& _body, int64_t _bytes, int _rank, base::TimePoint _neededAt, base::TimePoint _now);
+	void announce(const body_id& _body, int64_t _bytes, int _rank, base::TimePoint _deadline, base::TimePoint _now);
 
 	/// Bytes of a body arrived.
 	/// @returns Whether the body is whole now; it is forgotten then.
@@ -88,33 +88,33 @@
 		int64_t granted = 0;
 		int64_t arrived = 0;
 		int rank = 0;
-		base::TimePoint neededAt{};
-		base::TimePoint movedAt{};  //!< When it was granted something or bytes of it arrived, the last time.
+		base::TimePoint deadline{};
+		base::TimePoint lastProgressAt{};  //!< When it was granted something or bytes of it arrived, the last time.
 	};
 
 	/// Order of bodies: the most urgent first, and of these the one that is needed first.
-	struct place
+	struct queue_key
 	{
 		int rank = 0;
-		base::TimePoint neededAt{};
+		base::TimePoint deadline{};
 		body_id body;
-		auto operator<=>(const place&) const = default;
+		auto operator<=>(const queue_key&) const = default;
 	};
 
 	static bool isStalled(const incoming& _body, base::TimePoint _now);
 	int64_t grantBytes() const;
-	int64_t onTheWay(base::TimePoint _now) const;
-	void learnRate(int64_t _bytes, base::TimePoint _now);
+	int64_t inFlightBytes(base::TimePoint _now) const;
+	void updateRateEstimate(int64_t _bytes, base::TimePoint _now);
 	void forget(const body_id& _body);
 
-	body_intake_options m_options;
+	body_flow_controller_options m_options;
 	std::map<body_id, incoming> m_bodies;
-	std::map<place, incoming*> m_order;
-	double m_bytesPerSecond;          //!< Moving average of what arrives while something is missing.
-	base::TimePoint m_sampleBegan{};  //!< Of the bytes in m_sampleBytes; meaningless while nothing is missing.
+	std::map<queue_key, incoming*> m_order;
+	double m_bytesPerSecond;              //!< Moving average of what arrives while something is missing.
+	base::TimePoint m_sampleStartedAt{};  //!< Of the bytes in m_sampleBytes; meaningless while nothing is missing.
 	int64_t m_sampleBytes = 0;
 };
 
 }  // namespace driftlug::overload
 
-#endif  // DRIFTLUG_OVERLOAD_BODY_INTAKE_H_HEADER_GUARD
+#endif  // DRIFTLUG_OVERLOAD_BODY_FLOW_CONTROLLER_H_HEADER_GUARD
--- a/src/overload/caller_patience.cc
+++ b/src/overload/caller_wait_estimator.cc
@@ -1,4 +1,4 @@
-#include "overload/caller_patience.h"
+#include "overload/caller_wait_estimator.h"
 
 #include <algorithm>
 
@@ -9,35 +9,35 @@
 /// Width of a bucket, in milliseconds: first requests differ by what they spent on their way.
 constexpr int kBucketMs = 8;
 /// Calls after which older ones count half.
-constexpr double kMemoryCalls = 128;
+constexpr double kDecayCalls = 128;
 /// Share of the calls that must state a time before it is taken for that of first requests. Callers that come back are
 /// spread widely, so first requests stand out even where they are few.
-constexpr double kLeastShare = 0.1;
+constexpr double kMinBucketShare = 0.1;
 /// A bucket with less than this is dropped.
-constexpr double kLeastCalls = 0.3;
+constexpr double kMinCount = 0.3;
 
 }  // namespace
 
-int caller_patience::onCall(int _deadlineMs)
+int caller_wait_estimator::onCall(int _deadlineMs)
 {
 	if (0 >= _deadlineMs)
 	{
 		return 0;
 	}
 
-	if (kMemoryCalls <= m_calls)
+	if (kDecayCalls <= m_calls)
 	{
-		forgetHalf();
+		halveCounts();
 	}
 
 	bucket& stated = m_buckets[_deadlineMs / kBucketMs];
 	stated.calls += 1;
 	stated.longestMs = std::max(stated.longestMs, _deadlineMs);
 	m_calls += 1;
-	return std::max(0, usualMs() - _deadlineMs);
+	return std::max(0, typicalDeadlineMs() - _deadlineMs);
 }
 
-int caller_patience::usualMs() const
+int caller_wait_estimator::typicalDeadlineMs() const
 {
 	const bucket* usual = nullptr;
 	for (const auto& [time, stated] : m_buckets)
@@ -48,18 +48,18 @@
 		}
 	}
 
-	const bool standsOut = nullptr != usual && kLeastShare * m_calls <= usual->calls;
+	const bool standsOut = nullptr != usual && kMinBucketShare * m_calls <= usual->calls;
 	return standsOut ? usual->longestMs : 0;
 }
 
-void caller_patience::forgetHalf()
+void caller_wait_estimator::halveCounts()
 {
 	m_calls = 0;
 	for (auto it = m_buckets.begin(); m_buckets.end() != it;)
 	{
 		it->second.calls /= 2;
 		m_calls += it->second.calls;
-		it = kLeastCalls > it->second.calls ? m_buckets.erase(it) : std::next(it);
+		it = kMinCount > it->second.calls ? m_buckets.erase(it) : std::next(it);
 	}
 }
 
--- a/src/overload/caller_patience.h
+++ b/src/overload/caller_wait_estimator.h
@@ -1,6 +1,6 @@
 /// How long the callers of a route wait, learned from what they say.
-#ifndef DRIFTLUG_OVERLOAD_CALLER_PATIENCE_H_HEADER_GUARD
-#define DRIFTLUG_OVERLOAD_CALLER_PATIENCE_H_HEADER_GUARD
+#ifndef DRIFTLUG_OVERLOAD_CALLER_WAIT_ESTIMATOR_H_HEADER_GUARD
+#define DRIFTLUG_OVERLOAD_CALLER_WAIT_ESTIMATOR_H_HEADER_GUARD
 
 #include <map>
 
@@ -11,7 +11,7 @@
 /// A caller states what is left of its time. Most first requests of a route state the same; whoever states less has
 /// waited for the difference already. The time stated most often is taken for that of first requests, so a few callers
 /// with more patience change nothing. Where no time stands out, nobody is held to have waited.
-class caller_patience
+class caller_wait_estimator
 {
 public:
 	/// A call arrived.
@@ -21,7 +21,7 @@
 	int onCall(int _deadlineMs);
 
 	/// @returns The time that first requests state, in milliseconds; 0 while none stands out.
-	int usualMs() const;
+	int typicalDeadlineMs() const;
 
 private:
 	/// Calls that stated about the same time.
@@ -31,7 +31,7 @@
 		int longestMs = 0;  //!< The longest time stated.
 	};
 
-	void forgetHalf();
+	void halveCounts();
 
 	std::map<int, bucket> m_buckets;  //!< By stated time, in units of kBucketMs.
 	double m_calls = 0;               //!< Sum over the buckets.
@@ -39,4 +39,4 @@
 
 }  // namespace driftlug::overload
 
-#endif  // DRIFTLUG_OVERLOAD_CALLER_PATIENCE_H_HEADER_GUARD
+#endif  // DRIFTLUG_OVERLOAD_CALLER_WAIT_ESTIMATOR_H_HEADER_GUARD
--- a/src/overload/call_origins.cc
+++ b/src/overload/nested_call_detector.cc
@@ -1,33 +1,33 @@
-#include "overload/call_origins.h"
+#include "overload/nested_call_detector.h"
 
 namespace driftlug::overload
 {
 namespace
 {
 /// Calls after which older ones count half.
-constexpr double kMemoryCalls = 2000;
+constexpr double kDecayCalls = 2000;
 /// Calls of a kind that a service's nodes should have sent by now before their silence tells anything.
-constexpr double kLeastExpected = 8;
+constexpr double kMinExpectedCalls = 8;
 /// Share of the expected calls up to which a service counts as silent.
 constexpr double kSilentShare = 0.05;
 /// A count below this is dropped.
-constexpr double kLeastCalls = 0.3;
+constexpr double kMinCount = 0.3;
 
 }  // namespace
 
-void call_origins::onCall(const call_kind& _kind, std::string_view _service)
+void nested_call_detector::onCall(const call_kind& _kind, std::string_view _service)
 {
 	if (_service.empty())
 	{
 		return;
 	}
 
-	if (kMemoryCalls <= m_calls)
+	if (kDecayCalls <= m_calls)
 	{
-		forgetHalf();
+		halveCounts();
 	}
 
-	origin& known = m_kinds[_kind];
+	kind_counts& known = m_kinds[_kind];
 	const auto service = known.calls.find(_service);
 	if (known.calls.end() == service)
 	{
@@ -41,7 +41,7 @@
 	m_calls += 1;
 }
 
-bool call_origins::nested(const call_kind& _kind) const
+bool nested_call_detector::nested(const call_kind& _kind) const
 {
 	const auto own = m_kinds.find(_kind);
 	if (m_kinds.end() == own)
@@ -68,7 +68,7 @@
 		const double expected = own->second.sum * calls / sumOfOthers;
 		const auto sent = own->second.calls.find(service);
 		const double got = own->second.calls.end() == sent ? 0 : sent->second;
-		if (kLeastExpected <= expected && kSilentShare * expected >= got)
+		if (kMinExpectedCalls <= expected && kSilentShare * expected >= got)
 		{
 			return true;
 		}
@@ -76,7 +76,7 @@
 	return false;
 }
 
-void call_origins::forgetHalf()
+void nested_call_detector::halveCounts()
 {
 	m_calls = 0;
 	for (auto& [kind, known] : m_kinds)
@@ -86,7 +86,7 @@
 		{
 			it->second /= 2;
 			known.sum += it->second;
-			it = kLeastCalls > it->second ? known.calls.erase(it) : std::next(it);
+			it = kMinCount > it->second ? known.calls.erase(it) : std::next(it);
 		}
 		m_calls += known.sum;
 	}
--- a/src/overload/call_origins.h
+++ b/src/overload/nested_call_detector.h
@@ -1,6 +1,6 @@
 /// Which kinds of calls are made by back ends, learned from where they come.
-#ifndef DRIFTLUG_OVERLOAD_CALL_ORIGINS_H_HEADER_GUARD
-#define DRIFTLUG_OVERLOAD_CALL_ORIGINS_H_HEADER_GUARD
+#ifndef DRIFTLUG_OVERLOAD_NESTED_CALL_DETECTOR_H_HEADER_GUARD
+#define DRIFTLUG_OVERLOAD_NESTED_CALL_DETECTOR_H_HEADER_GUARD
 
 #include <compare>
 #include <map>
@@ -24,7 +24,7 @@
 /// Callers outside are found beside the back ends of every service; a nested call comes only from beside those services
 /// whose back ends make it. So a kind is nested when some service's nodes send none of it, though they send enough of
 /// everything else that some should have come. With one service only, nothing can be told and nothing is nested.
-class call_origins
+class nested_call_detector
 {
 public:
 	/// A call arrived.
@@ -39,18 +39,18 @@
 private:
 	using by_service = std::map<std::string, double, std::less<>>;
 
-	struct origin
+	struct kind_counts
 	{
 		by_service calls;
 		double sum = 0;
 	};
 
-	void forgetHalf();
+	void halveCounts();
 
-	std::map<call_kind, origin> m_kinds;
+	std::map<call_kind, kind_counts> m_kinds;
 	double m_calls = 0;  //!< Sum over the kinds.
 };
 
 }  // namespace driftlug::overload
 
-#endif  // DRIFTLUG_OVERLOAD_CALL_ORIGINS_H_HEADER_GUARD
+#endif  // DRIFTLUG_OVERLOAD_NESTED_CALL_DETECTOR_H_HEADER_GUARD
--- a/src/quota/quota_grantor.cc
+++ b/src/quota/quota_grantor.cc
@@ -8,23 +8,23 @@
 namespace
 {
 /// Callers that were denied together should not come back for the same token.
-constexpr base::Duration kLeastRetryAfter = base::milliseconds(200);
+constexpr base::Duration kMinRetryAfter = base::milliseconds(200);
 /// A caller that waits longer than this would have given up.
-constexpr base::Duration kLongestRetryAfter = base::seconds(5);
+constexpr base::Duration kMaxRetryAfter = base::seconds(5);
 
 }  // namespace
 
 quota_grantor::quota_grantor(base::Scheduler& _time, limit_lookup _limitOf)
 	: m_time(_time)
 	, m_limitOf(std::move(_limitOf))
-	, m_begunAt(_time.now())
+	, m_startedAt(_time.now())
 	, m_decisions("quota", _time)
 {
 }
 
 void quota_grantor::begin()
 {
-	m_begunAt = m_time.now();
+	m_startedAt = m_time.now();
 	m_buckets.clear();
 }
 
@@ -50,8 +50,8 @@
 		return decision;
 	}
 	const auto now = m_time.now();
-	auto& bucket = m_buckets.try_emplace(_demand.tenant, *limit, m_begunAt).first->second;
-	bucket.useLimit(*limit, now);
+	auto& bucket = m_buckets.try_emplace(_demand.tenant, *limit, m_startedAt).first->second;
+	bucket.setLimit(*limit, now);
 	decision.granted = bucket.take(_demand.count, now);
 	decision.denied = std::max(0, _demand.count - decision.granted);
 	m_counters.granted += decision.granted;
@@ -66,8 +66,7 @@
 												 _demand.tenant, decision.granted, decision.denied, limit->ratePerS,
 												 limit->burst);
 						  });
-		decision.retryAfterMs =
-			base::millisecondsOf(std::clamp<base::Duration>(wait, kLeastRetryAfter, kLongestRetryAfter));
+		decision.retryAfterMs = base::millisecondsOf(std::clamp<base::Duration>(wait, kMinRetryAfter, kMaxRetryAfter));
 	}
 	return decision;
 }
--- a/src/quota/quota_grantor.h
+++ b/src/quota/quota_grantor.h
@@ -49,7 +49,7 @@
 
 	base::Scheduler& m_time;
 	limit_lookup m_limitOf;
-	base::TimePoint m_begunAt{};
+	base::TimePoint m_startedAt{};
 	std::map<std::string, token_bucket> m_buckets;  //!< By tenant.
 	grantor_counters m_counters;
 	base::DecisionLog m_decisions;
--- a/src/quota/quota_queue.cc
+++ b/src/quota/quota_queue.cc
@@ -6,7 +6,7 @@
 
 namespace driftlug::quota
 {
-quota_queue::quota_queue(base::Scheduler& _scheduler, const quota_queue_options& _options, ask _ask)
+quota_queue::quota_queue(base::Scheduler& _scheduler, const quota_queue_options& _options, send_request _ask)
 	: m_scheduler(_scheduler)
 	, m_options(_options)
 	, m_ask(std::move(_ask))
@@ -22,11 +22,11 @@
 {
 	const auto now = m_scheduler.now();
 	m_queues[_tenant].push_back({_owner, _count, now, std::nullopt, std::move(_done)});
-	const auto earliest = m_askedOnce ? m_askedAt + m_options.gather : now;
+	const auto earliest = m_askedOnce ? m_askedAt + m_options.batchInterval : now;
 	const auto pause = std::max<base::Duration>(base::Duration(0), earliest - now);
-	if (!m_gathering)
+	if (!m_batching)
 	{
-		m_gathering = true;
+		m_batching = true;
 		m_timer.start(pause);
 	}
 }
@@ -47,13 +47,13 @@
 		std::erase_if(queue,
 					  [_owner](const waiter& _waiter)
 					  {
-						  return _waiter.by == _owner;
+						  return _waiter.ownerId == _owner;
 					  });
 	}
 	forgetEmpty();
 }
 
-void quota_queue::askAnew()
+void quota_queue::resendAll()
 {
 	for (auto& [tenant, queue] : m_queues)
 	{
@@ -70,22 +70,22 @@
 
 void quota_queue::onTimer()
 {
-	m_gathering = false;
+	m_batching = false;
 	expire();
 	if (m_queues.empty())
 	{
 		return;
 	}
-	put();
-	m_timer.start(std::min(m_options.askAgainAfter, m_options.patience));
+	sendDemands();
+	m_timer.start(std::min(m_options.resendInterval, m_options.answerTimeout));
 }
 
-bool quota_queue::due(const waiter& _waiter) const
+bool quota_queue::needsSending(const waiter& _waiter) const
 {
-	return !_waiter.askedAt || m_scheduler.now() - *_waiter.askedAt >= m_options.askAgainAfter;
+	return !_waiter.askedAt || m_scheduler.now() - *_waiter.askedAt >= m_options.resendInterval;
 }
 
-void quota_queue::put()
+void quota_queue::sendDemands()
 {
 	wire::QuotaAsk question;
 	std::vector<waiter*> asked;
@@ -95,7 +95,7 @@
 		demand.tenant = tenant;
 		for (auto& waiter : queue)
 		{
-			if (due(waiter))
+			if (needsSending(waiter))
 			{
 				demand.count += waiter.count;
 				asked.push_back(&waiter);
@@ -120,7 +120,7 @@
 
 void quota_queue::expire()
 {
-	const auto limit = m_scheduler.now() - m_options.patience;
+	const auto limit = m_scheduler.now() - m_options.answerTimeout;
 	std::vector<waiter> expired;
 	for (auto& [tenant, queue] : m_queues)
 	{
--- a/src/quota/quota_queue.h
+++ b/src/quota/quota_queue.h
@@ -26,9 +26,9 @@
 /// Times of a queue.
 struct quota_queue_options
 {
-	base::Duration gather;         //!< Least time between two questions; demands in between leave together.
-	base::Duration patience;       //!< After which what waits counts as unanswered.
-	base::Duration askAgainAfter;  //!< A question without an answer is put again after this time.
+	base::Duration batchInterval;   //!< Least time between two questions; demands in between leave together.
+	base::Duration answerTimeout;   //!< After which what waits counts as unanswered.
+	base::Duration resendInterval;  //!< A question without an answer is put again after this time.
 };
 
 /// Gathers demands, asks for permits and hands them to those that have waited longest. Nodes have one for their calls,
@@ -41,9 +41,9 @@
 	using owner = uint64_t;  //!< On whose behalf is waited: a call, or a connection.
 	using callback = std::function<void(const permit_outcome&)>;
 	/// @returns Whether there was somebody to ask.
-	using ask = std::function<bool(const wire::QuotaAsk&)>;
+	using send_request = std::function<bool(const wire::QuotaAsk&)>;
 
-	quota_queue(base::Scheduler& _scheduler, const quota_queue_options& _options, ask _ask);
+	quota_queue(base::Scheduler& _scheduler, const quota_queue_options& _options, send_request _ask);
 
 	/// Waits for permits. The callback comes for each part that is decided, never from within this call.
 	void wait(owner _owner, const std::string& _tenant, int _count, callback _done);
@@ -55,12 +55,12 @@
 	void onGrant(const wire::QuotaGrant& _grant);
 
 	/// The one that was asked is gone, or another one is in its place: all that waits is asked for again.
-	void askAnew();
+	void resendAll();
 
 	/// Sets the least time between two questions.
-	void useGather(base::Duration _gather)
+	void setBatchInterval(base::Duration _batchInterval)
 	{
-		m_options.gather = _gather;
+		m_options.batchInterval = _batchInterval;
 	}
 
 	/// @returns How many wait.
@@ -69,7 +69,7 @@
 private:
 	struct waiter
 	{
-		owner by;
+		owner ownerId;
 		int count;
 		base::TimePoint since;
 		std::optional<base::TimePoint> askedAt;
@@ -78,21 +78,21 @@
 
 	using waiters = std::deque<waiter>;  //!< Longest waiting first.
 
-	void put();
+	void sendDemands();
 	void onTimer();
 	void expire();
-	bool due(const waiter& _waiter) const;
+	bool needsSending(const waiter& _waiter) const;
 	void forgetEmpty();
 	static void decide(waiters* _queue, const wire::QuotaDecision& _decision);
 
 	base::Scheduler& m_scheduler;
 	quota_queue_options m_options;
-	ask m_ask;
+	send_request m_ask;
 	std::map<std::string, waiters> m_queues;  //!< By tenant; none is empty.
 	base::TimePoint m_askedAt{};
 	bool m_askedOnce = false;
-	bool m_gathering = false;  //!< The timer runs to put the next question.
-	base::Timer m_timer;       //!< Runs while anything waits.
+	bool m_batching = false;  //!< The timer runs to put the next question.
+	base::Timer m_timer;      //!< Runs while anything waits.
 };
 
 }  // namespace driftlug::quota
--- a/src/quota/token_bucket.cc
+++ b/src/quota/token_bucket.cc
@@ -30,7 +30,7 @@
 	return std::min(capacity(), m_level + m_limit.ratePerS * std::max(0.0, secondsOf(_now - m_at)));
 }
 
-void token_bucket::useLimit(const quota_limit& _limit, base::TimePoint _now)
+void token_bucket::setLimit(const quota_limit& _limit, base::TimePoint _now)
 {
 	if (_limit == m_limit)
 	{
--- a/src/quota/token_bucket.h
+++ b/src/quota/token_bucket.h
@@ -23,7 +23,7 @@
 	token_bucket(const quota_limit& _limit, base::TimePoint _fillingSince);
 
 	/// Goes on with another limit; what is in it beyond the new burst is lost.
-	void useLimit(const quota_limit& _limit, base::TimePoint _now);
+	void setLimit(const quota_limit& _limit, base::TimePoint _now);
 
 	/// @returns How many of the wanted tokens were there.
 	int take(int _wanted, base::TimePoint _now);
--- a/src/relay/relay.cc
+++ b/src/relay/relay.cc
@@ -182,8 +182,8 @@
   if (known == relayList_) return;
   source_.useLearned(controllers);
   relayList_ = known;
-  quotas_.useGather(std::max<base::Duration>(kQuotaTimes.gather,
-                                             kQuotaGatherPerRelay * static_cast<int64_t>(relayList_.relays.size())));
+  quotas_.setBatchInterval(std::max<base::Duration>(
+      kQuotaTimes.batchInterval, kQuotaGatherPerRelay * static_cast<int64_t>(relayList_.relays.size())));
   usePeers();
   for (const auto& [connection, session] : nodes_.all()) network_.send(connection, wire::encodeFrame(relayList_));
 }
@@ -194,7 +194,7 @@
   subscribe.digest = replica_.table().digest();
   subscribe.sharesTable = replica_.shares();
   source_.send(subscribe);
-  quotas_.askAnew();
+  quotas_.resendAll();
   reportFull_ = true;
   scheduleReport();
   for (const auto& [zone, confirmer] : confirmers_) confirmer->askAgain();
--- a/src/retry/retry_budget.h
+++ b/src/retry/retry_budget.h
@@ -16,7 +16,7 @@
   explicit RetryBudget(double burst = kDefaultBurst) : burst_(burst), tokens_(burst / 2) {}
 
   /// Bounds what may be spent at once from now on.
-  void useBurst(double burst) {
+  void setBurst(double burst) {
     burst_ = burst;
     tokens_ = std::min(tokens_, burst_);
   }
--- a/src/subsetting/endpoint_subset.cc
+++ b/src/subsetting/endpoint_subset.cc
@@ -20,34 +20,35 @@
 	return XXH3_64bits_withSeed(_endpoint.data(), _endpoint.size(), m_seed);
 }
 
-size_t endpoint_subset::take(std::span<const routing::EndpointTarget> _endpoints, std::vector<candidate> _from,
-							 size_t _wanted, const out_of_reach& _outOfReach, std::vector<size_t>* _chosen) const
+size_t endpoint_subset::selectFrom(std::span<const routing::EndpointTarget> _endpoints, std::vector<candidate> _from,
+								   size_t _wanted, const is_unreachable& _isUnreachable,
+								   std::vector<size_t>* _chosen) const
 {
 	std::sort(_from.begin(), _from.end(),
 			  [](const candidate& _a, const candidate& _b)
 			  {
 				  return _a.hash < _b.hash;
 			  });
-	const size_t most = _wanted * m_options.triedPerWanted;
-	size_t reached = 0;
+	const size_t maxTried = _wanted * m_options.maxTriedPerWanted;
+	size_t reachable = 0;
 	size_t tried = 0;
 	for (const auto& [hash, index] : _from)
 	{
-		if (reached == _wanted || tried == most)
+		if (reachable == _wanted || tried == maxTried)
 		{
 			break;
 		}
 		++tried;
 		_chosen->push_back(index);
-		reached += _outOfReach(_endpoints[index].name) ? 0 : 1;
+		reachable += _isUnreachable(_endpoints[index].name) ? 0 : 1;
 	}
-	return reached;
+	return reachable;
 }
 
 std::vector<routing::EndpointTarget> endpoint_subset::choose(std::span<const routing::EndpointTarget> _endpoints,
-															 size_t _more, const out_of_reach& _outOfReach) const
+															 size_t _extra, const is_unreachable& _isUnreachable) const
 {
-	const size_t wanted = m_options.endpoints + _more;
+	const size_t wanted = m_options.endpoints + _extra;
 	if (wanted >= _endpoints.size())
 	{
 		return {_endpoints.begin(), _endpoints.end()};
@@ -62,8 +63,9 @@
 	}
 
 	std::vector<size_t> chosen;
-	const size_t ofOwn = take(_endpoints, own, m_options.mostOfOwnZone + _more / 2, _outOfReach, &chosen);
-	take(_endpoints, others, wanted - ofOwn, _outOfReach, &chosen);
+	const size_t reachableInOwnZone =
+		selectFrom(_endpoints, own, m_options.maxInOwnZone + _extra / 2, _isUnreachable, &chosen);
+	selectFrom(_endpoints, others, wanted - reachableInOwnZone, _isUnreachable, &chosen);
 
 	std::sort(chosen.begin(), chosen.end());
 	std::vector<routing::EndpointTarget> result;
--- a/src/tenants/tenant_directory.cc
+++ b/src/tenants/tenant_directory.cc
@@ -57,17 +57,17 @@
 	{
 		return nullptr;
 	}
-	for (const auto& held : bucket->second)
+	for (const auto& entry : bucket->second)
 	{
-		if (equalInConstantTime(held.key, _key))
+		if (equalInConstantTime(entry.key, _key))
 		{
-			return held.holder;
+			return entry.owner;
 		}
 	}
 	return nullptr;
 }
 
-const tenant* tenant_directory::named(const std::string& _name) const
+const tenant* tenant_directory::findByName(const std::string& _name) const
 {
 	const auto found = m_byName.find(_name);
 	return m_byName.end() == found ? nullptr : found->second;
--- a/src/tenants/tenant_directory.h
+++ b/src/tenants/tenant_directory.h
@@ -47,7 +47,7 @@
 	const tenant* find(std::string_view _key) const;
 
 	/// @returns The tenant of that name, or null.
-	const tenant* named(const std::string& _name) const;
+	const tenant* findByName(const std::string& _name) const;
 
 	/// @returns Whether no table row names a tenant, so that callers need no key.
 	bool empty() const
@@ -56,15 +56,15 @@
 	}
 
 private:
-	struct held_key
+	struct key_entry
 	{
 		std::string key;
-		const tenant* holder;
+		const tenant* owner;
 	};
 
 	std::deque<tenant> m_tenants;  //!< Never moved, so that pointers to its elements hold.
 	std::unordered_map<std::string, const tenant*> m_byName;
-	std::unordered_map<uint64_t, std::vector<held_key>> m_byHash;
+	std::unordered_map<uint64_t, std::vector<key_entry>> m_byHash;
 };
 
 }  // namespace driftlug::tenants
--- a/test/descriptors/descriptor_shares_test.cc
+++ b/test/descriptors/descriptor_shares_test.cc
@@ -12,7 +12,7 @@
 	const size_t limit = GENERATE(16, 64, 256, 1024, 2048, 4096, 4100, 20'000, 1'048'576);
 	const auto shares = shareDescriptors(limit);
 	const size_t sum = shares.callers + shares.accepted + shares.links + shares.backend;
-	CHECK(sum <= limit - std::min(kReserve, limit / kReserveDivisor));
+	CHECK(sum <= limit - std::min(kReservedDescriptors, limit / kReserveDivisor));
 	CHECK(0 < shares.callers);
 	CHECK(0 < shares.accepted);
 	CHECK(0 < shares.links);
--- a/test/lifecycle/planned_stop_test.cc
+++ b/test/lifecycle/planned_stop_test.cc
@@ -13,10 +13,10 @@
 constexpr stop_times kTimes = {base::seconds(3), base::milliseconds(5500)};
 
 /// Notes what it is asked for, and when.
-class noted_target : public stop_target
+class recording_target : public stop_target
 {
 public:
-	explicit noted_target(const base::TimeSource& _time)
+	explicit recording_target(const base::TimeSource& _time)
 		: m_time(_time)
 	{
 	}
@@ -102,7 +102,7 @@
 
 	simulation::EventQueue queue;
 	simulation::Process process;
-	noted_target target;
+	recording_target target;
 	planned_stop stop;
 };
 
--- a/test/limits/cold_pace_test.cc
+++ b/test/limits/cold_start_limiter_test.cc
@@ -1,4 +1,4 @@
-#include "limits/cold_pace.h"
+#include "limits/cold_start_limiter.h"
 
 #include <catch2/catch.hpp>
 
@@ -10,7 +10,7 @@
 namespace driftlug::limits {
 namespace {
 
-constexpr double kBears = 8;
+constexpr double kColdRatePerSecond = 8;
 
 /// Work that comes faster than a cold back end bears, each piece of it short.
 struct Load {
@@ -38,12 +38,12 @@
   }
 
   Load() {
-    pace.setRate(kBears);
-    limiter.usePace(&pace);
+    pace.setRate(kColdRatePerSecond);
+    limiter.setColdStartLimiter(&pace);
   }
 
   test::ManualTime time;
-  ColdPace pace{time};
+  ColdStartLimiter pace{time};
   SlotLimiter limiter{time, 4, 16};
   std::vector<base::TimePoint> started;
 };
@@ -52,29 +52,29 @@
 
 TEST_CASE("a cold back end gets no more in any second than it bears") {
   Load load;
-  load.pace.onTold(base::seconds(10), true);
+  load.pace.onColdReport(base::seconds(10), true);
   load.offer(base::seconds(5));
-  CHECK(load.mostInASecond() == static_cast<size_t>(kBears));
-  CHECK(load.started.size() >= 4 * static_cast<size_t>(kBears));
+  CHECK(load.mostInASecond() == static_cast<size_t>(kColdRatePerSecond));
+  CHECK(load.started.size() >= 4 * static_cast<size_t>(kColdRatePerSecond));
 }
 
 TEST_CASE("a back end that may have turned cold counts as cold until it was asked") {
   Load load;
-  load.pace.onDoubt();
-  load.pace.onTold(base::Duration(0), false);  // may be older than the doubt
+  load.pace.markUncertain();
+  load.pace.onColdReport(base::Duration(0), false);  // may be older than the doubt
   load.offer(base::seconds(2));
-  CHECK(load.mostInASecond() == static_cast<size_t>(kBears));
-  load.pace.onTold(base::Duration(0), true);
+  CHECK(load.mostInASecond() == static_cast<size_t>(kColdRatePerSecond));
+  load.pace.onColdReport(base::Duration(0), true);
   const auto before = load.started.size();
   load.offer(base::seconds(1));
-  CHECK(load.started.size() - before > 5 * static_cast<size_t>(kBears));
+  CHECK(load.started.size() - before > 5 * static_cast<size_t>(kColdRatePerSecond));
 }
 
 TEST_CASE("what started before a back end turned cold counts in its first second") {
   Load load;
   load.offer(base::milliseconds(500));
   const auto warm = load.started.size();
-  load.pace.onTold(base::seconds(10), true);
+  load.pace.onColdReport(base::seconds(10), true);
   load.offer(base::milliseconds(400));
   CHECK(load.started.size() == warm);
 }
@@ -82,7 +82,7 @@
 TEST_CASE("nothing is bounded where it is not known what a cold back end bears") {
   Load load;
   load.pace.setRate(0);
-  load.pace.onTold(base::seconds(10), true);
+  load.pace.onColdReport(base::seconds(10), true);
   load.offer(base::seconds(1));
   CHECK(load.started.size() >= 99);
 }
@@ -98,9 +98,9 @@
 
 TEST_CASE("a request starts at once where a slot is free and nothing is bounded, also while the clock moves") {
   MovingTime time;
-  ColdPace pace(time);
+  ColdStartLimiter pace(time);
   SlotLimiter limiter(time, 4, 16);
-  limiter.usePace(&pace);
+  limiter.setColdStartLimiter(&pace);
   int started = 0;
   for (int i = 0; i < 4; ++i) {
     limiter.acquire(
--- a/test/limits/slot_limiter_test.cc
+++ b/test/limits/slot_limiter_test.cc
@@ -112,9 +112,9 @@
   Outcome outcome;
   const auto now = time.now();
   ask(limiter, outcome, 0, now + base::seconds(9));
-  ask(limiter, outcome, 1, now + base::seconds(3), limits::rankOf(2, true));
-  ask(limiter, outcome, 2, now + base::seconds(8), limits::rankOf(1, true));
-  ask(limiter, outcome, 3, now + base::seconds(5), limits::rankOf(1, true));
+  ask(limiter, outcome, 1, now + base::seconds(3), limits::priorityFor(2, true));
+  ask(limiter, outcome, 2, now + base::seconds(8), limits::priorityFor(1, true));
+  ask(limiter, outcome, 3, now + base::seconds(5), limits::priorityFor(1, true));
   for (int i = 0; i < 3; ++i) limiter.release(base::milliseconds(1));
   CHECK(outcome.started == std::vector<int>{0, 3, 2, 1});
 }
--- a/test/quota/quota_fleet_test.cc
+++ b/test/quota/quota_fleet_test.cc
@@ -57,7 +57,7 @@
     grantor_ = std::make_unique<quota_grantor>(process_, [](const std::string&) {
       return std::optional(quota_limit{kRatePerS, kBurst});
     });
-    for (auto& relay : relays_) relay->askAnew();
+    for (auto& relay : relays_) relay->resendAll();
   }
 
   void runFor(base::Duration duration) {
--- a/test/tenants/tenant_directory_test.cc
+++ b/test/tenants/tenant_directory_test.cc
@@ -24,7 +24,7 @@
   CHECK(directory.find("key-three")->name == "shop");
   CHECK(directory.find("key-on") == nullptr);
   CHECK(directory.find("") == nullptr);
-  CHECK(directory.named("press") == directory.find("key-one"));
+  CHECK(directory.findByName("press") == directory.find("key-one"));
 }
 
 TEST_CASE("a tenant that lost its last key is there, and nothing finds it by key") {
@@ -40,7 +40,7 @@
   row.__set_ratePerS(0);
   row.__set_burst(5);
   directory.add("free", row);
-  CHECK_FALSE(directory.named("free")->limited());
+  CHECK_FALSE(directory.findByName("free")->limited());
 }
 
 }  // namespace driftlug::tenants
