--- a/src/limits/cold_start_limiter.cc
+++ b/src/limits/cold_start_limiter.cc
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr base::Duration kWindow = base::seconds(1);
-/// Longest time that a word of the back end is on its way, a second and its repeat at another node; what comes later
-/// than this behind a doubt was said after it.
+/// Upper bound of the age of an unsolicited report when it is received: one second, plus one retry at another node. A
+/// report received later than this after the state became uncertain was made after that moment.
 constexpr base::Duration kMaxReportDelay = base::seconds(3);
 
 }  // namespace
@@ -31,7 +31,7 @@
 bool ColdStartLimiter::isLimiting() const { return perSecond_ > 0 && (uncertainSince_ || coldUntil_ > time_.now()); }
 
 void ColdStartLimiter::onStart() {
-  // Also where nothing is bounded yet: what started just before counts.
+  // Recorded also while nothing is limited, so that the window is complete when the limit takes effect.
   const auto now = time_.now();
   while (!starts_.empty() && now - starts_.front() >= kWindow) starts_.pop_front();
   starts_.push_back(now);
--- a/src/limits/cold_start_limiter.h
+++ b/src/limits/cold_start_limiter.h
@@ -1,4 +1,4 @@
-/// How many requests a cold back end is handed.
+/// Rate limit for requests to a back end that is cold.
 #pragma once
 
 #include <deque>
@@ -8,38 +8,40 @@
 
 namespace driftlug::limits {
 
-/// Bounds the requests that start within any second while the back end is cold, or may be: one that has just started
-/// fails under the load that a warm one carries.
+/// Limits the requests that start within any one-second window while the back end is cold, or may be cold. A back end
+/// that has just started fails under the load that a warm one handles.
 ///
-/// The node beside a back end sees every request to it, so the bound is exact here, whatever callers know. A back end
-/// may turn cold without a word, as when it was out of reach for a while: until it has been asked, it counts as cold.
+/// The local node of a back end sees every request to it, so the limit is exact regardless of what callers know. A back
+/// end can turn cold without reporting it, for example while it is unreachable. Until its state has been queried, it is
+/// treated as cold.
 class ColdStartLimiter {
  public:
   explicit ColdStartLimiter(const base::TimeSource& time) : time_(time) {}
 
-  /// Sets what a cold back end bears, in requests a second; 0 where that is not known, and then nothing is bounded.
+  /// Sets the rate that a cold back end can handle, in requests per second; 0 if unknown, which disables the limit.
   void setRate(double perSecond) { perSecond_ = perSecond; }
 
-  /// The back end said for how long it is cold.
-  /// @param asked whether it was asked just now; what it says by itself may be some seconds old
+  /// Handles a report of the back end's state.
+  /// @param coldFor how long the back end stays cold, 0 if it is warm
+  /// @param requested true for the response to a query; an unsolicited report may be a few seconds old
   void onColdReport(base::Duration coldFor, bool requested);
 
-  /// The back end may have turned cold.
+  /// Treats the back end as cold until its state is reported.
   void markUncertain();
 
-  /// @return whether the back end is to be asked.
+  /// @return whether the state of the back end must be queried.
   bool isUncertain() const { return uncertainSince_ && perSecond_ > 0; }
 
-  /// @return whether starts are bounded now.
+  /// @return whether the limit is in effect now.
   bool isLimiting() const;
 
-  /// A request starts.
+  /// Records the start of a request.
   void onStart();
 
-  /// @return when the next request may start; nothing where one may start now
+  /// @return when the next request may start; nullopt if one may start now
   std::optional<base::TimePoint> blockedUntil() const;
 
-  /// @return the mean time between two starts at the bound; 0 where nothing is bounded.
+  /// @return the mean time between two starts at the limit; 0 while the limit is not in effect.
   base::Duration interval() const;
 
  private:
@@ -47,7 +49,7 @@
   double perSecond_ = 0;
   base::TimePoint coldUntil_{};
   std::optional<base::TimePoint> uncertainSince_;
-  std::deque<base::TimePoint> starts_;  // of the last second
+  std::deque<base::TimePoint> starts_;  // within the last second
 };
 
 }  // namespace driftlug::limits
--- a/src/limits/slot_limiter.cc
+++ b/src/limits/slot_limiter.cc
@@ -42,7 +42,7 @@
 base::Duration SlotLimiter::expectedWait(Priority priority, base::TimePoint latestStart) const {
   const QueueKey own{priority, latestStart, nextTicket_};
   const auto before = std::distance(waiting_.begin(), waiting_.lower_bound(own));
-  // Slots are free beside those that wait only while some of these aren't ready.
+  // A slot can be free while requests are queued only if some of the queued requests are not ready.
   const auto free = std::max(0, maxConcurrent_ - running_);
   const auto ahead = 1 + before - free;
   const auto paced = rateLimitWait(before);
--- a/src/limits/slot_limiter.h
+++ b/src/limits/slot_limiter.h
@@ -1,4 +1,4 @@
-/// Slots of one back end, with a short queue in order of deadline and priority.
+/// Concurrency limit of one back end, with a bounded queue ordered by priority and deadline.
 #pragma once
 
 #include <cstddef>
@@ -12,22 +12,23 @@
 
 namespace driftlug::limits {
 
-/// Which requests go first when slots are short; the lower the number, the more urgent. Numbers above those named
-/// here come from routes of lower priority, see priorityFor().
+/// Order in which requests get slots; lower values go first. Values above the named ones belong to routes of lower
+/// priority, see priorityFor().
 enum class Priority : int {
-  kNested = -1,  ///< made by a back end for a call that it is running, which fails with it
-  kMustRun = 0,  ///< filings, orders: requests that may not be repeated
+  kNested = -1,  ///< made by a back end while it runs a call, which fails if this request fails
+  kMustRun = 0,  ///< requests that must not be retried, such as filings and orders
   kNormal = 1,
 };
 
-/// @return the rank of a request: by the priority of its route (0 is the most urgent), then by whether it may be
-/// repeated.
+/// @return the priority of a request: ordered by the priority of its route (0 is the most urgent), then non-repeatable
+/// requests before repeatable ones.
 inline Priority priorityFor(int routePriority, bool repeatable) {
   const auto within = static_cast<int>(repeatable ? Priority::kNormal : Priority::kMustRun);
   return static_cast<Priority>(2 * routePriority + within);
 }
 
-/// @return the rank of a request that is late already: behind all that are not, and in the same order among its kind.
+/// @return the priority of a request that is already late: behind all requests that are not, keeping the order among
+/// late ones.
 inline Priority latePriority(Priority priority) {
   constexpr int kLateOffset = 1 << 20;
   return static_cast<Priority>(kLateOffset + static_cast<int>(priority));
@@ -36,7 +37,7 @@
 /// Identifies one request within a limiter.
 using TicketId = uint64_t;
 
-/// Counters of a limiter.
+/// Cumulative counters of a limiter.
 struct SlotCounters {
   int64_t admitted = 0;
   int64_t queued = 0;
@@ -45,17 +46,18 @@
   int64_t displaced = 0;
 };
 
-/// Why a request was not started.
+/// Reason for which a request was refused.
 enum class SlotRefusal {
   kQueueFull,
-  kWouldBeLate,  ///< its deadline would pass before a slot is free
-  kClosed,       ///< no new work is taken
+  kWouldBeLate,  ///< no slot is expected before its latest start time
+  kClosed,       ///< no new work is accepted
 };
 
-/// Bounds how many requests run at once; the others wait in a bounded queue or are refused while that is cheap.
+/// Limits the number of concurrent requests. Further requests wait in a bounded queue or are refused early, before any
+/// work is spent on them.
 ///
-/// Invariants: at most maxConcurrent requests run, except that a smaller limit never cuts running ones; a
-/// kNormal request never starts before a waiting kMustRun request; while others wait, kNested requests hold at most
+/// Invariants: at most maxConcurrent requests run, except that lowering the limit never aborts running ones; a kNormal
+/// request never starts before a queued kMustRun request; while other requests wait, kNested requests hold at most
 /// their share of the slots.
 class SlotLimiter {
  public:
@@ -64,56 +66,56 @@
 
   SlotLimiter(const base::TimeSource& time, int maxConcurrent, int maxQueued);
 
-  /// Changes the limits; running requests go on, waiting ones may start or be refused.
+  /// Changes the limits. Running requests are not affected; queued ones may start or be refused.
   void setLimits(int maxConcurrent, int maxQueued);
 
-  /// Asks for a slot. Exactly one of the callbacks is called, now or later, unless the ticket is cancelled.
-  /// @param latestStart when the request must have started to be of use; nothing starts later
-  /// @param ready false for a request that can't start before setReady(): it keeps its place in the queue meanwhile, so
-  /// that what is on its way for it is not refused when it is there, and others go first as long as it isn't.
+  /// Requests a slot. Exactly one of the callbacks is called, immediately or later, unless the ticket is cancelled.
+  /// @param latestStart the request is refused if it has not started by then
+  /// @param ready false for a request that can't start before setReady(). It keeps its place in the queue, so that it
+  /// is not refused once its body has arrived; until then other requests are started ahead of it.
   TicketId acquire(Priority priority, base::TimePoint latestStart, Start start, Refuse refuse, bool ready = true);
 
-  /// A request that waits may start from now on; ignored for one that does not wait any more.
+  /// Marks a queued request as ready to start; ignored if it is no longer queued.
   void setReady(TicketId ticket);
 
-  /// Refuses everything that waits; what runs goes on.
+  /// Refuses all queued requests; running ones are not affected.
   void refuseWaiting();
 
-  /// Bounds the slots that kNested requests may hold while others wait, as a share of all.
+  /// Sets the share of all slots that kNested requests may hold while others wait.
   void setNestedShare(double share) { nestedShare_ = share; }
 
-  /// Starts no more than a pace allows.
-  /// @param pace outlives this object; null for none
+  /// Limits the rate of starts while the back end is cold.
+  /// @param coldStartLimiter must outlive this object; null for no limit
   void setColdStartLimiter(ColdStartLimiter* coldStartLimiter) { coldStartLimiter_ = coldStartLimiter; }
 
-  /// @return when the pace lets the next of the waiting requests start, if it is the pace that it waits for.
+  /// @return when the cold-start limit admits the next queued request, if that limit is what it waits for.
   std::optional<base::TimePoint> nextRateLimitedStart() const;
 
-  /// Starts what waits, as far as there is room and the pace allows.
+  /// Starts queued requests while slots are free and the cold-start limit admits them.
   void startWaiting();
 
-  /// A request that had started has ended.
-  /// @param held how long it held its slot
-  /// @param priority what it was acquired with
+  /// Frees the slot of a request that has ended.
+  /// @param held how long the request held its slot
+  /// @param priority the priority that was passed to acquire()
   void release(base::Duration held, Priority priority = Priority::kNormal);
 
-  /// Gives up a request that waits.
-  /// @return false when it had started or was unknown
+  /// Removes a request from the queue.
+  /// @return false if the request had started or is unknown
   bool cancel(TicketId ticket);
 
   int running() const { return running_; }
   size_t waiting() const { return waiting_.size(); }
 
-  /// @return an estimate of when a new request would get a slot, behind those that go before it.
+  /// @return the estimated time until a new request gets a slot, behind those that are ordered before it.
   base::Duration expectedWait(Priority priority, base::TimePoint latestStart) const;
 
-  /// @return the mean time between two slots becoming free while all are busy; 0 before the first request ended.
+  /// @return the mean time between two slots becoming free while all are busy; 0 before the first request has ended.
   base::Duration slotInterval() const;
 
-  /// @return when the first of the waiting requests would start too late; nothing while none waits.
+  /// @return the earliest latest-start time of the queued requests; nullopt if the queue is empty.
   std::optional<base::TimePoint> nextExpiry() const;
 
-  /// Refuses the waiting requests that can't start in time any more.
+  /// Refuses the queued requests whose latest start time has passed.
   void refuseExpired();
 
   const SlotCounters& counters() const { return counters_; }
@@ -144,12 +146,12 @@
   int maxConcurrent_;
   int maxQueued_;
   int running_ = 0;
-  ColdStartLimiter* coldStartLimiter_ = nullptr;  // may stay null
+  ColdStartLimiter* coldStartLimiter_ = nullptr;  // may be null
   int runningNested_ = 0;
   double nestedShare_ = 1;
   TicketId nextTicket_ = 1;
-  Waiting waiting_;           // first to start first
-  double averageHoldUs_ = 0;  // moving average of how long a slot is held
+  Waiting waiting_;           // in start order
+  double averageHoldUs_ = 0;  // moving average, 0 before the first sample
   SlotCounters counters_;
 };
 
--- a/test/limits/cold_start_limiter_test.cc
+++ b/test/limits/cold_start_limiter_test.cc
@@ -12,7 +12,7 @@
 
 constexpr double kColdRatePerSecond = 8;
 
-/// Work that comes faster than a cold back end bears, each piece of it short.
+/// Offers short requests at a higher rate than a cold back end can handle.
 struct Load {
   void offer(base::Duration duration) {
     constexpr auto kGap = base::milliseconds(10);
@@ -27,7 +27,7 @@
     }
   }
 
-  /// @return the most that started within any second
+  /// @return the maximum number of starts within any one-second window
   size_t mostInASecond() const {
     size_t most = 0;
     for (auto first = started.begin(); first != started.end(); ++first) {
@@ -50,7 +50,7 @@
 
 }  // namespace
 
-TEST_CASE("a cold back end gets no more in any second than it bears") {
+TEST_CASE("a cold back end gets no more requests in any second than its cold rate") {
   Load load;
   load.pace.onColdReport(base::seconds(10), true);
   load.offer(base::seconds(5));
@@ -58,10 +58,10 @@
   CHECK(load.started.size() >= 4 * static_cast<size_t>(kColdRatePerSecond));
 }
 
-TEST_CASE("a back end that may have turned cold counts as cold until it was asked") {
+TEST_CASE("a back end that may have turned cold counts as cold until it has been queried") {
   Load load;
   load.pace.markUncertain();
-  load.pace.onColdReport(base::Duration(0), false);  // may be older than the doubt
+  load.pace.onColdReport(base::Duration(0), false);  // may have been sent before the state became uncertain
   load.offer(base::seconds(2));
   CHECK(load.mostInASecond() == static_cast<size_t>(kColdRatePerSecond));
   load.pace.onColdReport(base::Duration(0), true);
@@ -70,7 +70,7 @@
   CHECK(load.started.size() - before > 5 * static_cast<size_t>(kColdRatePerSecond));
 }
 
-TEST_CASE("what started before a back end turned cold counts in its first second") {
+TEST_CASE("requests started just before a back end turns cold count toward its first second") {
   Load load;
   load.offer(base::milliseconds(500));
   const auto warm = load.started.size();
@@ -79,7 +79,7 @@
   CHECK(load.started.size() == warm);
 }
 
-TEST_CASE("nothing is bounded where it is not known what a cold back end bears") {
+TEST_CASE("nothing is limited while the rate of a cold back end is unknown") {
   Load load;
   load.pace.setRate(0);
   load.pace.onColdReport(base::seconds(10), true);
@@ -87,7 +87,7 @@
   CHECK(load.started.size() >= 99);
 }
 
-/// A clock that is later each time that it is asked, as real ones are.
+/// A clock that advances on each reading, as real clocks do.
 class MovingTime : public base::TimeSource {
  public:
   base::TimePoint now() const override { return now_ += base::microseconds(1); }
@@ -96,7 +96,7 @@
   mutable base::TimePoint now_{base::seconds(1)};
 };
 
-TEST_CASE("a request starts at once where a slot is free and nothing is bounded, also while the clock moves") {
+TEST_CASE("a request starts at once while a slot is free and nothing is limited, also while the clock moves") {
   MovingTime time;
   ColdStartLimiter pace(time);
   SlotLimiter limiter(time, 4, 16);
--- a/test/limits/slot_limiter_test.cc
+++ b/test/limits/slot_limiter_test.cc
@@ -62,7 +62,7 @@
   CHECK(outcome.refused == std::vector<int>{99});
 }
 
-TEST_CASE("a request that goes before all that waits is not refused for what waits behind it") {
+TEST_CASE("a request ordered before all queued ones is not refused because of those behind it") {
   test::ManualTime time;
   limits::SlotLimiter limiter(time, 1, 100);
   Outcome outcome;
@@ -77,7 +77,7 @@
   CHECK(outcome.started == std::vector<int>{0, 1, 98});
 }
 
-TEST_CASE("a smaller limit cuts nothing that runs") {
+TEST_CASE("a smaller limit aborts no running request") {
   test::ManualTime time;
   limits::SlotLimiter limiter(time, 4, 4);
   Outcome outcome;
@@ -106,7 +106,7 @@
   CHECK(outcome.started == std::vector<int>{0});
 }
 
-TEST_CASE("what waits is ordered by priority, then by how soon it must start") {
+TEST_CASE("queued requests are ordered by priority, then by latest start time") {
   test::ManualTime time;
   limits::SlotLimiter limiter(time, 1, 10);
   Outcome outcome;
@@ -119,7 +119,7 @@
   CHECK(outcome.started == std::vector<int>{0, 3, 2, 1});
 }
 
-TEST_CASE("the estimate of the wait counts only what goes before") {
+TEST_CASE("the expected wait counts only requests that are ordered before") {
   test::ManualTime time;
   limits::SlotLimiter limiter(time, 1, 10);
   Outcome outcome;
@@ -133,7 +133,7 @@
   CHECK(limiter.expectedWait(Priority::kMustRun, now + base::seconds(6)) == base::milliseconds(100));
 }
 
-TEST_CASE("what can't start in time is refused, and what closes refuses all that waits") {
+TEST_CASE("a request that can't start in time is refused, and refuseWaiting() refuses all that are queued") {
   test::ManualTime time;
   limits::SlotLimiter limiter(time, 1, 10);
   Outcome outcome;
@@ -151,7 +151,7 @@
   CHECK(limiter.running() == 1);
 }
 
-TEST_CASE("nested requests go first, and leave others their share of the slots") {
+TEST_CASE("nested requests go first, but hold at most their share of the slots while others wait") {
   test::ManualTime time;
   limits::SlotLimiter limiter(time, 4, 20);
   limiter.setNestedShare(0.5);
@@ -167,7 +167,7 @@
   for (int i = 0; i < 2; ++i) limiter.release(base::milliseconds(1));
   CHECK(outcome.started == std::vector<int>{0, 1, 2, 3, 20, 21, 10, 11, 22, 12, 13});
   limiter.release(base::milliseconds(1));
-  CHECK(outcome.started.back() == 23);  // nobody else waits
+  CHECK(outcome.started.back() == 23);  // no other request is queued
 }
 
 TEST_CASE("a request that is not ready keeps its place in the queue, and holds no slot meanwhile") {
@@ -197,7 +197,7 @@
   CHECK(outcome.started == std::vector<int>{2, 1, 3});
 }
 
-TEST_CASE("slots that are free beside requests that are not ready count as free") {
+TEST_CASE("slots that are free while unready requests are queued count as free") {
   test::ManualTime time;
   limits::SlotLimiter limiter(time, 2, 10);
   Outcome outcome;
