--- a/src/overload/body_flow_controller.cc
+++ b/src/overload/body_flow_controller.cc
@@ -6,28 +6,28 @@
 {
 namespace
 {
-/// Taken for a link of which nothing is known, in bytes a second: a gigabit, so that nobody is refused before anything
-/// was seen of it.
+/// Initial estimate for a link of unknown bandwidth, in bytes per second: 1 Gbit/s, so that no call is refused before
+/// the first measurement.
 constexpr double kDefaultBytesPerSecond = 125e6;
-/// Share of a link that bodies get at the most; the rest is for answers, small calls and control.
+/// Maximum share of a link used for bodies; the rest is left for responses, small calls and control messages.
 constexpr double kBodyShare = 0.85;
-/// How much may be on its way at once, as time on the link: several round trips between zones of a few milliseconds,
-/// and the turn of a loop on a node with a tenth of a core.
+/// Window of granted bytes in flight, as transfer time on the link: several inter-zone round trips of a few
+/// milliseconds each, plus one event loop iteration on a node with a tenth of a core.
 constexpr double kWindowSeconds = 0.03;
-/// What is granted at once, as time on the link: small messages wait that long behind a piece.
+/// Size of one grant, as transfer time on the link; small messages can wait this long behind one piece of a body.
 constexpr double kGrantSeconds = 0.01;
-/// Below this a piece costs more in frames and turns of the loop than it spares others.
+/// Smaller pieces cost more in frames and event loop iterations than they save in waiting time for other messages.
 constexpr int64_t kMinGrantBytes = int64_t{8} << 10;
 constexpr int64_t kMaxGrantBytes = int64_t{64} << 10;
 constexpr int64_t kMaxWindowBytes = int64_t{512} << 10;
-/// A sender that has not used its grant for so long is stalled, and holds nobody else up.
+/// A sender that has not used its grant for this long is stalled, and its grant no longer counts against the window.
 constexpr base::Duration kStalledAfter = base::milliseconds(250);
-/// Span over which one sample of the rate is taken.
+/// Minimum duration of one rate sample.
 constexpr base::Duration kSampleSpan = base::milliseconds(100);
-/// Weight of a sample in the average.
+/// Weight of a sample in the moving average.
 constexpr double kSampleWeight = 0.2;
-/// The rate is never taken for less than this share of what the link is said to carry: a few stalled senders are no
-/// measure of it.
+/// Lower bound of the estimate as a share of the configured bandwidth, since a few stalled senders can make the
+/// measured rate arbitrarily low.
 constexpr double kMinRateShare = 0.1;
 
 double secondsOf(base::Duration _duration)
@@ -86,7 +86,7 @@
 	for (const auto& [key, state] : m_order)
 	{
 		const bool goesFirst = key.rank < _rank || (key.rank == _rank && key.deadline <= _deadline);
-		// What was granted comes first, whoever needs it.
+		// Granted bytes arrive first, whatever the urgency of their body.
 		ahead += goesFirst ? state->bytes - state->arrived : state->granted - state->arrived;
 	}
 	return durationOf(static_cast<double>(ahead) / m_bytesPerSecond);
@@ -207,7 +207,8 @@
 	}
 
 	const double seen = static_cast<double>(m_sampleBytes) / secondsOf(span);
-	// While less is missing than the window holds, the senders are the bound, and the link may carry more.
+	// While fewer bytes are outstanding than the window allows, the senders are the bottleneck and the link may be
+	// faster.
 	const bool linkBound = missingBytes() > windowBytes();
 	if (linkBound || seen > m_bytesPerSecond)
 	{
--- a/src/overload/body_flow_controller.h
+++ b/src/overload/body_flow_controller.h
@@ -1,4 +1,4 @@
-/// Which request bodies cross a node's link, and when.
+/// Receiver-driven flow control for request bodies on a node's link.
 #ifndef DRIFTLUG_OVERLOAD_BODY_FLOW_CONTROLLER_H_HEADER_GUARD
 #define DRIFTLUG_OVERLOAD_BODY_FLOW_CONTROLLER_H_HEADER_GUARD
 
@@ -10,78 +10,78 @@
 
 namespace driftlug::overload
 {
-/// Settings of an intake.
+/// Settings of a body_flow_controller.
 struct body_flow_controller_options
 {
-	/// What the node's link carries, in bytes a second; 0 where it is not known.
+	/// Configured bandwidth of the node's link, in bytes per second; 0 if unknown.
 	int64_t linkBytesPerSecond = 0;
 };
 
-/// Names a body by the call that it belongs to.
+/// Identifies a body by the call that it belongs to.
 struct body_id
 {
-	uint64_t connection = 0;  //!< On which the call came.
+	uint64_t connection = 0;  //!< Connection on which the call arrived.
 	int64_t call = 0;         //!< Id of the call on its connection.
 	auto operator<=>(const body_id&) const = default;
 };
 
-/// Allows the sender of a body to send it up to a size.
+/// Permission for the sender of a body to send it up to an offset.
 struct body_grant
 {
 	body_id body;
-	int64_t upToBytes = 0;  //!< How much of it may have been sent.
+	int64_t upToBytes = 0;  //!< Cumulative: all bytes before this offset may be sent.
 };
 
-/// Receiver-driven flow control: bodies are announced by their size, and their senders send only what was granted.
+/// Senders announce a body with its size and send only the bytes that were granted.
 ///
-/// Many senders that send as they like fill the queue in front of a slow link, and small messages wait behind them for
-/// seconds. So only a little more than the link carries in a round trip is granted at any time, to the most urgent
-/// body. What the link carries is learned from the bytes that arrive while there is something to wait for.
+/// Without flow control many senders fill the queue in front of a slow link, and small messages wait behind them for
+/// seconds. Therefore only slightly more than the bandwidth-delay product of the link is granted at any time, to the
+/// most urgent body first. The bandwidth is estimated from the bytes that arrive while bodies are outstanding.
 ///
-/// Invariants: the granted bytes on their way, without those of stalled senders, stay within windowBytes() and one
+/// Invariants: the granted bytes in flight, excluding those of stalled senders, exceed windowBytes() by at most one
 /// grant; each body is granted in order, never beyond its size.
 class body_flow_controller
 {
 public:
 	explicit body_flow_controller(const body_flow_controller_options& _options);
 
-	/// @param[in] _bytes The size of a body that is not announced yet.
-	/// @param[in] _rank How urgent its call is, lower first.
-	/// @param[in] _deadline When it has to be there, at the latest.
-	/// @returns How long it would take until it is there, behind those that go first.
+	/// @param[in] _bytes Size of a body that is not announced yet.
+	/// @param[in] _rank Urgency of its call, lower values first.
+	/// @param[in] _deadline Latest useful arrival time.
+	/// @returns Expected time until the body has arrived, behind the bodies that are ordered before it.
 	base::Duration expectedWait(int64_t _bytes, int _rank, base::TimePoint _deadline) const;
 
-	/// Queues a body.
+	/// Queues a body for grants.
 	void announce(const body_id& _body, int64_t _bytes, int _rank, base::TimePoint _deadline, base::TimePoint _now);
 
-	/// Bytes of a body arrived.
-	/// @returns Whether the body is whole now; it is forgotten then.
+	/// Records received bytes of a body.
+	/// @returns Whether the body is complete; a complete body is removed.
 	bool onBytes(const body_id& _body, int64_t _bytes, base::TimePoint _now);
 
-	/// Forgets a body that will not come.
+	/// Removes a body that will not be received.
 	void drop(const body_id& _body);
 
-	/// @returns What may be sent now, beside what was granted before.
+	/// @returns New grants, in addition to those returned before.
 	std::vector<body_grant> grant(base::TimePoint _now);
 
-	/// @returns Bodies that had to be there by now and don't come: nothing of them was granted, or their senders
-	/// stalled. They are forgotten.
+	/// Removes the bodies whose deadline has passed and of which nothing was granted or whose sender has stalled.
+	/// @returns The removed bodies.
 	std::vector<body_id> takeExpired(base::TimePoint _now);
 
-	/// @returns Whether any body is on its way or waits.
+	/// @returns Whether no body is in flight or queued.
 	bool empty() const;
 
-	/// @returns Bytes of announced bodies that have not arrived.
+	/// @returns Bytes of announced bodies that have not arrived yet.
 	int64_t missingBytes() const;
 
-	/// @returns What the link is taken to carry, in bytes a second.
+	/// @returns Estimated bandwidth for bodies, in bytes per second.
 	int64_t bytesPerSecond() const;
 
-	/// @returns Bytes that may be granted and on their way at once.
+	/// @returns Maximum number of granted bytes in flight.
 	int64_t windowBytes() const;
 
 private:
-	/// A body that has not arrived whole.
+	/// An incomplete body.
 	struct incoming
 	{
 		int64_t bytes = 0;
@@ -89,10 +89,10 @@
 		int64_t arrived = 0;
 		int rank = 0;
 		base::TimePoint deadline{};
-		base::TimePoint lastProgressAt{};  //!< When it was granted something or bytes of it arrived, the last time.
+		base::TimePoint lastProgressAt{};  //!< Time of the last grant or arrival of bytes.
 	};
 
-	/// Order of bodies: the most urgent first, and of these the one that is needed first.
+	/// Sort key of bodies: by urgency, then by deadline.
 	struct queue_key
 	{
 		int rank = 0;
@@ -110,8 +110,8 @@
 	body_flow_controller_options m_options;
 	std::map<body_id, incoming> m_bodies;
 	std::map<queue_key, incoming*> m_order;
-	double m_bytesPerSecond;              //!< Moving average of what arrives while something is missing.
-	base::TimePoint m_sampleStartedAt{};  //!< Of the bytes in m_sampleBytes; meaningless while nothing is missing.
+	double m_bytesPerSecond;              //!< Moving average of the receive rate while bodies are outstanding.
+	base::TimePoint m_sampleStartedAt{};  //!< Start of the current sample; only valid while bodies are outstanding.
 	int64_t m_sampleBytes = 0;
 };
 
--- a/src/overload/caller_wait_estimator.cc
+++ b/src/overload/caller_wait_estimator.cc
@@ -6,14 +6,14 @@
 {
 namespace
 {
-/// Width of a bucket, in milliseconds: first requests differ by what they spent on their way.
+/// Width of a bucket, in milliseconds; first requests differ by their network delay.
 constexpr int kBucketMs = 8;
-/// Calls after which older ones count half.
+/// Total count at which all counts are halved, so that old calls lose weight.
 constexpr double kDecayCalls = 128;
-/// Share of the calls that must state a time before it is taken for that of first requests. Callers that come back are
-/// spread widely, so first requests stand out even where they are few.
+/// Minimum share of calls in a bucket for its value to be taken as that of first requests. The values of retries are
+/// spread widely, so first requests are the peak even if they are few.
 constexpr double kMinBucketShare = 0.1;
-/// A bucket with less than this is dropped.
+/// Buckets with a smaller count are removed.
 constexpr double kMinCount = 0.3;
 
 }  // namespace
--- a/src/overload/caller_wait_estimator.h
+++ b/src/overload/caller_wait_estimator.h
@@ -1,4 +1,4 @@
-/// How long the callers of a route wait, learned from what they say.
+/// Estimates how long the callers of a route have been waiting, from the deadlines that they send.
 #ifndef DRIFTLUG_OVERLOAD_CALLER_WAIT_ESTIMATOR_H_HEADER_GUARD
 #define DRIFTLUG_OVERLOAD_CALLER_WAIT_ESTIMATOR_H_HEADER_GUARD
 
@@ -6,35 +6,35 @@
 
 namespace driftlug::overload
 {
-/// Tells callers that ask for the first time from those that come back after a refusal.
+/// Distinguishes first requests from retries after a refusal.
 ///
-/// A caller states what is left of its time. Most first requests of a route state the same; whoever states less has
-/// waited for the difference already. The time stated most often is taken for that of first requests, so a few callers
-/// with more patience change nothing. Where no time stands out, nobody is held to have waited.
+/// A caller sends its remaining time. Most first requests of a route send the same value; a caller that sends less has
+/// already waited for the difference. The most frequent value is taken as that of first requests, so a few callers with
+/// longer deadlines have no effect. If no value is frequent enough, no caller is considered to have waited.
 class caller_wait_estimator
 {
 public:
-	/// A call arrived.
+	/// Records a received call.
 	///
-	/// @param[in] _deadlineMs What is left of its caller's time, in milliseconds; 0 when the caller does not say.
-	/// @returns How long its caller has waited already, in milliseconds; 0 when that can't be told.
+	/// @param[in] _deadlineMs Remaining time of the caller, in milliseconds; 0 if the caller sent none.
+	/// @returns How long the caller has already waited, in milliseconds; 0 if unknown.
 	int onCall(int _deadlineMs);
 
-	/// @returns The time that first requests state, in milliseconds; 0 while none stands out.
+	/// @returns Remaining time that first requests send, in milliseconds; 0 if no value is frequent enough.
 	int typicalDeadlineMs() const;
 
 private:
-	/// Calls that stated about the same time.
+	/// Calls with about the same remaining time.
 	struct bucket
 	{
 		double calls = 0;
-		int longestMs = 0;  //!< The longest time stated.
+		int longestMs = 0;  //!< Longest remaining time in this bucket.
 	};
 
 	void halveCounts();
 
-	std::map<int, bucket> m_buckets;  //!< By stated time, in units of kBucketMs.
-	double m_calls = 0;               //!< Sum over the buckets.
+	std::map<int, bucket> m_buckets;  //!< By remaining time, in units of kBucketMs.
+	double m_calls = 0;               //!< Total over all buckets.
 };
 
 }  // namespace driftlug::overload
--- a/src/overload/nested_call_detector.cc
+++ b/src/overload/nested_call_detector.cc
@@ -4,13 +4,13 @@
 {
 namespace
 {
-/// Calls after which older ones count half.
+/// Total count at which all counts are halved, so that old calls lose weight.
 constexpr double kDecayCalls = 2000;
-/// Calls of a kind that a service's nodes should have sent by now before their silence tells anything.
+/// Minimum expected calls of a kind from a service before their absence counts as evidence.
 constexpr double kMinExpectedCalls = 8;
-/// Share of the expected calls up to which a service counts as silent.
+/// Share of the expected calls up to which a service counts as sending none.
 constexpr double kSilentShare = 0.05;
-/// A count below this is dropped.
+/// Smaller counts are removed.
 constexpr double kMinCount = 0.3;
 
 }  // namespace
--- a/src/overload/nested_call_detector.h
+++ b/src/overload/nested_call_detector.h
@@ -1,4 +1,4 @@
-/// Which kinds of calls are made by back ends, learned from where they come.
+/// Detects which kinds of calls are made by back ends, from the services that the calls come from.
 #ifndef DRIFTLUG_OVERLOAD_NESTED_CALL_DETECTOR_H_HEADER_GUARD
 #define DRIFTLUG_OVERLOAD_NESTED_CALL_DETECTOR_H_HEADER_GUARD
 
@@ -9,7 +9,7 @@
 
 namespace driftlug::overload
 {
-/// What an endpoint sees of a call's route; calls that are alike in it count as of one kind.
+/// Properties of a call's route that are visible to an endpoint; calls with equal properties are of one kind.
 struct call_kind
 {
 	int priority = 0;
@@ -19,21 +19,22 @@
 	auto operator<=>(const call_kind&) const = default;
 };
 
-/// Tells nested calls, which a back end makes for a call that it is running, from those of callers outside.
+/// Distinguishes nested calls, which a back end makes while it runs a call, from calls of external callers.
 ///
-/// Callers outside are found beside the back ends of every service; a nested call comes only from beside those services
-/// whose back ends make it. So a kind is nested when some service's nodes send none of it, though they send enough of
-/// everything else that some should have come. With one service only, nothing can be told and nothing is nested.
+/// External callers send through the nodes of every service, nested calls come only from the nodes of the services
+/// whose back ends make them. A kind is therefore classified as nested if the nodes of some service send none of it,
+/// although their share of all other calls implies that some should have arrived. With a single service there is no
+/// evidence, and nothing is classified as nested.
 class nested_call_detector
 {
 public:
-	/// A call arrived.
+	/// Records a received call.
 	///
-	/// @param[in] _kind What kind of call it is.
-	/// @param[in] _service The service beside the node that sent it; a call without one is not counted.
+	/// @param[in] _kind Kind of the call.
+	/// @param[in] _service Service of the back end of the sending node; a call without a service is not counted.
 	void onCall(const call_kind& _kind, std::string_view _service);
 
-	/// @returns Whether calls of this kind are made by back ends, as far as can be told.
+	/// @returns Whether the recorded calls show that this kind is made by back ends; false without enough evidence.
 	bool nested(const call_kind& _kind) const;
 
 private:
@@ -48,7 +49,7 @@
 	void halveCounts();
 
 	std::map<call_kind, kind_counts> m_kinds;
-	double m_calls = 0;  //!< Sum over the kinds.
+	double m_calls = 0;  //!< Total over all kinds.
 };
 
 }  // namespace driftlug::overload
--- a/src/overload/response_transfer_estimator.cc
+++ b/src/overload/response_transfer_estimator.cc
@@ -4,8 +4,8 @@
 {
 namespace
 {
-constexpr double kWeight = 0.2;  //!< Of a new size in the moving average.
-/// An answer that takes less of a link than this is no matter: many of them fit into a target latency.
+constexpr double kWeight = 0.2;  //!< Weight of a new size in the moving average.
+/// Responses with a shorter transfer time are ignored: many of them fit into a target latency.
 constexpr base::Duration kNegligibleTransferTime = base::milliseconds(10);
 
 }  // namespace
--- a/src/overload/response_transfer_estimator.h
+++ b/src/overload/response_transfer_estimator.h
@@ -1,4 +1,4 @@
-/// Room of a narrow link for large answers.
+/// Estimates how long large responses occupy a slow link.
 #ifndef DRIFTLUG_OVERLOAD_RESPONSE_TRANSFER_ESTIMATOR_H_HEADER_GUARD
 #define DRIFTLUG_OVERLOAD_RESPONSE_TRANSFER_ESTIMATOR_H_HEADER_GUARD
 
@@ -11,30 +11,33 @@
 
 namespace driftlug::overload
 {
-/// Learns how large the answers of each kind of call are, and tells how long another one would be on its way.
+/// Tracks the typical response size of each kind of call and estimates the transfer time of further responses.
 ///
-/// Answers that a link can't carry in time pile up in front of it, and with them all else that the machine sends: the
-/// acknowledgements of new versions too, so that it falls behind the table. A call is refused while that costs nothing,
-/// before its back end has made the answer.
+/// Responses that a link can't transmit in time queue in front of it and delay everything else that the machine sends.
+/// This includes acknowledgements of new table versions, so that the node falls behind the table. Callers of this class
+/// therefore refuse a call early, before its back end has produced the response.
 class response_transfer_estimator
 {
 public:
-	/// @param[in] _bytesPerSecond What the link carries; 0 where that is not known, and then there is always room.
+	/// @param[in] _bytesPerSecond Bandwidth of the link; 0 if unknown, which makes every transfer time 0.
 	explicit response_transfer_estimator(int64_t _bytesPerSecond)
 		: m_bytesPerSecond(_bytesPerSecond)
 	{
 	}
 
-	/// A back end has answered a call.
+	/// Records the response of a back end to a call.
+	///
+	/// @param[in] _kind Kind of the call.
+	/// @param[in] _bytes Size of the response body.
 	void onResponse(const call_kind& _kind, size_t _bytes);
 
-	/// @returns Whether answers to calls of a kind are large enough to matter on this link.
+	/// @returns Whether responses to calls of a kind take more than a negligible time on this link.
 	bool isLarge(const call_kind& _kind) const;
 
-	/// @returns Usual size of the answer to a call of a kind, in bytes; 0 while none is known.
+	/// @returns Average size of the responses to calls of a kind, in bytes; 0 before the first response.
 	int64_t typicalBytes(const call_kind& _kind) const;
 
-	/// @returns How long it takes the link to carry so many bytes.
+	/// @returns Time that the link needs to transmit a number of bytes; 0 if its bandwidth is unknown.
 	base::Duration transferTime(int64_t _bytes) const;
 
 private:
--- a/test/overload/body_flow_controller_test.cc
+++ b/test/overload/body_flow_controller_test.cc
@@ -16,7 +16,7 @@
 	return kStart + base::milliseconds(_milliseconds);
 }
 
-/// A link that carries what senders put on it, a piece after the other.
+/// A slow link that transmits the granted pieces one after the other, in the order of the grants.
 struct narrow_link
 {
 	struct piece
@@ -36,7 +36,7 @@
 		longestQueue = std::max(longestQueue, queued);
 	}
 
-	/// Plays a millisecond.
+	/// Simulates one millisecond.
 	void step(body_flow_controller& _flowController, base::TimePoint _now)
 	{
 		carried += kLinkBytesPerSecond / 1000;
@@ -83,7 +83,7 @@
 	}
 	CHECK(link.whole.size() == 70);
 	CHECK(flowController.empty());
-	// Seventy whole bodies would be 4.3 s on this link.
+	// Seventy complete bodies take 4.3 s on this link.
 	CHECK(link.longestQueue <= kLinkBytesPerSecond / 20);
 }
 
@@ -120,7 +120,7 @@
 	CHECK(link.whole == std::vector<int64_t>{3, 1, 2});
 }
 
-TEST_CASE("how long a body takes is told from what is ahead of it and from what the link carries")
+TEST_CASE("the expected wait of a body depends on the bytes ahead of it and on the bandwidth of the link")
 {
 	body_flow_controller flowController({kLinkBytesPerSecond});
 	const auto alone = flowController.expectedWait(60'000, 0, at(1'000));
@@ -134,7 +134,7 @@
 	CHECK(flowController.expectedWait(60'000, 0, at(500)) < base::milliseconds(90));
 }
 
-TEST_CASE("a sender that stalls holds nobody else up")
+TEST_CASE("a stalled sender does not delay other senders")
 {
 	body_flow_controller flowController({kLinkBytesPerSecond});
 	flowController.announce({1, 1}, 600'000, 0, at(500), kStart);
@@ -154,7 +154,7 @@
 	CHECK(flowController.takeExpired(at(700)) == std::vector<body_id>{{1, 1}});
 }
 
-TEST_CASE("a link that carries less than it is said to is noticed")
+TEST_CASE("the estimate adapts to a link that is slower than configured")
 {
 	body_flow_controller flowController({10 * kLinkBytesPerSecond});
 	narrow_link link;
@@ -171,7 +171,7 @@
 	CHECK(flowController.bytesPerSecond() > kLinkBytesPerSecond / 2);
 }
 
-TEST_CASE("a body of which nothing came in time is given up, one that is on its way is not")
+TEST_CASE("a body without a grant by its deadline expires, one that is in flight does not")
 {
 	body_flow_controller flowController({kLinkBytesPerSecond});
 	flowController.announce({1, 1}, 60'000, 0, at(100), kStart);
--- a/test/overload/caller_wait_estimator_test.cc
+++ b/test/overload/caller_wait_estimator_test.cc
@@ -4,7 +4,7 @@
 
 namespace driftlug::overload
 {
-TEST_CASE("who states less time than first requests do has waited for the difference")
+TEST_CASE("a caller with less remaining time than first requests has waited for the difference")
 {
 	caller_wait_estimator estimator;
 	for (int i = 0; i < 20; ++i)
@@ -16,7 +16,7 @@
 	CHECK(estimator.onCall(2500) == 0);
 }
 
-TEST_CASE("a few callers with more patience are no measure for the others")
+TEST_CASE("a few callers with longer deadlines do not change the estimate")
 {
 	caller_wait_estimator estimator;
 	for (int i = 0; i < 100; ++i)
@@ -27,7 +27,7 @@
 	CHECK(estimator.onCall(9000) == 0);
 }
 
-TEST_CASE("first requests stand out among many that come back")
+TEST_CASE("first requests are recognized among many retries")
 {
 	caller_wait_estimator estimator;
 	for (int i = 0; i < 3000; ++i)
@@ -37,7 +37,7 @@
 	CHECK(estimator.typicalDeadlineMs() == 2500);
 }
 
-TEST_CASE("where no time stands out nobody has waited")
+TEST_CASE("no caller has waited while no deadline is frequent enough")
 {
 	caller_wait_estimator estimator;
 	for (int i = 0; i < 3000; ++i)
@@ -48,7 +48,7 @@
 	CHECK(estimator.onCall(1000) == 0);
 }
 
-TEST_CASE("another usual time is learned, and no time at all is none")
+TEST_CASE("the estimate follows a new typical deadline, and a caller without a deadline has not waited")
 {
 	caller_wait_estimator estimator;
 	for (int i = 0; i < 500; ++i)
--- a/test/overload/nested_call_detector_test.cc
+++ b/test/overload/nested_call_detector_test.cc
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-TEST_CASE("what comes from beside one service only, while others call too, is nested")
+TEST_CASE("a kind that comes from the nodes of one service only, while others call too, is nested")
 {
 	nested_call_detector detector;
 	for (int i = 0; i < 100; ++i)
@@ -27,7 +27,7 @@
 	CHECK(!detector.nested(kSearch));
 }
 
-TEST_CASE("what comes from beside all services but one is nested as well")
+TEST_CASE("a kind that comes from the nodes of all services but one is nested as well")
 {
 	nested_call_detector detector;
 	for (int i = 0; i < 300; ++i)
@@ -39,7 +39,7 @@
 	CHECK(!detector.nested(kOrder));
 }
 
-TEST_CASE("nothing is nested before there is enough to tell by")
+TEST_CASE("nothing is nested before there is enough evidence")
 {
 	nested_call_detector detector;
 	for (int i = 0; i < 9; ++i)
@@ -50,7 +50,7 @@
 	CHECK(!detector.nested(kCheck));
 }
 
-TEST_CASE("where all callers are beside one service nothing can be told")
+TEST_CASE("nothing is nested while all calls come from the nodes of one service")
 {
 	nested_call_detector detector;
 	for (int i = 0; i < 1000; ++i)
@@ -63,7 +63,7 @@
 	CHECK(!detector.nested(kOrder));
 }
 
-TEST_CASE("a kind that callers outside begin to use is no longer nested")
+TEST_CASE("a kind that external callers begin to use is no longer nested")
 {
 	nested_call_detector detector;
 	for (int i = 0; i < 600; ++i)
