--- a/src/descriptors/descriptor_shares.cc
+++ b/src/descriptors/descriptor_shares.cc
@@ -13,7 +13,7 @@
 constexpr size_t kLinksDivisor = 5;
 constexpr size_t kBackendDivisor = 10;
 
-/// What is taken for the limit of a process that has none, or does not tell: what Linux gives a process by default.
+/// Assumed if the process limit is unlimited or can't be read; the default soft limit of Linux.
 constexpr size_t kDefaultLimit = 1024;
 
 size_t shareOf(size_t _descriptors, size_t _divisor)
--- a/src/lifecycle/planned_stop.cc
+++ b/src/lifecycle/planned_stop.cc
@@ -6,10 +6,10 @@
 {
 namespace
 {
-/// What a planned stop keeps at its end for the answers to calls that it gives up: two turns of the loop of a busy
-/// node, and the way to the caller.
+/// Time reserved before the timeout to send the answers to aborted calls: two event loop iterations of a busy node,
+/// plus the network delay to the caller.
 constexpr base::Duration kFinalAnswerTime = base::milliseconds(200);
-constexpr base::Duration kPollInterval = base::milliseconds(20);  // Between two looks at what is in progress.
+constexpr base::Duration kPollInterval = base::milliseconds(20);  // Interval between checks for requests in progress.
 
 }  // namespace
 
@@ -68,8 +68,8 @@
 
 bool planned_stop::allAnswered() const
 {
-	// An answer that waits for room on its connection is lost with the process: 12.9 MB of one of 16.8 MB to a peer
-	// that does not read, by the server's own count.
+	// Answers still queued for a connection are lost when the process ends. For a peer that does not read, 12.9 MB of a
+	// 16.8 MB answer stay queued while no request is pending.
 	return m_target.idle() && 0 == m_target.unsentBytes();
 }
 
@@ -85,7 +85,7 @@
 		{
 			return m_target.end();
 		}
-		// What was read in this turn shows in the next poll.
+		// Requests read during this loop iteration are seen by the next poll.
 		readNoMore();
 	}
 	m_scheduler.schedule(kPollInterval,
--- a/src/lifecycle/planned_stop.h
+++ b/src/lifecycle/planned_stop.h
@@ -1,4 +1,4 @@
-/// How a node ends a planned stop.
+/// Graceful shutdown of a node.
 #ifndef DRIFTLUG_LIFECYCLE_PLANNED_STOP_H_HEADER_GUARD
 #define DRIFTLUG_LIFECYCLE_PLANNED_STOP_H_HEADER_GUARD
 
@@ -8,42 +8,43 @@
 
 namespace driftlug::lifecycle
 {
-/// What a planned stop asks of the process that it ends.
+/// Operations that a planned stop performs on the process that it shuts down.
 class stop_target
 {
 public:
 	virtual ~stop_target() = default;
 
-	/// Requests that come from now on are refused as not run; those in progress go on.
+	/// Refuses new requests as not run; requests in progress continue.
 	virtual void refuseNew() = 0;
 
-	/// Requests that no back end has begun to run get their final answer as not run.
+	/// Refuses the requests that no back end has started to run, with a final answer as not run.
 	virtual void refuseWaiting() = 0;
 
-	/// No request is read from now on; connections without one end, and what was read is answered.
+	/// Stops reading requests: connections without a request are closed, requests already read are still answered.
 	virtual void readNoMore() = 0;
 
 	/// @returns Whether no request is in progress.
 	virtual bool idle() const = 0;
 
-	/// @returns Bytes of answers that have not left the process.
+	/// @returns Bytes of answers that are still queued in the process.
 	virtual size_t unsentBytes() const = 0;
 
 	/// Ends the process.
 	virtual void end() = 0;
 };
 
-/// The times of a planned stop, from its beginning.
+/// Timing of a planned stop, relative to its start.
 struct stop_times
 {
-	base::Duration linger{0};   //!< Requests are taken for so long, so that others hear of the stop.
-	base::Duration timeout{0};  //!< The process ends by then, whatever is in progress.
+	base::Duration linger{0};   //!< Requests are accepted until then, so that others learn of the stop.
+	base::Duration timeout{0};  //!< The process ends by then, even with requests in progress.
 };
 
-/// Takes a process through a planned stop. A second order to stop changes nothing.
+/// Runs the phases of a planned stop: accept requests, refuse new ones, stop reading, end. A repeated begin() is
+/// ignored.
 ///
-/// Invariants: before its timeout a stop ends only once nothing is in progress, every answer has left and no request is
-/// read any more; at its timeout it ends in any case.
+/// Invariants: before the timeout the process ends only when no request is in progress, every answer has been sent and
+/// no more requests are read; at the timeout it ends in any case.
 class planned_stop
 {
 public:
@@ -52,13 +53,13 @@
 	void begin();
 
 private:
-	/// How far a stop has come.
+	/// Phase of a stop.
 	enum class stage
 	{
 		running,
-		lingering,  //!< Requests are taken.
-		refusing,   //!< New requests are refused, those in progress go on.
-		closing,    //!< No request is read.
+		lingering,  //!< Requests are still accepted.
+		refusing,   //!< New requests are refused, those in progress continue.
+		closing,    //!< No more requests are read.
 	};
 
 	void refuse();
--- a/src/quota/quota_grantor.cc
+++ b/src/quota/quota_grantor.cc
@@ -7,9 +7,9 @@
 {
 namespace
 {
-/// Callers that were denied together should not come back for the same token.
+/// Keeps callers that were denied together from retrying for the same token.
 constexpr base::Duration kMinRetryAfter = base::milliseconds(200);
-/// A caller that waits longer than this would have given up.
+/// Callers give up rather than wait longer than this.
 constexpr base::Duration kMaxRetryAfter = base::seconds(5);
 
 }  // namespace
--- a/src/quota/quota_grantor.h
+++ b/src/quota/quota_grantor.h
@@ -1,4 +1,4 @@
-/// Permits for requests of tenants, granted in one place for the whole fleet.
+/// Central grantor of request permits for rate-limited tenants.
 #ifndef DRIFTLUG_QUOTA_QUOTA_GRANTOR_H_HEADER_GUARD
 #define DRIFTLUG_QUOTA_QUOTA_GRANTOR_H_HEADER_GUARD
 
@@ -14,29 +14,29 @@
 
 namespace driftlug::quota
 {
-/// Counters of the grantor.
+/// Cumulative counters of the grantor, in permits.
 struct grantor_counters
 {
 	int64_t granted = 0;
 	int64_t denied = 0;
 };
 
-/// One bucket for each tenant with a limit.
+/// Holds one token bucket for each tenant with a limit.
 ///
-/// There is one grantor at a time, on the leading controller. One that begins knows nothing of what its predecessor
-/// granted, so its buckets begin empty: whatever the former one gave, the limit holds over the change.
+/// Only one grantor is active, on the leading controller. A new leader does not know what its predecessor granted, so
+/// its buckets start empty; this keeps the limit across leader changes.
 class quota_grantor
 {
 public:
-	/// Tells the limit of a tenant; nothing for one that has none.
+	/// Returns the limit of a tenant; nullopt if it has none.
 	using limit_lookup = std::function<std::optional<quota_limit>(const std::string&)>;
 
 	quota_grantor(base::Scheduler& _time, limit_lookup _limitOf);
 
-	/// Begins anew with empty buckets, as a controller does that has just begun to lead.
+	/// Resets all buckets to empty; called when the controller becomes leader.
 	void begin();
 
-	/// @returns A decision for each tenant that was named.
+	/// @returns One decision for each demand.
 	wire::QuotaGrant decide(const wire::QuotaAsk& _ask);
 
 	const grantor_counters& counters() const
--- a/src/quota/quota_queue.cc
+++ b/src/quota/quota_queue.cc
@@ -152,7 +152,7 @@
 	forgetEmpty();
 }
 
-/// Callbacks may add waiters and drop others, so that they are called behind all changes of the queue.
+/// Callbacks may add or remove waiters, so they are called after all changes to the queue.
 void quota_queue::decide(waiters* _queue, const wire::QuotaDecision& _decision)
 {
 	int granted = std::max(0, _decision.granted);
--- a/src/quota/quota_queue.h
+++ b/src/quota/quota_queue.h
@@ -1,4 +1,4 @@
-/// Requests of tenants that wait for permits.
+/// Queue of requests that wait for quota permits.
 #ifndef DRIFTLUG_QUOTA_QUOTA_QUEUE_H_HEADER_GUARD
 #define DRIFTLUG_QUOTA_QUOTA_QUEUE_H_HEADER_GUARD
 
@@ -14,56 +14,58 @@
 
 namespace driftlug::quota
 {
-/// What became of a part of those that waited together.
+/// Outcome for some or all of the permits of one wait() call.
 struct permit_outcome
 {
 	int granted = 0;
-	int denied = 0;                //!< Beyond the limit.
-	int unanswered = 0;            //!< Nobody decided in time.
-	base::Duration retryAfter{0};  //!< Where some were denied.
+	int denied = 0;                //!< Over the limit.
+	int unanswered = 0;            //!< No decision within the timeout.
+	base::Duration retryAfter{0};  //!< Delay before a retry; only meaningful if some were denied.
 };
 
-/// Times of a queue.
+/// Timing of a queue.
 struct quota_queue_options
 {
-	base::Duration batchInterval;   //!< Least time between two questions; demands in between leave together.
-	base::Duration answerTimeout;   //!< After which what waits counts as unanswered.
-	base::Duration resendInterval;  //!< A question without an answer is put again after this time.
+	base::Duration batchInterval;   //!< Minimum interval between two requests; demands in between are batched.
+	base::Duration answerTimeout;   //!< Timeout after which a waiter is reported as unanswered.
+	base::Duration resendInterval;  //!< Interval after which a request without an answer is resent.
 };
 
-/// Gathers demands, asks for permits and hands them to those that have waited longest. Nodes have one for their calls,
-/// and relays have one for the questions of their nodes, so that the leader is asked by relays only.
+/// Batches demands, requests permits and assigns them in FIFO order. Nodes use a queue for their calls, and relays use
+/// one for the requests of their nodes, so that only relays send requests to the leader.
 ///
-/// A question that is put again may be granted twice; what is left over then is dropped, which keeps the limit.
+/// A resent request may be granted twice; surplus permits are discarded, so the limit still holds.
 class quota_queue
 {
 public:
-	using owner = uint64_t;  //!< On whose behalf is waited: a call, or a connection.
+	using owner = uint64_t;  //!< Id of the call or connection that waits.
 	using callback = std::function<void(const permit_outcome&)>;
-	/// @returns Whether there was somebody to ask.
+	/// Sends a request for permits.
+	/// @returns Whether there was a peer to send it to.
 	using send_request = std::function<bool(const wire::QuotaAsk&)>;
 
 	quota_queue(base::Scheduler& _scheduler, const quota_queue_options& _options, send_request _ask);
 
-	/// Waits for permits. The callback comes for each part that is decided, never from within this call.
+	/// Queues a demand for permits. The callback is called once for each part that is decided, never from within this
+	/// call.
 	void wait(owner _owner, const std::string& _tenant, int _count, callback _done);
 
-	/// Forgets what an owner waits for.
+	/// Removes all demands of an owner without calling back.
 	void drop(owner _owner);
 
-	/// Decisions on the demands of this queue.
+	/// Applies decisions to the queued demands.
 	void onGrant(const wire::QuotaGrant& _grant);
 
-	/// The one that was asked is gone, or another one is in its place: all that waits is asked for again.
+	/// Resends all queued demands, after the peer was lost or replaced.
 	void resendAll();
 
-	/// Sets the least time between two questions.
+	/// Sets the minimum interval between two requests.
 	void setBatchInterval(base::Duration _batchInterval)
 	{
 		m_options.batchInterval = _batchInterval;
 	}
 
-	/// @returns How many wait.
+	/// @returns Number of permits that are waited for.
 	size_t waiting() const;
 
 private:
@@ -76,7 +78,7 @@
 		callback done;
 	};
 
-	using waiters = std::deque<waiter>;  //!< Longest waiting first.
+	using waiters = std::deque<waiter>;  //!< Oldest first.
 
 	void sendDemands();
 	void onTimer();
@@ -88,11 +90,11 @@
 	base::Scheduler& m_scheduler;
 	quota_queue_options m_options;
 	send_request m_ask;
-	std::map<std::string, waiters> m_queues;  //!< By tenant; none is empty.
+	std::map<std::string, waiters> m_queues;  //!< By tenant; contains no empty queues.
 	base::TimePoint m_askedAt{};
 	bool m_askedOnce = false;
-	bool m_batching = false;  //!< The timer runs to put the next question.
-	base::Timer m_timer;      //!< Runs while anything waits.
+	bool m_batching = false;  //!< The timer is running for the next request.
+	base::Timer m_timer;      //!< Runs while the queue is not empty.
 };
 
 }  // namespace driftlug::quota
--- a/src/quota/token_bucket.h
+++ b/src/quota/token_bucket.h
@@ -1,4 +1,4 @@
-/// A rate with a burst.
+/// Token bucket for tenant rate limits.
 #ifndef DRIFTLUG_QUOTA_TOKEN_BUCKET_H_HEADER_GUARD
 #define DRIFTLUG_QUOTA_TOKEN_BUCKET_H_HEADER_GUARD
 
@@ -6,29 +6,32 @@
 
 namespace driftlug::quota
 {
-/// What a tenant may send.
+/// Rate limit of a tenant.
 struct quota_limit
 {
-	double ratePerS = 0;  //!< Requests a second.
-	double burst = 0;     //!< Requests at once beyond the rate.
+	double ratePerS = 0;  //!< Requests per second.
+	double burst = 0;     //!< Burst size, in requests.
 
 	bool operator==(const quota_limit&) const = default;
 };
 
-/// Invariant: in any span, no more is taken than the rate times the span, and the burst, or one where it is less.
+/// Starts empty and refills at the rate of the limit.
+///
+/// Invariant: the tokens taken within any time span do not exceed rate * span + max(1, burst).
 class token_bucket
 {
 public:
-	/// @param[in] _fillingSince When it was empty.
+	/// @param[in] _fillingSince Time at which the bucket was empty.
 	token_bucket(const quota_limit& _limit, base::TimePoint _fillingSince);
 
-	/// Goes on with another limit; what is in it beyond the new burst is lost.
+	/// Changes the limit; tokens above the new burst are lost.
 	void setLimit(const quota_limit& _limit, base::TimePoint _now);
 
-	/// @returns How many of the wanted tokens were there.
+	/// Takes up to the wanted number of tokens.
+	/// @returns The number taken.
 	int take(int _wanted, base::TimePoint _now);
 
-	/// @returns The time until the next token is there.
+	/// @returns Time until the next token is available; 0 if one is available now or the rate is 0.
 	base::Duration untilNext(base::TimePoint _now) const;
 
 private:
@@ -36,7 +39,7 @@
 	double levelAt(base::TimePoint _now) const;
 
 	quota_limit m_limit;
-	double m_level = 0;  //!< At m_at.
+	double m_level = 0;  //!< Tokens at the time m_at.
 	base::TimePoint m_at;
 };
 
--- a/src/subsetting/endpoint_subset.h
+++ b/src/subsetting/endpoint_subset.h
@@ -1,4 +1,4 @@
-/// Which endpoints of a service a node keeps links to.
+/// Selects the endpoints of a service to which a node keeps connections.
 #ifndef DRIFTLUG_SUBSETTING_ENDPOINT_SUBSET_H_HEADER_GUARD
 #define DRIFTLUG_SUBSETTING_ENDPOINT_SUBSET_H_HEADER_GUARD
 
@@ -17,37 +17,39 @@
 
 namespace driftlug::subsetting
 {
-/// How many endpoints of a service a node keeps links to.
+/// Sizes of a node's endpoint subset.
 struct subset_options
 {
-	/// Enough that the least busy of them is rarely busy, and that each endpoint is chosen by a dozen nodes or more,
-	/// also while a third of the fleet is away. Services with no more endpoints than this are linked whole.
+	/// Number of reachable endpoints per service. At 16 the least busy of them rarely has no free capacity, and each
+	/// endpoint is chosen by at least a dozen nodes, also while a third of the fleet is down. For services with no more
+	/// endpoints than this, all of them are chosen.
 	size_t endpoints = 16;
-	size_t maxInOwnZone = 12;      //!< The rest are of other zones, to go on when the own one is lost or full.
-	size_t maxTriedPerWanted = 3;  //!< Endpoints out of reach are replaced by others up to this multiple.
+	size_t maxInOwnZone = 12;      //!< The rest are in other zones, as fallback if the own zone fails or is full.
+	size_t maxTriedPerWanted = 3;  //!< Bound of reachable and unreachable endpoints, per wanted one.
 };
 
-/// Chooses endpoints by rendezvous hashing: each node orders all endpoints by a hash of both names and takes the first.
+/// Chooses endpoints by rendezvous hashing: each node sorts all endpoints by a hash of both names and takes the first.
 ///
-/// So the choice needs no knowledge of other nodes, covers all endpoints about evenly, and when an endpoint comes or
-/// goes only the nodes that choose it change one link. Endpoints out of reach are kept, to be tried again, but don't
-/// count, so that others stand in for them.
+/// The choice needs no knowledge of other nodes and covers all endpoints about evenly. When an endpoint is added or
+/// removed, only the nodes that choose it change one connection. Unreachable endpoints stay in the subset so that they
+/// are retried, but don't count toward its size, so that others replace them meanwhile.
 class endpoint_subset
 {
 public:
-	/// Tells whether an endpoint can't be reached now.
+	/// Returns whether the endpoint of that name is currently unreachable.
 	using is_unreachable = std::function<bool(const std::string&)>;
 
 	endpoint_subset(const subset_options& _options, std::string_view _node, std::string_view _zone);
 
 	/// @param[in] _endpoints All endpoints of one service.
-	/// @param[in] _more How many are wanted beyond the usual, since those chosen are full.
-	/// @returns The chosen ones, in the order of _endpoints.
+	/// @param[in] _extra Number of endpoints wanted in addition to the configured ones because those are full.
+	/// @param[in] _isUnreachable Called with the names of endpoints.
+	/// @returns The chosen endpoints, in the order of _endpoints.
 	std::vector<routing::EndpointTarget> choose(std::span<const routing::EndpointTarget> _endpoints, size_t _extra,
 												const is_unreachable& _isUnreachable) const;
 
 private:
-	/// An endpoint and its place in this node's order.
+	/// An endpoint and its hash, by which candidates are sorted.
 	struct candidate
 	{
 		uint64_t hash = 0;
@@ -60,7 +62,7 @@
 
 	subset_options m_options;
 	std::string m_zone;
-	uint64_t m_seed;  //!< Of the hashes; a hash of the node's name.
+	uint64_t m_seed;  //!< Seed of the endpoint hashes; a hash of the node's name.
 };
 
 }  // namespace driftlug::subsetting
--- a/src/tenants/tenant_directory.h
+++ b/src/tenants/tenant_directory.h
@@ -1,4 +1,4 @@
-/// Whose requests carry which key.
+/// Lookup of tenants by API key and by name.
 #ifndef DRIFTLUG_TENANTS_TENANT_DIRECTORY_H_HEADER_GUARD
 #define DRIFTLUG_TENANTS_TENANT_DIRECTORY_H_HEADER_GUARD
 
@@ -17,39 +17,39 @@
 
 namespace driftlug::tenants
 {
-/// What a node knows of a tenant.
+/// Properties of a tenant that a node uses.
 struct tenant
 {
 	std::string name;
-	std::optional<int> priority;       //!< Goes before the one of the route.
-	double ratePerS = 0;               //!< Requests a second over all nodes; 0 for no limit.
-	double burst = 0;                  //!< Requests at once beyond the rate.
-	std::vector<std::string> regions;  //!< Of back ends that may serve it; any where it is empty.
+	std::optional<int> priority;       //!< Overrides the priority of the route.
+	double ratePerS = 0;               //!< Requests per second over all nodes; 0 for no limit.
+	double burst = 0;                  //!< Burst size over all nodes, in requests.
+	std::vector<std::string> regions;  //!< Regions whose back ends may serve it; empty for any.
 
-	/// @returns Whether its requests are counted over all nodes.
+	/// @returns Whether the tenant has a rate limit over all nodes.
 	bool limited() const
 	{
 		return 0 < ratePerS;
 	}
 };
 
-/// The tenants of one version of the table, found by their keys.
+/// The tenants of one version of the routing table.
 ///
-/// Keys are looked up by a hash and then compared in a time that doesn't depend on where they differ, so that the time
-/// of an answer tells nothing of a key. No key leaves this class.
+/// Keys are looked up by hash and then compared in constant time, so that response times reveal nothing about a key. No
+/// key leaves this class.
 class tenant_directory
 {
 public:
-	/// Takes a tenant; a key that another one holds stays with that one.
+	/// Adds a tenant. A key that already belongs to another tenant stays with that tenant.
 	void add(std::string_view _name, const wire::TenantRow& _row);
 
-	/// @returns The tenant that holds a key, or null.
+	/// @returns The tenant to which a key belongs, or null.
 	const tenant* find(std::string_view _key) const;
 
-	/// @returns The tenant of that name, or null.
+	/// @returns The tenant with that name, or null.
 	const tenant* findByName(const std::string& _name) const;
 
-	/// @returns Whether no table row names a tenant, so that callers need no key.
+	/// @returns Whether the table has no tenants, in which case callers need no key.
 	bool empty() const
 	{
 		return m_tenants.empty();
@@ -62,7 +62,7 @@
 		const tenant* owner;
 	};
 
-	std::deque<tenant> m_tenants;  //!< Never moved, so that pointers to its elements hold.
+	std::deque<tenant> m_tenants;  //!< A deque, since pointers to its elements must stay valid.
 	std::unordered_map<std::string, const tenant*> m_byName;
 	std::unordered_map<uint64_t, std::vector<key_entry>> m_byHash;
 };
--- a/test/descriptors/descriptor_shares_test.cc
+++ b/test/descriptors/descriptor_shares_test.cc
@@ -19,7 +19,7 @@
 	CHECK(0 < shares.backend);
 }
 
-TEST_CASE("a node of a few hundred has room for links to and from all others")
+TEST_CASE("a node in a fleet of a few hundred has enough descriptors for connections to and from all others")
 {
 	constexpr size_t kNodes = 300;
 	constexpr size_t kServices = 30;
--- a/test/lifecycle/planned_stop_test.cc
+++ b/test/lifecycle/planned_stop_test.cc
@@ -12,7 +12,7 @@
 {
 constexpr stop_times kTimes = {base::seconds(3), base::milliseconds(5500)};
 
-/// Notes what it is asked for, and when.
+/// Records the operations called on it, with their times.
 class recording_target : public stop_target
 {
 public:
@@ -70,7 +70,7 @@
 	bool isIdle = true;
 	size_t unsent = 0;
 	std::function<void()> whenReadNoMore;
-	std::vector<std::pair<std::string, int64_t>> notes;  // What was asked for, and the ms since the start.
+	std::vector<std::pair<std::string, int64_t>> notes;  // Operation, and milliseconds since the start.
 
 private:
 	void note(const std::string& _what)
@@ -108,7 +108,7 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(fixture, "a stop takes calls for a while, refuses new ones and ends once nothing is in progress")
+TEST_CASE_METHOD(fixture, "a stop accepts calls for a while, refuses new ones and ends once nothing is in progress")
 {
 	target.isIdle = false;
 	stop.begin();
@@ -119,7 +119,7 @@
 	CHECK(target.has("end"));
 }
 
-TEST_CASE_METHOD(fixture, "a stop gives up what waits before its time is over, and ends then")
+TEST_CASE_METHOD(fixture, "a stop refuses waiting calls shortly before its timeout, and ends at the timeout")
 {
 	target.isIdle = false;
 	stop.begin();
@@ -137,18 +137,11 @@
 	CHECK(notes{{"refuse new", 3000}, {"read no more", 5300}, {"refuse waiting", 5300}, {"end", 5500}} == target.notes);
 }
 
-// Symptom: a caller whose call was done gets no answer, since the process that it asked has ended.
-//
-// Sequence: a node is told to stop. A call has its answer, which waits in the process: the window of the caller's or of
-// the asking node's connection, or the link, takes no more for now. No call is in progress, so the process ends, and
-// what waits is dropped. The same happens to a request that is read in the last moment of a stop.
-//
-// Cause: "no call in progress" was taken for "all answers have left". It is the class of bodies that queue in front of
-// a full link: bytes in a queue that a planned stop does not look at.
-//
-// What settled it: of an answer of 16.8 MB to a peer that does not read, 12.9 MB stay queued in the server, while it
-// says that no request is pending.
-TEST_CASE_METHOD(fixture, "a stop does not end while answers have not left")
+// Guards against a lost answer: the call was run, but the process ended while its answer was still queued because the
+// flow-control window of the connection or the link was full. "No call in progress" had been taken for "all answers
+// sent". Of a 16.8 MB answer to a peer that does not read, 12.9 MB stay queued in the server while it reports no
+// pending request. A request that is read in the last moment of a stop can be lost in the same way.
+TEST_CASE_METHOD(fixture, "a stop does not end while answers are unsent")
 {
 	target.unsent = 1000;
 	stop.begin();
@@ -159,7 +152,7 @@
 	CHECK(target.has("end"));
 }
 
-TEST_CASE_METHOD(fixture, "answers that nobody takes do not hold up the end of a stop")
+TEST_CASE_METHOD(fixture, "answers that the peer does not read do not delay a stop beyond its timeout")
 {
 	target.unsent = 1000;
 	stop.begin();
@@ -167,9 +160,9 @@
 	CHECK(std::pair<std::string, int64_t>("end", 5500) == target.notes.back());
 }
 
-TEST_CASE_METHOD(fixture, "a stop ends only behind the answers to all that it has read")
+TEST_CASE_METHOD(fixture, "a stop ends only after all requests that it has read are answered")
 {
-	SECTION("it reads no more by the time it gives up what waits")
+	SECTION("it has stopped reading by the time it refuses waiting calls")
 	{
 		target.isIdle = false;
 		stop.begin();
@@ -177,7 +170,7 @@
 		REQUIRE(target.has("read no more"));
 		CHECK(std::pair<std::string, int64_t>("read no more", 5300) == target.notes[1]);
 	}
-	SECTION("a request that was read just before it reads no more has its answer first")
+	SECTION("a request that was read just before it stops reading is answered first")
 	{
 		target.whenReadNoMore = [this]
 		{
--- a/test/quota/quota_fleet_test.cc
+++ b/test/quota/quota_fleet_test.cc
@@ -1,4 +1,4 @@
-/// Permits over a modelled fleet: nodes, relays and leaders that change, on the virtual clock.
+/// Quota permits in a simulated fleet of nodes, relays and changing leaders, on the virtual clock.
 #include <catch2/catch.hpp>
 
 #include <algorithm>
@@ -22,7 +22,7 @@
 constexpr quota_queue_options kNodeTimes{base::milliseconds(5), base::milliseconds(700), base::milliseconds(250)};
 constexpr quota_queue_options kRelayTimes{base::milliseconds(10), base::seconds(2), base::milliseconds(200)};
 
-/// One tenant that sends over all nodes. Messages take a while, and are lost on links that are cut.
+/// One tenant that sends through all nodes. Messages are delayed, and lost while the link of a relay is cut.
 class Fleet {
  public:
   explicit Fleet(uint64_t seed) : random_(seed), process_(queue_, "fleet", {"zone", "region"}, {"10.0.0.1", 1}) {
@@ -38,7 +38,7 @@
     }
   }
 
-  /// Sends at a mean rate for a while.
+  /// Sends requests at a mean rate for the given duration.
   void send(double perSecond, base::Duration duration) {
     const auto until = queue_.now() + duration;
     while (queue_.now() < until) {
@@ -68,7 +68,7 @@
 
   void setCut(int relay, bool cut) { cut_[relay] = cut; }
 
-  /// @return the most that was granted within a span
+  /// @return the maximum number of permits granted within any window of the given length
   size_t mostWithin(base::Duration span) const {
     size_t most = 0;
     for (auto first = granted_.begin(); first != granted_.end(); ++first) {
@@ -135,7 +135,7 @@
 
 }  // namespace
 
-TEST_CASE("what is below the limit is granted") {
+TEST_CASE("requests below the limit are granted") {
   Fleet fleet(1);
   fleet.runFor(base::seconds(1));
   fleet.send(0.6 * kRatePerS, base::seconds(20));
@@ -143,7 +143,7 @@
   CHECK(fleet.granted() == fleet.sent());
 }
 
-TEST_CASE("beyond the limit the rate is granted, the rest is denied at once, and no span holds more than the limit") {
+TEST_CASE("over the limit the rate is granted, the rest is denied at once, and no window exceeds the limit") {
   Fleet fleet(2);
   fleet.runFor(base::seconds(1));
   fleet.send(10 * kRatePerS, base::seconds(20));
@@ -154,7 +154,7 @@
   CHECK(fleet.granted() + fleet.denied() == fleet.sent());
 }
 
-TEST_CASE("no span holds more than the limit over changes of the leader and cuts of relays") {
+TEST_CASE("no window exceeds the limit across leader changes and cut relay links") {
   size_t most = 0;
   for (uint64_t seed = 1; seed <= 200; ++seed) {
     Fleet fleet(seed);
@@ -171,7 +171,7 @@
   CHECK(most <= kMostInSpan);
 }
 
-TEST_CASE("what nobody decides is told as unanswered, in time") {
+TEST_CASE("requests without a decision are reported as unanswered in time") {
   Fleet fleet(3);
   for (int i = 0; i < kRelays; ++i) fleet.setCut(i, true);
   fleet.send(kRatePerS, base::seconds(2));
--- a/test/subsetting/endpoint_subset_test.cc
+++ b/test/subsetting/endpoint_subset_test.cc
@@ -14,7 +14,7 @@
 
 constexpr int kZones = 6;
 
-/// A fleet of a few hundred nodes, each of which calls one service.
+/// A fleet of nodes that all call the same service.
 struct fleet
 {
 	fleet(int _nodes, int _endpoints)
@@ -56,7 +56,7 @@
 		return names;
 	}
 
-	/// @returns By endpoint within reach, the sum of its callers' shares: 1 where each gets as much as any other.
+	/// @returns Load of each reachable endpoint relative to the mean; 1 for an even distribution.
 	std::map<std::string, double> load() const
 	{
 		std::map<std::string, double> sums;
@@ -110,7 +110,7 @@
 	CHECK(highestOf(load) < 1.5);
 }
 
-TEST_CASE("the endpoints that are left share the load while a third of the service is away")
+TEST_CASE("the remaining endpoints share the load while a third of the service is down")
 {
 	fleet all(300, 100);
 	for (int i = 0; i < 100; i += 3)
@@ -119,14 +119,14 @@
 	}
 	const auto load = all.load();
 	CHECK(load.size() == 66);
-	CHECK(highestOf(load) < 2.2);  // every third endpoint away is every second one of the zones 0 and 3, and so on
+	CHECK(highestOf(load) < 2.2);  // zones 0 and 3 are entirely down
 	for (const auto& node : all.nodes)
 	{
 		CHECK(all.chosenBy(node).size() < 3 * 16);
 	}
 }
 
-TEST_CASE("while a zone is lost its nodes' callers go to the others")
+TEST_CASE("callers in a failed zone use the endpoints of other zones")
 {
 	fleet all(300, 100);
 	for (int i = 0; i < 100; i += kZones)
@@ -138,7 +138,7 @@
 	CHECK(highestOf(load) < 1.8);
 }
 
-TEST_CASE("an endpoint that comes or goes changes no other link of those that did not choose it")
+TEST_CASE("an added endpoint replaces at most one connection of each node")
 {
 	fleet all(300, 100);
 	std::vector<std::set<std::string>> before;
@@ -158,7 +158,7 @@
 		CHECK(kept.size() + 1 >= before[i].size());
 		callers += static_cast<int>(now.count(newcomer.name));
 	}
-	CHECK(callers >= 20);  // 48 choose an endpoint on average
+	CHECK(callers >= 20);  // on average 48 nodes choose an endpoint
 }
 
 TEST_CASE("the own zone comes first, a small service is linked whole, and a full one gets more links")
--- a/test/tenants/tenant_directory_test.cc
+++ b/test/tenants/tenant_directory_test.cc
@@ -27,7 +27,7 @@
   CHECK(directory.findByName("press") == directory.find("key-one"));
 }
 
-TEST_CASE("a tenant that lost its last key is there, and nothing finds it by key") {
+TEST_CASE("a tenant without keys is listed but not found by any key") {
   tenant_directory directory;
   directory.add("press", tenantWith({}));
   CHECK_FALSE(directory.empty());
