--- a/src/overload/body_flow_controller.cc
+++ b/src/overload/body_flow_controller.cc
@@ -164,15 +164,15 @@
 std::vector<body_grant> body_flow_controller::grant(base::TimePoint _now)
 {
 	std::vector<body_grant> grants;
-	int64_t room = windowBytes() - inFlightBytes(_now);
+	int64_t availableBytes = windowBytes() - inFlightBytes(_now);
 	for (auto& [key, state] : m_order)
 	{
-		while (0 < room && state->granted < state->bytes && !isStalled(*state, _now))
+		while (0 < availableBytes && state->granted < state->bytes && !isStalled(*state, _now))
 		{
 			const int64_t more = std::min(grantBytes(), state->bytes - state->granted);
 			state->granted += more;
 			state->lastProgressAt = _now;
-			room -= more;
+			availableBytes -= more;
 			grants.push_back({key.body, state->granted});
 		}
 	}
--- a/test/limits/cold_start_limiter_test.cc
+++ b/test/limits/cold_start_limiter_test.cc
@@ -38,12 +38,12 @@
   }
 
   Load() {
-    pace.setRate(kColdRatePerSecond);
-    limiter.setColdStartLimiter(&pace);
+    coldStart.setRate(kColdRatePerSecond);
+    limiter.setColdStartLimiter(&coldStart);
   }
 
   test::ManualTime time;
-  ColdStartLimiter pace{time};
+  ColdStartLimiter coldStart{time};
   SlotLimiter limiter{time, 4, 16};
   std::vector<base::TimePoint> started;
 };
@@ -52,7 +52,7 @@
 
 TEST_CASE("a cold back end gets no more requests in any second than its cold rate") {
   Load load;
-  load.pace.onColdReport(base::seconds(10), true);
+  load.coldStart.onColdReport(base::seconds(10), true);
   load.offer(base::seconds(5));
   CHECK(load.mostInASecond() == static_cast<size_t>(kColdRatePerSecond));
   CHECK(load.started.size() >= 4 * static_cast<size_t>(kColdRatePerSecond));
@@ -60,11 +60,11 @@
 
 TEST_CASE("a back end that may have turned cold counts as cold until it has been queried") {
   Load load;
-  load.pace.markUncertain();
-  load.pace.onColdReport(base::Duration(0), false);  // may have been sent before the state became uncertain
+  load.coldStart.markUncertain();
+  load.coldStart.onColdReport(base::Duration(0), false);  // may have been sent before the state became uncertain
   load.offer(base::seconds(2));
   CHECK(load.mostInASecond() == static_cast<size_t>(kColdRatePerSecond));
-  load.pace.onColdReport(base::Duration(0), true);
+  load.coldStart.onColdReport(base::Duration(0), true);
   const auto before = load.started.size();
   load.offer(base::seconds(1));
   CHECK(load.started.size() - before > 5 * static_cast<size_t>(kColdRatePerSecond));
@@ -74,15 +74,15 @@
   Load load;
   load.offer(base::milliseconds(500));
   const auto warm = load.started.size();
-  load.pace.onColdReport(base::seconds(10), true);
+  load.coldStart.onColdReport(base::seconds(10), true);
   load.offer(base::milliseconds(400));
   CHECK(load.started.size() == warm);
 }
 
 TEST_CASE("nothing is limited while the rate of a cold back end is unknown") {
   Load load;
-  load.pace.setRate(0);
-  load.pace.onColdReport(base::seconds(10), true);
+  load.coldStart.setRate(0);
+  load.coldStart.onColdReport(base::seconds(10), true);
   load.offer(base::seconds(1));
   CHECK(load.started.size() >= 99);
 }
@@ -98,9 +98,9 @@
 
 TEST_CASE("a request starts at once while a slot is free and nothing is limited, also while the clock moves") {
   MovingTime time;
-  ColdStartLimiter pace(time);
+  ColdStartLimiter coldStart(time);
   SlotLimiter limiter(time, 4, 16);
-  limiter.setColdStartLimiter(&pace);
+  limiter.setColdStartLimiter(&coldStart);
   int started = 0;
   for (int i = 0; i < 4; ++i) {
     limiter.acquire(
