--- a/test/lifecycle/planned_stop_test.cc
+++ b/test/lifecycle/planned_stop_test.cc
@@ -108,7 +108,7 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(fixture, "a stop accepts calls for a while, refuses new ones and ends once nothing is in progress")
+TEST_CASE_METHOD(fixture, "a stop takes calls for a while, refuses new ones and ends once nothing is in progress")
 {
 	target.isIdle = false;
 	stop.begin();
@@ -141,7 +141,7 @@
 // flow-control window of the connection or the link was full. "No call in progress" had been taken for "all answers
 // sent". Of a 16.8 MB answer to a peer that does not read, 12.9 MB stay queued in the server while it reports no
 // pending request. A request that is read in the last moment of a stop can be lost in the same way.
-TEST_CASE_METHOD(fixture, "a stop does not end while answers are unsent")
+TEST_CASE_METHOD(fixture, "a stop does not end while answers have not left")
 {
 	target.unsent = 1000;
 	stop.begin();
--- a/test/limits/slot_limiter_test.cc
+++ b/test/limits/slot_limiter_test.cc
@@ -77,7 +77,7 @@
   CHECK(outcome.started == std::vector<int>{0, 1, 98});
 }
 
-TEST_CASE("a smaller limit aborts no running request") {
+TEST_CASE("a smaller limit cuts nothing that runs") {
   test::ManualTime time;
   limits::SlotLimiter limiter(time, 4, 4);
   Outcome outcome;
@@ -106,7 +106,7 @@
   CHECK(outcome.started == std::vector<int>{0});
 }
 
-TEST_CASE("queued requests are ordered by priority, then by latest start time") {
+TEST_CASE("what waits is ordered by priority, then by how soon it must start") {
   test::ManualTime time;
   limits::SlotLimiter limiter(time, 1, 10);
   Outcome outcome;
@@ -119,7 +119,7 @@
   CHECK(outcome.started == std::vector<int>{0, 3, 2, 1});
 }
 
-TEST_CASE("the expected wait counts only requests that are ordered before") {
+TEST_CASE("the estimate of the wait counts only what goes before") {
   test::ManualTime time;
   limits::SlotLimiter limiter(time, 1, 10);
   Outcome outcome;
@@ -151,7 +151,7 @@
   CHECK(limiter.running() == 1);
 }
 
-TEST_CASE("nested requests go first, but hold at most their share of the slots while others wait") {
+TEST_CASE("nested requests go first, and leave others their share of the slots") {
   test::ManualTime time;
   limits::SlotLimiter limiter(time, 4, 20);
   limiter.setNestedShare(0.5);
--- a/test/overload/nested_call_detector_test.cc
+++ b/test/overload/nested_call_detector_test.cc
@@ -63,7 +63,7 @@
 	CHECK(!detector.nested(kOrder));
 }
 
-TEST_CASE("a kind that external callers begin to use is no longer nested")
+TEST_CASE("a kind that callers outside begin to use is no longer nested")
 {
 	nested_call_detector detector;
 	for (int i = 0; i < 600; ++i)
--- a/test/quota/quota_fleet_test.cc
+++ b/test/quota/quota_fleet_test.cc
@@ -135,7 +135,7 @@
 
 }  // namespace
 
-TEST_CASE("requests below the limit are granted") {
+TEST_CASE("what is below the limit is granted") {
   Fleet fleet(1);
   fleet.runFor(base::seconds(1));
   fleet.send(0.6 * kRatePerS, base::seconds(20));
@@ -143,7 +143,7 @@
   CHECK(fleet.granted() == fleet.sent());
 }
 
-TEST_CASE("over the limit the rate is granted, the rest is denied at once, and no window exceeds the limit") {
+TEST_CASE("beyond the limit the rate is granted, the rest is denied at once, and no span holds more than the limit") {
   Fleet fleet(2);
   fleet.runFor(base::seconds(1));
   fleet.send(10 * kRatePerS, base::seconds(20));
@@ -154,7 +154,7 @@
   CHECK(fleet.granted() + fleet.denied() == fleet.sent());
 }
 
-TEST_CASE("no window exceeds the limit across leader changes and cut relay links") {
+TEST_CASE("no span holds more than the limit over changes of the leader and cuts of relays") {
   size_t most = 0;
   for (uint64_t seed = 1; seed <= 200; ++seed) {
     Fleet fleet(seed);
