--- a/test/lifecycle/planned_stop_test.cc
+++ b/test/lifecycle/planned_stop_test.cc
@@ -138,9 +138,10 @@
 }
 
 // Guards against a lost answer: the call was run, but the process ended while its answer was still queued because the
-// flow-control window of the connection or the link was full. "No call in progress" had been taken for "all answers
-// sent". Of a 16.8 MB answer to a peer that does not read, 12.9 MB stay queued in the server while it reports no
-// pending request. A request that is read in the last moment of a stop can be lost in the same way.
+// flow-control window of the caller's or the calling node's connection, or the link, was full. "No call in progress"
+// had been taken for "all answers sent"; bodies queued in front of a full link are the same class of fault. Of a 16.8
+// MB answer to a peer that does not read, 12.9 MB stay queued in the server while it reports no pending request. A
+// request that is read in the last moment of a stop can be lost in the same way.
 TEST_CASE_METHOD(fixture, "a stop does not end while answers have not left")
 {
 	target.unsent = 1000;
