--- a/src/node/endpoint_calls_cold.cc
+++ b/src/node/endpoint_calls_cold.cc
@@ -17,18 +17,18 @@
 }
 
 void EndpointCalls::markPossiblyCold() {
-  pace_.onDoubt();
-  if (pace_.doubtful() && !coldCheckTimer_.running()) startColdCheck();
+  pace_.markUncertain();
+  if (pace_.isUncertain() && !coldCheckTimer_.running()) startColdCheck();
 }
 
 void EndpointCalls::startColdCheck() {
-  if (!pace_.doubtful()) return;
+  if (!pace_.isUncertain()) return;
   coldCheckTimer_.start(kColdCheckInterval);
   if (onColdCheckNeeded_) onColdCheckNeeded_();
 }
 
 void EndpointCalls::onColdReport(base::Duration coldFor, bool asked) {
-  pace_.onTold(coldFor, asked);
+  pace_.onColdReport(coldFor, asked);
   limiter_.startWaiting();
   armExpiry();
 }
--- a/src/node/endpoint_links.cc
+++ b/src/node/endpoint_links.cc
@@ -129,7 +129,7 @@
   const auto subsetSize = std::min(options_.subset.endpoints, linksPerService());
   if (subsetSize == subsetSize_) return false;
   auto subset = options_.subset;
-  subset.mostOfOwnZone = std::max<size_t>(1, subset.mostOfOwnZone * subsetSize / subset.endpoints);
+  subset.maxInOwnZone = std::max<size_t>(1, subset.maxInOwnZone * subsetSize / subset.endpoints);
   subset.endpoints = subsetSize;
   subset_ = subsetting::endpoint_subset(subset, options_.nodeId, options_.zone);
   subsetSize_ = subsetSize;
--- a/src/relay/relay.cc
+++ b/src/relay/relay.cc
@@ -185,8 +185,8 @@
   if (known == relayList_) return;
   controllerLinks_.setLearned(controllers);
   relayList_ = known;
-  quotas_.useGather(std::max<base::Duration>(
-      kQuotaQueueOptions.gather, kQuotaBatchDelayPerRelay * static_cast<int64_t>(relayList_.relays.size())));
+  quotas_.setBatchInterval(std::max<base::Duration>(
+      kQuotaQueueOptions.batchInterval, kQuotaBatchDelayPerRelay * static_cast<int64_t>(relayList_.relays.size())));
   updatePeerAddresses();
   for (const auto& [connection, session] : nodes_.all()) network_.send(connection, wire::encodeFrame(relayList_));
 }
@@ -197,7 +197,7 @@
   subscribe.digest = replica_.table().digest();
   subscribe.sharesTable = replica_.shares();
   controllerLinks_.send(subscribe);
-  quotas_.askAnew();
+  quotas_.resendAll();
   reportFull_ = true;
   scheduleReport();
   for (const auto& [zone, confirmer] : confirmers_) confirmer->restartRound();
--- a/test/limits/cold_pace_test.cc
+++ b/test/limits/cold_start_limiter_test.cc
@@ -1,4 +1,4 @@
-#include "limits/cold_pace.h"
+#include "limits/cold_start_limiter.h"
 
 #include <catch2/catch.hpp>
 
@@ -10,9 +10,9 @@
 namespace driftlug::limits {
 namespace {
 
-constexpr double kBears = 8;
+constexpr double kColdRatePerSecond = 8;
 
-/// Work that comes faster than a cold back end bears, each piece of it short.
+/// Offers short requests at a higher rate than a cold back end can handle.
 struct Load {
   void offer(base::Duration duration) {
     constexpr auto kGap = base::milliseconds(10);
@@ -27,7 +27,7 @@
     }
   }
 
-  /// @return the most that started within any second
+  /// @return the maximum number of starts within any one-second window
   size_t mostInASecond() const {
     size_t most = 0;
     for (auto first = started.begin(); first != started.end(); ++first) {
@@ -38,56 +38,56 @@
   }
 
   Load() {
-    pace.setRate(kBears);
-    limiter.usePace(&pace);
+    coldStart.setRate(kColdRatePerSecond);
+    limiter.setColdStartLimiter(&coldStart);
   }
 
   test::ManualTime time;
-  ColdPace pace{time};
+  ColdStartLimiter coldStart{time};
   SlotLimiter limiter{time, 4, 16};
   std::vector<base::TimePoint> started;
 };
 
 }  // namespace
 
-TEST_CASE("a cold back end gets no more in any second than it bears") {
+TEST_CASE("a cold back end gets no more requests in any second than its cold rate") {
   Load load;
-  load.pace.onTold(base::seconds(10), true);
+  load.coldStart.onColdReport(base::seconds(10), true);
   load.offer(base::seconds(5));
-  CHECK(load.mostInASecond() == static_cast<size_t>(kBears));
-  CHECK(load.started.size() >= 4 * static_cast<size_t>(kBears));
+  CHECK(load.mostInASecond() == static_cast<size_t>(kColdRatePerSecond));
+  CHECK(load.started.size() >= 4 * static_cast<size_t>(kColdRatePerSecond));
 }
 
 TEST_CASE("a back end that may have turned cold counts as cold until it was asked") {
   Load load;
-  load.pace.onDoubt();
-  load.pace.onTold(base::Duration(0), false);  // may be older than the doubt
+  load.coldStart.markUncertain();
+  load.coldStart.onColdReport(base::Duration(0), false);  // may have been sent before the state became uncertain
   load.offer(base::seconds(2));
-  CHECK(load.mostInASecond() == static_cast<size_t>(kBears));
-  load.pace.onTold(base::Duration(0), true);
+  CHECK(load.mostInASecond() == static_cast<size_t>(kColdRatePerSecond));
+  load.coldStart.onColdReport(base::Duration(0), true);
   const auto before = load.started.size();
   load.offer(base::seconds(1));
-  CHECK(load.started.size() - before > 5 * static_cast<size_t>(kBears));
+  CHECK(load.started.size() - before > 5 * static_cast<size_t>(kColdRatePerSecond));
 }
 
-TEST_CASE("what started before a back end turned cold counts in its first second") {
+TEST_CASE("requests started just before a back end turns cold count toward its first second") {
   Load load;
   load.offer(base::milliseconds(500));
   const auto warm = load.started.size();
-  load.pace.onTold(base::seconds(10), true);
+  load.coldStart.onColdReport(base::seconds(10), true);
   load.offer(base::milliseconds(400));
   CHECK(load.started.size() == warm);
 }
 
-TEST_CASE("nothing is bounded where it is not known what a cold back end bears") {
+TEST_CASE("nothing is limited while the rate of a cold back end is unknown") {
   Load load;
-  load.pace.setRate(0);
-  load.pace.onTold(base::seconds(10), true);
+  load.coldStart.setRate(0);
+  load.coldStart.onColdReport(base::seconds(10), true);
   load.offer(base::seconds(1));
   CHECK(load.started.size() >= 99);
 }
 
-/// A clock that is later each time that it is asked, as real ones are.
+/// A clock that advances on each reading, as real clocks do.
 class MovingTime : public base::TimeSource {
  public:
   base::TimePoint now() const override { return now_ += base::microseconds(1); }
@@ -98,9 +98,9 @@
 
 TEST_CASE("a request starts at once where a slot is free and nothing is bounded, also while the clock moves") {
   MovingTime time;
-  ColdPace pace(time);
+  ColdStartLimiter coldStart(time);
   SlotLimiter limiter(time, 4, 16);
-  limiter.usePace(&pace);
+  limiter.setColdStartLimiter(&coldStart);
   int started = 0;
   for (int i = 0; i < 4; ++i) {
     limiter.acquire(
--- a/test/limits/slot_limiter_test.cc
+++ b/test/limits/slot_limiter_test.cc
@@ -62,7 +62,7 @@
   CHECK(outcome.refused == std::vector<int>{99});
 }
 
-TEST_CASE("a request that goes before all that waits is not refused for what waits behind it") {
+TEST_CASE("a request ordered before all queued ones is not refused because of those behind it") {
   test::ManualTime time;
   limits::SlotLimiter limiter(time, 1, 100);
   Outcome outcome;
@@ -112,9 +112,9 @@
   Outcome outcome;
   const auto now = time.now();
   ask(limiter, outcome, 0, now + base::seconds(9));
-  ask(limiter, outcome, 1, now + base::seconds(3), limits::rankOf(2, true));
-  ask(limiter, outcome, 2, now + base::seconds(8), limits::rankOf(1, true));
-  ask(limiter, outcome, 3, now + base::seconds(5), limits::rankOf(1, true));
+  ask(limiter, outcome, 1, now + base::seconds(3), limits::priorityFor(2, true));
+  ask(limiter, outcome, 2, now + base::seconds(8), limits::priorityFor(1, true));
+  ask(limiter, outcome, 3, now + base::seconds(5), limits::priorityFor(1, true));
   for (int i = 0; i < 3; ++i) limiter.release(base::milliseconds(1));
   CHECK(outcome.started == std::vector<int>{0, 3, 2, 1});
 }
@@ -133,7 +133,7 @@
   CHECK(limiter.expectedWait(Priority::kMustRun, now + base::seconds(6)) == base::milliseconds(100));
 }
 
-TEST_CASE("what can't start in time is refused, and what closes refuses all that waits") {
+TEST_CASE("a request that can't start in time is refused, and refuseWaiting() refuses all that are queued") {
   test::ManualTime time;
   limits::SlotLimiter limiter(time, 1, 10);
   Outcome outcome;
@@ -167,7 +167,7 @@
   for (int i = 0; i < 2; ++i) limiter.release(base::milliseconds(1));
   CHECK(outcome.started == std::vector<int>{0, 1, 2, 3, 20, 21, 10, 11, 22, 12, 13});
   limiter.release(base::milliseconds(1));
-  CHECK(outcome.started.back() == 23);  // nobody else waits
+  CHECK(outcome.started.back() == 23);  // no other request is queued
 }
 
 TEST_CASE("a request that is not ready keeps its place in the queue, and holds no slot meanwhile") {
@@ -197,7 +197,7 @@
   CHECK(outcome.started == std::vector<int>{2, 1, 3});
 }
 
-TEST_CASE("slots that are free beside requests that are not ready count as free") {
+TEST_CASE("slots that are free while unready requests are queued count as free") {
   test::ManualTime time;
   limits::SlotLimiter limiter(time, 2, 10);
   Outcome outcome;
--- a/test/quota/quota_fleet_test.cc
+++ b/test/quota/quota_fleet_test.cc
@@ -1,4 +1,4 @@
-/// Permits over a modelled fleet: nodes, relays and leaders that change, on the virtual clock.
+/// Quota permits in a simulated fleet of nodes, relays and changing leaders, on the virtual clock.
 #include <catch2/catch.hpp>
 
 #include <algorithm>
@@ -22,7 +22,7 @@
 constexpr quota_queue_options kNodeTimes{base::milliseconds(5), base::milliseconds(700), base::milliseconds(250)};
 constexpr quota_queue_options kRelayTimes{base::milliseconds(10), base::seconds(2), base::milliseconds(200)};
 
-/// One tenant that sends over all nodes. Messages take a while, and are lost on links that are cut.
+/// One tenant that sends through all nodes. Messages are delayed, and lost while the link of a relay is cut.
 class Fleet {
  public:
   explicit Fleet(uint64_t seed) : random_(seed), process_(queue_, "fleet", {"zone", "region"}, {"10.0.0.1", 1}) {
@@ -38,7 +38,7 @@
     }
   }
 
-  /// Sends at a mean rate for a while.
+  /// Sends requests at a mean rate for the given duration.
   void send(double perSecond, base::Duration duration) {
     const auto until = queue_.now() + duration;
     while (queue_.now() < until) {
@@ -57,7 +57,7 @@
     grantor_ = std::make_unique<quota_grantor>(process_, [](const std::string&) {
       return std::optional(quota_limit{kRatePerS, kBurst});
     });
-    for (auto& relay : relays_) relay->askAnew();
+    for (auto& relay : relays_) relay->resendAll();
   }
 
   void runFor(base::Duration duration) {
@@ -68,7 +68,7 @@
 
   void setCut(int relay, bool cut) { cut_[relay] = cut; }
 
-  /// @return the most that was granted within a span
+  /// @return the maximum number of permits granted within any window of the given length
   size_t mostWithin(base::Duration span) const {
     size_t most = 0;
     for (auto first = granted_.begin(); first != granted_.end(); ++first) {
@@ -171,7 +171,7 @@
   CHECK(most <= kMostInSpan);
 }
 
-TEST_CASE("what nobody decides is told as unanswered, in time") {
+TEST_CASE("requests without a decision are reported as unanswered in time") {
   Fleet fleet(3);
   for (int i = 0; i < kRelays; ++i) fleet.setCut(i, true);
   fleet.send(kRatePerS, base::seconds(2));
