--- a/apps/node_settings.cc
+++ b/apps/node_settings.cc
@@ -159,10 +159,10 @@
   options.fullFor = base::milliseconds(FLAGS_full_for_ms);
   options.overloadRetryAfter = base::milliseconds(FLAGS_overload_retry_after_ms);
   if (FLAGS_prefer_zone) options.picker.policy = routing::PickPolicy::kNearestIdle;
-  options.picker.besideGain = besideGainFromSettings();
-  options.picker.otherZonePenalty = FLAGS_zone_penalty_percent / 100.0;
+  options.picker.colocationBonus = besideGainFromSettings();
+  options.picker.crossZonePenalty = FLAGS_zone_penalty_percent / 100.0;
   options.picker.slownessPenalty = FLAGS_slowness_penalty_percent / 100.0;
-  options.picker.bodyBytesPerPenalty = static_cast<size_t>(FLAGS_body_kib_per_zone_penalty) << 10;
+  options.picker.bodyBytesPerZonePenalty = static_cast<size_t>(FLAGS_body_kib_per_zone_penalty) << 10;
   return options;
 }
 
--- a/src/controller/relay_sessions.cc
+++ b/src/controller/relay_sessions.cc
@@ -65,7 +65,7 @@
 }
 
 wire::FramePtr RelaySessions::encodeUpdate(const table::Table& table, int64_t fromRevision) const {
-  wire::RowFrameHead head;
+  wire::RowUpdateHeader head;
   head.full = fullPush_ || fromRevision < table.horizon() || fromRevision == 0;
   head.fromRevision = head.full ? 0 : fromRevision;
   head.toRevision = table.revision();
--- a/src/controller/table_state.cc
+++ b/src/controller/table_state.cc
@@ -69,7 +69,7 @@
     return {};
   }
   auto rows = change.commit();
-  table_.boundTombstones();
+  table_.trimTombstones();
   recordHistory(index, edit);
   return rows;
 }
--- a/src/ledger/ledger_client.cc
+++ b/src/ledger/ledger_client.cc
@@ -19,40 +19,40 @@
 
 std::string LedgerClient::newOwner() { return ownerPrefix_ + absl::StrFormat("/%016x", random_.bits()); }
 
-void LedgerClient::claim(const std::string& key, int64_t fingerprint, const std::string& owner, base::Duration limit,
+void LedgerClient::claim(const std::string& key, int64_t fingerprint, const std::string& owner, base::Duration timeout,
                          LedgerCallback done) {
   wire::LedgerCommand command;
   command.action = wire::LedgerAction::CLAIM;
   command.key = key;
   command.fingerprint = fingerprint;
   command.owner = owner;
-  submit(std::move(command), limit, std::move(done));
+  submit(std::move(command), timeout, std::move(done));
 }
 
 void LedgerClient::complete(const std::string& key, const std::string& owner, const wire::StoredAnswer& answer,
-                            base::Duration limit) {
+                            base::Duration timeout) {
   wire::LedgerCommand command;
   command.action = wire::LedgerAction::COMPLETE;
   command.key = key;
   command.owner = owner;
   command.__set_answer(answer);
-  submit(std::move(command), limit, nullptr);
+  submit(std::move(command), timeout, nullptr);
 }
 
-void LedgerClient::release(const std::string& key, const std::string& owner, base::Duration limit,
+void LedgerClient::release(const std::string& key, const std::string& owner, base::Duration timeout,
                            LedgerCallback done) {
   wire::LedgerCommand command;
   command.action = wire::LedgerAction::RELEASE;
   command.key = key;
   command.owner = owner;
-  submit(std::move(command), limit, std::move(done));
+  submit(std::move(command), timeout, std::move(done));
 }
 
-void LedgerClient::submit(wire::LedgerCommand command, base::Duration limit, LedgerCallback done) {
+void LedgerClient::submit(wire::LedgerCommand command, base::Duration timeout, LedgerCallback done) {
   const auto requestId = nextRequest_++;
   auto& pending = pending_[requestId];
   pending.command = std::move(command);
-  pending.until = scheduler_.now() + limit;
+  pending.deadline = scheduler_.now() + timeout;
   pending.done = std::move(done);
   attempt(requestId);
 }
@@ -62,12 +62,12 @@
   if (found == pending_.end()) return;
   auto& pending = found->second;
   const auto now = scheduler_.now();
-  if (now >= pending.until) return finish(requestId, LedgerAnswer{});
+  if (now >= pending.deadline) return finish(requestId, LedgerAnswer{});
   wire::LedgerRequest request;
   request.requestId = requestId;
   request.command = pending.command;
   (void)send_(request);
-  const auto wait = std::min<base::Duration>(kResendInterval, pending.until - now);
+  const auto wait = std::min<base::Duration>(kResendInterval, pending.deadline - now);
   pending.timer = scheduler_.schedule(wait, [this, alive = std::weak_ptr<bool>(alive_), requestId] {
     if (!alive.expired()) attempt(requestId);
   });
--- a/src/ledger/ledger_client.h
+++ b/src/ledger/ledger_client.h
@@ -36,15 +36,15 @@
   std::string newOwner();
 
   /// Asks to run the request of a key.
-  void claim(const std::string& key, int64_t fingerprint, const std::string& owner, base::Duration limit,
+  void claim(const std::string& key, int64_t fingerprint, const std::string& owner, base::Duration timeout,
              LedgerCallback done);
 
   /// Stores the answer of a request that this owner ran.
   void complete(const std::string& key, const std::string& owner, const wire::StoredAnswer& answer,
-                base::Duration limit);
+                base::Duration timeout);
 
   /// Gives a key back because its request did not run.
-  void release(const std::string& key, const std::string& owner, base::Duration limit, LedgerCallback done);
+  void release(const std::string& key, const std::string& owner, base::Duration timeout, LedgerCallback done);
 
   /// A reply came from the relay.
   void onReply(const wire::LedgerReply& reply);
@@ -54,12 +54,12 @@
  private:
   struct Pending {
     wire::LedgerCommand command;
-    base::TimePoint until;
+    base::TimePoint deadline;
     base::TimerId timer = 0;
     LedgerCallback done;
   };
 
-  void submit(wire::LedgerCommand command, base::Duration limit, LedgerCallback done);
+  void submit(wire::LedgerCommand command, base::Duration timeout, LedgerCallback done);
   void attempt(int64_t requestId);
   void finish(int64_t requestId, const LedgerAnswer& answer);
 
--- a/src/ledger/ledger_state.cc
+++ b/src/ledger/ledger_state.cc
@@ -41,17 +41,17 @@
     if (record.fingerprint != command.fingerprint) return {LedgerVerdict::MISMATCH, nullptr};
     if (record.completed) return {LedgerVerdict::COMPLETED, &record.answer};
     // The owner asks again because the first reply was lost.
-    const bool same = record.owner == command.owner;
-    return {same ? LedgerVerdict::GRANTED : LedgerVerdict::CLAIMED, nullptr};
+    const bool isOwner = record.owner == command.owner;
+    return {isOwner ? LedgerVerdict::GRANTED : LedgerVerdict::CLAIMED, nullptr};
   }
   wire::LedgerRecord record;
   record.key = command.key;
   record.fingerprint = command.fingerprint;
   record.owner = command.owner;
   record.claimedAtMs = nowMs_;
-  if (bytes_ + bytesOf(record) > kMaxBytes) return {LedgerVerdict::UNAVAILABLE, nullptr};
+  if (bytes_ + bytesOf(record) > kMaxLedgerBytes) return {LedgerVerdict::UNAVAILABLE, nullptr};
   bytes_ += bytesOf(record);
-  order_.emplace_back(nowMs_, command.key);
+  claimOrder_.emplace_back(nowMs_, command.key);
   records_[command.key] = std::move(record);
   return {LedgerVerdict::GRANTED, nullptr};
 }
@@ -65,56 +65,57 @@
   record.completed = true;
   record.__set_answer(command.answer);
   bytes_ += bytesOf(record);
-  if (record.answer.body.size() > kMaxAnswerBytes) dropAnswer(&record);
+  if (record.answer.body.size() > kMaxStoredAnswerBytes) dropAnswer(&record);
   return {LedgerVerdict::COMPLETED, &record.answer};
 }
 
 LedgerOutcome LedgerState::release(const wire::LedgerCommand& command) {
   const auto found = records_.find(command.key);
-  const bool own = found != records_.end() && found->second.owner == command.owner && !found->second.completed;
-  if (!own) return {LedgerVerdict::MISMATCH, nullptr};
+  const bool releasable = found != records_.end() && found->second.owner == command.owner && !found->second.completed;
+  if (!releasable) return {LedgerVerdict::MISMATCH, nullptr};
   bytes_ -= bytesOf(found->second);
   records_.erase(found);
   return {LedgerVerdict::GRANTED, nullptr};
 }
 
-wire::LedgerRecord* LedgerState::recordAt(const Place& place) {
-  const auto found = records_.find(place.second);
+wire::LedgerRecord* LedgerState::recordAt(const ClaimOrderEntry& entry) {
+  const auto found = records_.find(entry.second);
   // A key that was released and claimed again has a later place in the order.
-  const bool here = found != records_.end() && found->second.claimedAtMs == place.first;
-  return here ? &found->second : nullptr;
+  const bool isCurrent = found != records_.end() && found->second.claimedAtMs == entry.first;
+  return isCurrent ? &found->second : nullptr;
 }
 
 void LedgerState::dropAnswer(wire::LedgerRecord* record) {
   bytes_ -= bytesOf(*record);
   record->answer = wire::StoredAnswer();
-  record->answer.httpStatus = kAnswerGoneStatus;
+  record->answer.httpStatus = kDroppedAnswerHttpStatus;
   bytes_ += bytesOf(*record);
 }
 
 void LedgerState::dropOldAnswers() {
-  while (answersDropped_ < order_.size() && order_[answersDropped_].first + kAnswerMs <= nowMs_) {
-    auto* record = recordAt(order_[answersDropped_]);
+  while (answerDropPosition_ < claimOrder_.size() &&
+         claimOrder_[answerDropPosition_].first + kAnswerRetentionMs <= nowMs_) {
+    auto* record = recordAt(claimOrder_[answerDropPosition_]);
     if (record != nullptr && record->completed) dropAnswer(record);
-    ++answersDropped_;
+    ++answerDropPosition_;
   }
 }
 
 void LedgerState::expire() {
   dropOldAnswers();
-  while (!order_.empty() && order_.front().first + kWindowMs <= nowMs_) {
-    if (const auto* record = recordAt(order_.front())) {
+  while (!claimOrder_.empty() && claimOrder_.front().first + kKeyRetentionMs <= nowMs_) {
+    if (const auto* record = recordAt(claimOrder_.front())) {
       bytes_ -= bytesOf(*record);
-      records_.erase(order_.front().second);
+      records_.erase(claimOrder_.front().second);
     }
-    order_.pop_front();
-    if (answersDropped_ > 0) --answersDropped_;
+    claimOrder_.pop_front();
+    if (answerDropPosition_ > 0) --answerDropPosition_;
   }
 }
 
 std::vector<wire::LedgerRecord> LedgerState::takeSnapshot() const {
   std::vector<wire::LedgerRecord> records;
-  for (const auto& [claimedAt, key] : order_) {
+  for (const auto& [claimedAt, key] : claimOrder_) {
     const auto found = records_.find(key);
     if (found != records_.end() && found->second.claimedAtMs == claimedAt) records.push_back(found->second);
   }
@@ -125,7 +126,7 @@
   *this = LedgerState();
   for (const auto& record : records) {
     bytes_ += bytesOf(record);
-    order_.emplace_back(record.claimedAtMs, record.key);
+    claimOrder_.emplace_back(record.claimedAtMs, record.key);
     nowMs_ = std::max(nowMs_, record.claimedAtMs);
     records_[record.key] = record;
   }
--- a/src/ledger/ledger_state.h
+++ b/src/ledger/ledger_state.h
@@ -11,16 +11,16 @@
 namespace driftlug::ledger {
 
 /// Time for which a key is remembered, in milliseconds of the leaders' clocks. A resend after it runs anew.
-constexpr int64_t kWindowMs = int64_t{3600} * 1000;
+constexpr int64_t kKeyRetentionMs = int64_t{3600} * 1000;
 /// Time for which the body of an answer is kept. A resend after it is told that the request completed, and no more.
-constexpr int64_t kAnswerMs = int64_t{600} * 1000;
+constexpr int64_t kAnswerRetentionMs = int64_t{600} * 1000;
 /// Bytes of stored answers and keys; claims are refused beyond, rather than forgetting keys inside the window.
-constexpr size_t kMaxBytes = size_t{256} << 20;
+constexpr size_t kMaxLedgerBytes = size_t{256} << 20;
 /// Longest answer that is kept; a resend of a request with a longer one is told that it completed, without it.
-constexpr size_t kMaxAnswerBytes = size_t{256} << 10;
+constexpr size_t kMaxStoredAnswerBytes = size_t{256} << 10;
 
 /// Status of a stored answer whose body is no longer kept.
-constexpr int kAnswerGoneStatus = 410;
+constexpr int kDroppedAnswerHttpStatus = 410;
 
 /// What a command led to.
 struct LedgerOutcome {
@@ -50,8 +50,8 @@
   void restore(const std::vector<wire::LedgerRecord>& records);
 
  private:
-  using Place = std::pair<int64_t, std::string>;
-  wire::LedgerRecord* recordAt(const Place& place);
+  using ClaimOrderEntry = std::pair<int64_t, std::string>;
+  wire::LedgerRecord* recordAt(const ClaimOrderEntry& entry);
   LedgerOutcome claim(const wire::LedgerCommand& command);
   LedgerOutcome complete(const wire::LedgerCommand& command);
   LedgerOutcome release(const wire::LedgerCommand& command);
@@ -60,11 +60,11 @@
   void dropAnswer(wire::LedgerRecord* record);
   static size_t bytesOf(const wire::LedgerRecord& record);
 
-  std::map<std::string, wire::LedgerRecord> records_;  // by key
-  std::deque<std::pair<int64_t, std::string>> order_;  // (claimed at, key), oldest first; may name released keys
-  size_t answersDropped_ = 0;                          // of the front of order_: their answers are gone
-  int64_t nowMs_ = 0;                                  // newest time that a command carried
-  size_t bytes_ = 0;                                   // sum of bytesOf() over records_
+  std::map<std::string, wire::LedgerRecord> records_;       // by key
+  std::deque<std::pair<int64_t, std::string>> claimOrder_;  // (claimed at, key), oldest first; may name released keys
+  size_t answerDropPosition_ = 0;                           // of the front of order_: their answers are gone
+  int64_t nowMs_ = 0;                                       // newest time that a command carried
+  size_t bytes_ = 0;                                        // sum of bytesOf() over records_
 };
 
 }  // namespace driftlug::ledger
--- a/src/node/control_client.cc
+++ b/src/node/control_client.cc
@@ -418,7 +418,7 @@
 }
 
 void ControlClient::persist(int64_t revision, std::function<void()> done) {
-  wire::RowFrameHead whole;
+  wire::RowUpdateHeader whole;
   whole.full = true;
   whole.toRevision = revision;
   whole.digest = slices_.rows().digest();
--- a/src/node/endpoint_links.cc
+++ b/src/node/endpoint_links.cc
@@ -340,8 +340,8 @@
   link.heardAt = scheduler_.now();
   link.awaitedSince.reset();
   link.silent = false;
-  picker_.setSilent(endpoint->second, false);
-  if (peer.id == options_.nodeId) picker_.setBeside(endpoint->second);
+  picker_.setUnresponsive(endpoint->second, false);
+  if (peer.id == options_.nodeId) picker_.setColocated(endpoint->second);
   log_.info("link endpoint={} address={}:{} up", endpoint->second, link.address.host, link.address.port);
   picker_.setConnected(endpoint->second, true);
 }
@@ -393,7 +393,7 @@
   link.awaitedSince.reset();
   if (!link.silent) return;
   link.silent = false;
-  picker_.setSilent(found->second, false);
+  picker_.setUnresponsive(found->second, false);
   log_.info("link endpoint={} is heard again", found->second);
 }
 
@@ -421,7 +421,7 @@
   if (heardUntil - *link->awaitedSince >= kReplaceAfter) return replaceConnection(endpoint, link);
   if (link->silent || heardUntil - *link->awaitedSince < kSilentAfter) return;
   link->silent = true;
-  picker_.setSilent(endpoint, true);
+  picker_.setUnresponsive(endpoint, true);
   log_.warn("link endpoint={} is silent, {} calls in progress", endpoint, picker_.inFlight(endpoint));
   onSilent_(link->connection, endpoint);
 }
--- a/src/node/entry_calls.cc
+++ b/src/node/entry_calls.cc
@@ -339,7 +339,7 @@
 
 void EntryCalls::onCompleted(const Attempt& attempt, const wire::CallResponse& response) {
   picker_.onDone(attempt.endpoint, scheduler_.now() - attempt.sentAt, false);
-  picker_.onReport(attempt.endpoint, response.inFlight);
+  picker_.onLoadReport(attempt.endpoint, response.inFlight);
   CallAnswer answer;
   answer.outcome = CallOutcome::COMPLETED;
   answer.httpStatus = response.httpStatus;
@@ -362,11 +362,11 @@
     picker_.onAbandoned(attempt.endpoint);
   }
   if (error == ErrorCode::kOverloaded) {
-    picker_.onReport(attempt.endpoint, response.inFlight);
+    picker_.onLoadReport(attempt.endpoint, response.inFlight);
     const auto call = calls_.find(attempt.call);
     const auto fullFor = std::max(options_.fullFor, spread(base::milliseconds(response.fullForMs)));
     if (response.fullForBodies) {
-      picker_.onFullForBodies(attempt.endpoint, fullFor);
+      picker_.onLargeBodyRefused(attempt.endpoint, fullFor);
     } else if (call != calls_.end()) {
       picker_.onFull(attempt.endpoint, rankOf(call->second), fullFor);
     }
--- a/src/node/entry_calls_beside.cc
+++ b/src/node/entry_calls_beside.cc
@@ -54,7 +54,7 @@
 
 const routing::EndpointTarget* EntryCalls::idleEndpoint(const Call& call) {
   const auto* target = pickEndpoint(call);
-  const bool idle = target != nullptr && picker_.busyShare(*target) < options_.hedgeIdleShare;
+  const bool idle = target != nullptr && picker_.utilization(*target) < options_.hedgeIdleShare;
   return idle ? target : nullptr;
 }
 
--- a/src/node/entry_calls_quarantine.cc
+++ b/src/node/entry_calls_quarantine.cc
@@ -38,13 +38,13 @@
 /// All nodes choose the same endpoint for a request, so that its copies meet there and wait for each other: a request
 /// that crashes what runs it ends two back ends of a service, the second on probation, whatever many callers send it.
 void EntryCalls::attemptOnProbation(CallId id, Call* call) {
-  const auto* target = picker_.pickFor(fingerprintOfCall(call).low, candidatesFor(*call), call->tried);
+  const auto* target = picker_.pickByKey(fingerprintOfCall(call).low, candidatesFor(*call), call->tried);
   if (target == nullptr) {
     if (!call->tried.empty()) return finish(id, call->lastFailure);
     return finish(id, failureAnswer(CallOutcome::NOT_RUN, ErrorCode::kNoEndpoint, kUnavailableStatus,
                                     base::millisecondsOf(spread(options_.overloadRetryAfter))));
   }
-  const bool needed = picker_.onlyOneTakesWork(candidatesFor(*call));
+  const bool needed = picker_.hasSingleUsableEndpoint(candidatesFor(*call));
   if (needed && quarantine_->history().sinceLastCrash(fingerprintOfCall(call)) < kWaitForOthers) {
     return finish(id, failureAnswer(CallOutcome::NOT_RUN, ErrorCode::kOnProbation, kUnavailableStatus,
                                     base::millisecondsOf(spread(options_.overloadRetryAfter))));
--- a/src/node/slice_store.cc
+++ b/src/node/slice_store.cc
@@ -18,7 +18,7 @@
 bool referencesHoldAfter(const table::ChangedRows& change, const table::Table& rows) {
   std::vector<table::Problem> problems;
   for (const auto& row : change.changed) {
-    if (row->deleted && table::mayBeReferredTo(row->key.kind)) return referencesHold(rows);
+    if (row->deleted && table::isReferenceable(row->key.kind)) return referencesHold(rows);
     if (!row->deleted) table::checkReferences(*row, rows, &problems);
   }
   return problems.empty();
--- a/src/relay/slice_cache.cc
+++ b/src/relay/slice_cache.cc
@@ -32,7 +32,7 @@
 
 wire::FramePtr CachedSlice::wholeAt(int64_t revision, bool packed) {
   if (whole_.plain && wholeRevision_ == revision) return choose(&whole_, packed);
-  wire::RowFrameHead head;
+  wire::RowUpdateHeader head;
   head.full = true;
   head.toRevision = revision;
   head.digest = slice_.digest();
@@ -44,7 +44,7 @@
 wire::FramePtr CachedSlice::updateFrom(int64_t fromRevision, bool packed) {
   const auto found = frames_.find(fromRevision);
   if (found != frames_.end()) return choose(&found->second, packed);
-  wire::RowFrameHead head;
+  wire::RowUpdateHeader head;
   head.fromRevision = fromRevision;
   head.toRevision = slice_.revision();
   head.digest = slice_.digest();
@@ -56,7 +56,7 @@
 
 std::shared_ptr<CachedSlice> SliceCache::get(const table::Interest& wanted, const table::Table& table) {
   // Nodes of every host need the same, whatever service they run beside.
-  const auto interest = wanted.everyHost() ? table::Interest::inEveryHost() : wanted;
+  const auto interest = wanted.includesAllHosts() ? table::Interest::allHosts() : wanted;
   auto& entry = slices_[interest];
   if (auto slice = entry.lock()) return slice;
   auto slice = std::make_shared<CachedSlice>(interest, table);
--- a/src/relay/table_replica.cc
+++ b/src/relay/table_replica.cc
@@ -17,7 +17,7 @@
   if (!(copy_.digest() == update.digest)) return ReplicaResult::kDigestMismatch;
   *change = rows.commit();
   copy_.advanceTo(update.toRevision);
-  copy_.boundTombstones();
+  copy_.trimTombstones();
   return ReplicaResult::kApplied;
 }
 
--- a/src/routing/endpoint_picker.cc
+++ b/src/routing/endpoint_picker.cc
@@ -8,9 +8,9 @@
 namespace driftlug::routing {
 namespace {
 
-constexpr double kAverageWeight = 0.2;      // of a new latency in the moving average
-constexpr double kAssumedLatencyUs = 1000;  // of an endpoint that was never used
-constexpr double kOtherZoneFactor = 1.3;    // how much dearer an endpoint of another zone counts
+constexpr double kLatencySmoothing = 0.2;     // of a new latency in the moving average
+constexpr double kDefaultLatencyUs = 1000;    // of an endpoint that was never used
+constexpr double kCrossZoneCostFactor = 1.3;  // how much dearer an endpoint of another zone counts
 constexpr double kLowestSlowStartShare = 0.1;
 
 double secondsOf(base::Duration duration) { return std::chrono::duration<double>(duration).count(); }
@@ -28,28 +28,28 @@
                                                               const std::set<std::string>& excluded, int rank,
                                                               size_t bodyBytes) {
   const auto now = time_.now();
-  std::vector<const EndpointTarget*> good;
+  std::vector<const EndpointTarget*> healthy;
   std::vector<const EndpointTarget*> connected;
   size_t weighted = 0;
   for (const auto& endpoint : endpoints) {
     if (endpoint.weight <= 0) continue;
     ++weighted;
     const auto& state = states_[endpoint.name];
-    if (!state.connected || state.silent || excluded.count(endpoint.name) > 0) continue;
-    if (state.fullUntil > now && rank >= state.fullRank) continue;
-    if (bodyBytes > 0 && state.fullForBodiesUntil > now) continue;
+    if (!state.connected || state.unresponsive || excluded.count(endpoint.name) > 0) continue;
+    if (state.refusedUntil > now && rank >= state.refusedRank) continue;
+    if (bodyBytes > 0 && state.bodiesRefusedUntil > now) continue;
     connected.push_back(&endpoint);
-    if (usable(state, now)) good.push_back(&endpoint);
+    if (usable(state, now)) healthy.push_back(&endpoint);
   }
   // Reports that condemn most of a service are more likely wrong than right.
   const double lowest = static_cast<double>(weighted) * (1 - options_.maxEjectedShare);
-  const bool tooFew = static_cast<double>(good.size() + excluded.size()) < lowest;
-  return good.empty() || (tooFew && excluded.empty()) ? connected : good;
+  const bool tooFew = static_cast<double>(healthy.size() + excluded.size()) < lowest;
+  return healthy.empty() || (tooFew && excluded.empty()) ? connected : healthy;
 }
 
 double EndpointPicker::slowStartShare(const State& state, base::TimePoint now) const {
   if (options_.slowStart.count() == 0) return 1;
-  const double share = secondsOf(now - state.since) / secondsOf(options_.slowStart);
+  const double share = secondsOf(now - state.slowStartAt) / secondsOf(options_.slowStart);
   return std::clamp(share, kLowestSlowStartShare, 1.0);
 }
 
@@ -59,12 +59,12 @@
   double cost = state.inFlight + 1;
   if (options_.policy == PickPolicy::kLeastCost) {
     const bool probe = state.inFlight == 0 && now - state.latencyAt > options_.probeAfter;
-    double latency = state.latencyUs > 0 && !probe ? state.latencyUs : kAssumedLatencyUs;
-    const double age = secondsOf(now - state.latencyAt) / secondsOf(options_.latencyMemory);
-    latency = std::max(kAssumedLatencyUs / 10, latency * std::exp2(-age));
+    double latency = state.latencyUs > 0 && !probe ? state.latencyUs : kDefaultLatencyUs;
+    const double age = secondsOf(now - state.latencyAt) / secondsOf(options_.latencyHalfLife);
+    latency = std::max(kDefaultLatencyUs / 10, latency * std::exp2(-age));
     cost *= latency;
   }
-  if (target.zone != ownZone) cost *= kOtherZoneFactor;
+  if (target.zone != ownZone) cost *= kCrossZoneCostFactor;
   return cost / (target.weight * slowStartShare(state, now));
 }
 
@@ -74,7 +74,7 @@
   if (choices.empty()) return nullptr;
   if (choices.size() == 1) return choices[0];
   if (options_.policy == PickPolicy::kNearestIdle) return pickNearestIdle(choices, ownZone, bodyBytes);
-  if (options_.policy == PickPolicy::kRoundRobin) return choices[turn_++ % choices.size()];
+  if (options_.policy == PickPolicy::kRoundRobin) return choices[roundRobinIndex_++ % choices.size()];
   const auto first = random_.below(choices.size());
   if (options_.policy == PickPolicy::kRandom) return choices[first];
   auto second = random_.below(choices.size() - 1);
@@ -82,15 +82,15 @@
   return cost(*choices[second], ownZone) < cost(*choices[first], ownZone) ? choices[second] : choices[first];
 }
 
-const EndpointTarget* EndpointPicker::pickFor(uint64_t key, const std::vector<EndpointTarget>& endpoints,
-                                              const std::set<std::string>& excluded) {
+const EndpointTarget* EndpointPicker::pickByKey(uint64_t key, const std::vector<EndpointTarget>& endpoints,
+                                                const std::set<std::string>& excluded) {
   const auto now = time_.now();
   const EndpointTarget* best = nullptr;
   uint64_t highest = 0;
   for (const auto& endpoint : endpoints) {
     const auto& state = states_[endpoint.name];
-    const bool takesWork = endpoint.weight > 0 && usable(state, now) && !state.silent;
-    if (!takesWork || excluded.count(endpoint.name) > 0) continue;
+    const bool isEligible = endpoint.weight > 0 && usable(state, now) && !state.unresponsive;
+    if (!isEligible || excluded.count(endpoint.name) > 0) continue;
     const uint64_t hash = XXH3_64bits_withSeed(endpoint.name.data(), endpoint.name.size(), key);
     if (best != nullptr && hash <= highest) continue;
     best = &endpoint;
@@ -99,49 +99,50 @@
   return best;
 }
 
-bool EndpointPicker::onlyOneTakesWork(const std::vector<EndpointTarget>& endpoints) {
+bool EndpointPicker::hasSingleUsableEndpoint(const std::vector<EndpointTarget>& endpoints) {
   const auto now = time_.now();
-  const auto takesWork = [&](const EndpointTarget& endpoint) { return usable(states_[endpoint.name], now); };
-  return endpoints.size() > 1 && std::count_if(endpoints.begin(), endpoints.end(), takesWork) == 1;
+  const auto isEligible = [&](const EndpointTarget& endpoint) { return usable(states_[endpoint.name], now); };
+  return endpoints.size() > 1 && std::count_if(endpoints.begin(), endpoints.end(), isEligible) == 1;
 }
 
-double EndpointPicker::busyShare(const EndpointTarget& target) {
+double EndpointPicker::utilization(const EndpointTarget& target) {
   const auto& state = states_[target.name];
   const auto now = time_.now();
-  const double age = secondsOf(now - state.reportedAt) / secondsOf(options_.reportMemory);
+  const double age = secondsOf(now - state.reportedAt) / secondsOf(options_.loadReportHalfLife);
   const double others = state.othersInFlight * std::exp2(-age);
-  const int slots = target.slots > 0 ? target.slots : options_.assumedSlots;
+  const int slots = target.slots > 0 ? target.slots : options_.defaultSlots;
   return (others + state.inFlight) / (slots * slowStartShare(state, now));
 }
 
-double EndpointPicker::knownLatency(const EndpointTarget& target) {
+double EndpointPicker::decayedLatencyUs(const EndpointTarget& target) {
   const auto& state = states_[target.name];
-  const double age = secondsOf(time_.now() - state.latencyAt) / secondsOf(options_.latencyMemory);
+  const double age = secondsOf(time_.now() - state.latencyAt) / secondsOf(options_.latencyHalfLife);
   return state.latencyUs * std::exp2(-age);
 }
 
 const EndpointTarget* EndpointPicker::pickNearestIdle(const std::vector<const EndpointTarget*>& choices,
                                                       const std::string& ownZone, size_t bodyBytes) {
-  const double bodies = options_.bodyBytesPerPenalty > 0
-                            ? static_cast<double>(bodyBytes) / static_cast<double>(options_.bodyBytesPerPenalty)
-                            : 0;
+  const double bodyZonePenalties =
+      options_.bodyBytesPerZonePenalty > 0
+          ? static_cast<double>(bodyBytes) / static_cast<double>(options_.bodyBytesPerZonePenalty)
+          : 0;
   const EndpointTarget* best = nullptr;
   double lowest = 0;
   double fastest = 0;  // the shortest known latency, 0 while none is
   for (const auto* target : choices) {
-    const double latency = knownLatency(*target);
+    const double latency = decayedLatencyUs(*target);
     if (latency > 0 && (fastest == 0 || latency < fastest)) fastest = latency;
   }
   // Equals are taken in turn, so that callers do not all choose the same one.
   const size_t first = random_.below(choices.size());
   for (size_t i = 0; i < choices.size(); ++i) {
     const auto* target = choices[(first + i) % choices.size()];
-    double cost = std::max(options_.idleShare, busyShare(*target));
-    if (target->zone != ownZone) cost += options_.otherZonePenalty * (1 + bodies);
-    const double latency = knownLatency(*target);
+    double cost = std::max(options_.idleUtilization, utilization(*target));
+    if (target->zone != ownZone) cost += options_.crossZonePenalty * (1 + bodyZonePenalties);
+    const double latency = decayedLatencyUs(*target);
     const double slowness = latency > 0 ? std::min(options_.maxSlowness, latency / fastest - 1) : 0;
     cost += options_.slownessPenalty * slowness;
-    if (states_[target->name].beside) cost -= options_.besideGain;
+    if (states_[target->name].colocated) cost -= options_.colocationBonus;
     if (best != nullptr && cost >= lowest) continue;
     best = target;
     lowest = cost;
@@ -155,19 +156,19 @@
   state.failures = 0;
 }
 
-void EndpointPicker::onFull(const std::string& endpoint, int rank, base::Duration until) {
+void EndpointPicker::onFull(const std::string& endpoint, int rank, base::Duration backOff) {
   auto& state = states_[endpoint];
   const auto now = time_.now();
-  state.fullRank = state.fullUntil > now ? std::min(state.fullRank, rank) : rank;
-  state.fullUntil = std::max(state.fullUntil, now + until);
+  state.refusedRank = state.refusedUntil > now ? std::min(state.refusedRank, rank) : rank;
+  state.refusedUntil = std::max(state.refusedUntil, now + backOff);
 }
 
-void EndpointPicker::onFullForBodies(const std::string& endpoint, base::Duration duration) {
+void EndpointPicker::onLargeBodyRefused(const std::string& endpoint, base::Duration duration) {
   auto& state = states_[endpoint];
-  state.fullForBodiesUntil = std::max(state.fullForBodiesUntil, time_.now() + duration);
+  state.bodiesRefusedUntil = std::max(state.bodiesRefusedUntil, time_.now() + duration);
 }
 
-void EndpointPicker::onReport(const std::string& endpoint, int inFlight) {
+void EndpointPicker::onLoadReport(const std::string& endpoint, int inFlight) {
   auto& state = states_[endpoint];
   state.othersInFlight = std::max(0, inFlight - state.inFlight);
   state.reportedAt = time_.now();
@@ -192,20 +193,20 @@
   const auto latencyUs = static_cast<double>(latency.count());
   const bool known = state.latencyUs > 0 && now - state.latencyAt <= options_.probeAfter;
   // A slower answer counts at once, a faster one only gradually.
-  const double weight = known && latencyUs > state.latencyUs ? 2 * kAverageWeight : kAverageWeight;
+  const double weight = known && latencyUs > state.latencyUs ? 2 * kLatencySmoothing : kLatencySmoothing;
   state.latencyUs = known ? state.latencyUs * (1 - weight) + latencyUs * weight : latencyUs;
   state.latencyAt = now;
 }
 
 void EndpointPicker::setConnected(const std::string& endpoint, bool connected) {
   auto& state = states_[endpoint];
-  if (connected && !state.connected) state.since = time_.now();
+  if (connected && !state.connected) state.slowStartAt = time_.now();
   state.connected = connected;
 }
 
 void EndpointPicker::setAvailable(const std::string& endpoint, bool available) {
   auto& state = states_[endpoint];
-  if (available && !state.available) state.since = time_.now();
+  if (available && !state.available) state.slowStartAt = time_.now();
   state.available = available;
 }
 
--- a/src/routing/route_index.cc
+++ b/src/routing/route_index.cc
@@ -30,28 +30,28 @@
   return route;
 }
 
-bool comesFirst(const Route& left, const Route& right) {
+bool hasPrecedence(const Route& left, const Route& right) {
   if (left.pathPrefix.size() != right.pathPrefix.size()) return left.pathPrefix.size() > right.pathPrefix.size();
   if (left.method.empty() != right.method.empty()) return !left.method.empty();
   return left.name < right.name;
 }
 
 template <typename Bucket>
-auto placeOf(Bucket& bucket, std::string_view host) {
+auto lowerBoundHost(Bucket& bucket, std::string_view host) {
   return std::lower_bound(bucket.begin(), bucket.end(), host,
                           [](const auto& item, std::string_view name) { return item.name < name; });
 }
 
 }  // namespace
 
-size_t RouteIndex::bucketOf(std::string_view host) { return std::hash<std::string_view>()(host) % kBuckets; }
+size_t RouteIndex::bucketOf(std::string_view host) { return std::hash<std::string_view>()(host) % kBucketCount; }
 
-std::shared_ptr<const RouteIndex::Routes> RouteIndex::routesOf(const table::Table& slice, std::string_view host) {
+std::shared_ptr<const RouteIndex::Routes> RouteIndex::buildRoutes(const table::Table& slice, std::string_view host) {
   const auto rows = slice.routesOf(host);
   if (rows.empty()) return nullptr;
   auto routes = std::make_shared<Routes>();
   for (const auto* row : rows) routes->push_back(makeRoute(*row));
-  std::sort(routes->begin(), routes->end(), comesFirst);
+  std::sort(routes->begin(), routes->end(), hasPrecedence);
   return routes;
 }
 
@@ -70,15 +70,15 @@
   for (const auto& [position, names] : touched) {
     auto bucket = buckets_[position] ? std::make_shared<Bucket>(*buckets_[position]) : std::make_shared<Bucket>();
     for (const auto name : names) {
-      auto routes = routesOf(slice, name);
-      const auto place = placeOf(*bucket, name);
-      const bool known = place != bucket->end() && place->name == name;
+      auto routes = buildRoutes(slice, name);
+      const auto entry = lowerBoundHost(*bucket, name);
+      const bool known = entry != bucket->end() && entry->name == name;
       if (known && routes) {
-        place->routes = std::move(routes);
+        entry->routes = std::move(routes);
       } else if (known) {
-        bucket->erase(place);
+        bucket->erase(entry);
       } else if (routes) {
-        bucket->insert(place, {std::string(name), std::move(routes)});
+        bucket->insert(entry, {std::string(name), std::move(routes)});
       }
     }
     buckets_[position] = bucket->empty() ? nullptr : std::move(bucket);
@@ -88,9 +88,9 @@
 const Route* RouteIndex::match(std::string_view host, std::string_view path, std::string_view method) const {
   const auto& bucket = buckets_[bucketOf(host)];
   if (!bucket) return nullptr;
-  const auto place = placeOf(*bucket, host);
-  if (place == bucket->end() || place->name != host) return nullptr;
-  for (const auto& route : *place->routes) {
+  const auto entry = lowerBoundHost(*bucket, host);
+  if (entry == bucket->end() || entry->name != host) return nullptr;
+  for (const auto& route : *entry->routes) {
     const bool methodMatches = route.method.empty() || route.method == method;
     if (methodMatches && prefixMatches(route.pathPrefix, path)) return &route;
   }
--- a/src/routing/route_index.h
+++ b/src/routing/route_index.h
@@ -51,12 +51,12 @@
 
   using Bucket = std::vector<Host>;  // by name
 
-  static constexpr size_t kBuckets = 256;
+  static constexpr size_t kBucketCount = 256;
 
   static size_t bucketOf(std::string_view host);
-  static std::shared_ptr<const Routes> routesOf(const table::Table& slice, std::string_view host);
+  static std::shared_ptr<const Routes> buildRoutes(const table::Table& slice, std::string_view host);
 
-  std::array<std::shared_ptr<const Bucket>, kBuckets> buckets_;  // null where there is no host
+  std::array<std::shared_ptr<const Bucket>, kBucketCount> buckets_;  // null where there is no host
 };
 
 }  // namespace driftlug::routing
--- a/src/routing/routing_table.cc
+++ b/src/routing/routing_table.cc
@@ -17,13 +17,16 @@
 }  // namespace
 
 RoutingTable::RoutingTable(const table::Table& slice, int64_t revision)
-    : revision_(revision), services_(servicesOf(slice)), tenants_(tenantsOf(slice)) {
+    : revision_(revision), services_(buildServices(slice)), tenants_(buildTenants(slice)) {
   routes_.build(slice);
 }
 
-RoutingTable::RoutingTable(const RoutingTable& before, const table::Table& slice, int64_t revision,
+RoutingTable::RoutingTable(const RoutingTable& previousVersion, const table::Table& slice, int64_t revision,
                            const table::ChangedRows& rows)
-    : revision_(revision), routes_(before.routes_), services_(before.services_), tenants_(before.tenants_) {
+    : revision_(revision),
+      routes_(previousVersion.routes_),
+      services_(previousVersion.services_),
+      tenants_(previousVersion.tenants_) {
   std::set<std::string> hosts;
   bool servicesDiffer = false;
   bool tenantsDiffer = false;
@@ -37,18 +40,18 @@
     if (previous && previous->__isset.routeRow) hosts.insert(previous->routeRow.host);
   }
   routes_.update(slice, hosts);
-  if (servicesDiffer) services_ = servicesOf(slice);
-  if (tenantsDiffer) tenants_ = tenantsOf(slice);
+  if (servicesDiffer) services_ = buildServices(slice);
+  if (tenantsDiffer) tenants_ = buildTenants(slice);
 }
 
-std::shared_ptr<const tenants::tenant_directory> RoutingTable::tenantsOf(const table::Table& slice) {
+std::shared_ptr<const tenants::tenant_directory> RoutingTable::buildTenants(const table::Table& slice) {
   auto tenants = std::make_shared<tenants::tenant_directory>();
   visitRows(slice, table::RowKind::TENANT,
             [&](const std::string& name, const table::Row& row) { tenants->add(name, row.tenantRow); });
   return tenants;
 }
 
-std::shared_ptr<const RoutingTable::Services> RoutingTable::servicesOf(const table::Table& slice) {
+std::shared_ptr<const RoutingTable::Services> RoutingTable::buildServices(const table::Table& slice) {
   auto services = std::make_shared<Services>();
   const auto visit = [&](table::RowKind::type kind, auto take) { visitRows(slice, kind, take); };
   visit(table::RowKind::SERVICE, [&](const std::string& name, const table::Row& row) {
--- a/src/routing/routing_table.h
+++ b/src/routing/routing_table.h
@@ -59,7 +59,8 @@
   /// As a version built anew, at the cost of what differs.
   /// @param before the version before, whose parts are shared where no row of theirs has changed
   /// @param rows that differ between the versions
-  RoutingTable(const RoutingTable& before, const table::Table& slice, int64_t revision, const table::ChangedRows& rows);
+  RoutingTable(const RoutingTable& previousVersion, const table::Table& slice, int64_t revision,
+               const table::ChangedRows& rows);
 
   int64_t revision() const { return revision_; }
 
@@ -109,8 +110,8 @@
     IngressLimits ingress;
   };
 
-  static std::shared_ptr<const Services> servicesOf(const table::Table& slice);
-  static std::shared_ptr<const tenants::tenant_directory> tenantsOf(const table::Table& slice);
+  static std::shared_ptr<const Services> buildServices(const table::Table& slice);
+  static std::shared_ptr<const tenants::tenant_directory> buildTenants(const table::Table& slice);
 
   int64_t revision_;
   RouteIndex routes_;
--- a/src/table/slice.cc
+++ b/src/table/slice.cc
@@ -23,12 +23,12 @@
 
 Slice::Slice(Interest interest, const Table& table) : selection_(std::move(interest)) { refresh(table); }
 
-void Slice::begin(const Table& table) {
+void Slice::initialize(const Table& table) {
   firstRevision_ = table.revision();
-  for (const auto& [key, row] : table.tombstones()) place(&departed_, key, {row, row->revision});
+  for (const auto& [key, row] : table.tombstones()) putEntry(&removedRows_, key, {row, row->revision});
 }
 
-void Slice::place(Entries* entries, const RowKey& key, Entry entry) {
+void Slice::putEntry(Entries* entries, const RowKey& key, Entry entry) {
   const auto [found, fresh] = entries->try_emplace(key);
   if (!fresh) bySince_.erase(&found->second);
   found->second = std::move(entry);
@@ -44,65 +44,65 @@
 
 /// Brings one key in line with the table.
 /// @param row selected under that key, null for none
-bool Slice::settle(const RowKey& key, const RowPtr& row, int64_t now) {
+bool Slice::reconcileRow(const RowKey& key, const RowPtr& row, int64_t now) {
   const auto member = members_.find(key);
   const auto before = member == members_.end() ? nullptr : member->second.row;
   if (row == before) return false;
   if (before) digest_.remove(*before);
   if (row) {
     digest_.add(*row);
-    erase(&departed_, key);
+    erase(&removedRows_, key);
     // Of the rows that are there when the slice begins only their own revisions are known.
-    place(&members_, key, {row, now == firstRevision_ ? row->revision : now});
+    putEntry(&members_, key, {row, now == firstRevision_ ? row->revision : now});
   } else {
     erase(&members_, key);
-    place(&departed_, key, {tombstoneOf(key, now), now});
+    putEntry(&removedRows_, key, {tombstoneOf(key, now), now});
   }
   return true;
 }
 
 /// Forgets the older half of the rows that left when there are too many.
-void Slice::boundDeparted() {
-  if (departed_.size() <= kMaxTombstones) return;
+void Slice::trimRemovedRows() {
+  if (removedRows_.size() <= kMaxTombstones) return;
   std::vector<int64_t> revisions;
-  revisions.reserve(departed_.size());
-  for (const auto& [key, entry] : departed_) revisions.push_back(entry.since);
+  revisions.reserve(removedRows_.size());
+  for (const auto& [key, entry] : removedRows_) revisions.push_back(entry.since);
   const auto upTo = medianOf(std::move(revisions));
-  for (auto entry = departed_.begin(); entry != departed_.end();) {
+  for (auto entry = removedRows_.begin(); entry != removedRows_.end();) {
     const bool forgotten = entry->second.since <= upTo;
     if (forgotten) bySince_.erase(&entry->second);
-    entry = forgotten ? departed_.erase(entry) : std::next(entry);
+    entry = forgotten ? removedRows_.erase(entry) : std::next(entry);
   }
 }
 
 bool Slice::update(const Table& table, const ChangedRows& rows) {
   if (firstRevision_ == 0) return refresh(table);
   bool differs = false;
-  for (const auto& key : selection_.take(table, rows)) {
+  for (const auto& key : selection_.apply(table, rows)) {
     const auto row = table.find(key);
     const bool selected = row && selection_.selects(*row);
-    differs = settle(key, selected ? row : nullptr, table.revision()) || differs;
+    differs = reconcileRow(key, selected ? row : nullptr, table.revision()) || differs;
   }
   if (differs) revision_ = table.revision();
-  boundDeparted();
+  trimRemovedRows();
   return differs;
 }
 
 bool Slice::refresh(const Table& table) {
-  if (firstRevision_ == 0) begin(table);
-  selection_.begin(table);
+  if (firstRevision_ == 0) initialize(table);
+  selection_.rebuild(table);
   bool differs = false;
   for (const auto& [key, row] : table.rows()) {
-    if (selection_.selects(*row)) differs = settle(key, row, table.revision()) || differs;
+    if (selection_.selects(*row)) differs = reconcileRow(key, row, table.revision()) || differs;
   }
   std::vector<RowKey> left;
   for (const auto& [key, entry] : members_) {
     const auto row = table.find(key);
     if (!row || !selection_.selects(*row)) left.push_back(key);
   }
-  for (const auto& key : left) differs = settle(key, nullptr, table.revision()) || differs;
+  for (const auto& key : left) differs = reconcileRow(key, nullptr, table.revision()) || differs;
   if (differs) revision_ = table.revision();
-  boundDeparted();
+  trimRemovedRows();
   return differs;
 }
 
--- a/src/table/slice.h
+++ b/src/table/slice.h
@@ -65,15 +65,15 @@
 
   using Entries = std::map<RowKey, Entry, RowKeyLess>;
 
-  void begin(const Table& table);
-  bool settle(const RowKey& key, const RowPtr& row, int64_t now);
-  void place(Entries* entries, const RowKey& key, Entry entry);
+  void initialize(const Table& table);
+  bool reconcileRow(const RowKey& key, const RowPtr& row, int64_t now);
+  void putEntry(Entries* entries, const RowKey& key, Entry entry);
   void erase(Entries* entries, const RowKey& key);
-  void boundDeparted();
+  void trimRemovedRows();
 
   SliceSelection selection_;
   Entries members_;                          // rows of the slice
-  Entries departed_;                         // tombstones of rows that left, kMaxTombstones at most
+  Entries removedRows_;                      // tombstones of rows that left, kMaxTombstones at most
   std::set<const Entry*, BySince> bySince_;  // of both
   DigestSum digest_;
   int64_t firstRevision_ = 0;
--- a/src/table/slice_selection.cc
+++ b/src/table/slice_selection.cc
@@ -10,7 +10,7 @@
 constexpr char kEveryHost[] = "*";
 
 /// Rows that concern every node, whatever routes it serves.
-bool isForAll(RowKind::type kind) {
+bool isGlobalKind(RowKind::type kind) {
   return kind == RowKind::INGRESS || kind == RowKind::TENANT || kind == RowKind::EVACUATION;
 }
 
@@ -20,23 +20,23 @@
 
 }  // namespace
 
-Interest Interest::inEveryHost() { return {{kEveryHost}, {}}; }
+Interest Interest::allHosts() { return {{kEveryHost}, {}}; }
 
-bool Interest::everyHost() const { return hasName(hosts, kEveryHost); }
+bool Interest::includesAllHosts() const { return hasName(hosts, kEveryHost); }
 
 void SliceSelection::Counts::remove(const std::string& name) {
   const auto found = counts_.find(name);
   if (--found->second == 0) counts_.erase(found);
 }
 
-bool SliceSelection::wantsRoute(const StoredRow& row) const {
-  return interest_.everyHost() || hasName(interest_.hosts, row.routeRow.host);
+bool SliceSelection::matchesInterest(const StoredRow& row) const {
+  return interest_.includesAllHosts() || hasName(interest_.hosts, row.routeRow.host);
 }
 
 bool SliceSelection::selects(const StoredRow& row) const {
   switch (row.key.kind) {
     case RowKind::ROUTE:
-      return wantsRoute(row);
+      return matchesInterest(row);
     case RowKind::SERVICE:
     case RowKind::ROLLOUT:
       return services_.count(row.key.name) > 0;
@@ -51,59 +51,59 @@
     case RowKind::SECRET:
       return secrets_.has(row.key.name);
     default:
-      return isForAll(row.key.kind);
+      return isGlobalKind(row.key.kind);
   }
 }
 
-void SliceSelection::touch(RowKey key) {
-  if (collecting_) touched_.insert(std::move(key));
+void SliceSelection::markAffected(RowKey key) {
+  if (collectAffected_) affectedKeys_.insert(std::move(key));
 }
 
-void SliceSelection::begin(const Table& table) {
+void SliceSelection::rebuild(const Table& table) {
   *this = SliceSelection(std::move(interest_));
-  collecting_ = false;
+  collectAffected_ = false;
   for (const auto& [key, row] : table.rows()) {
-    if (key.kind == RowKind::SERVICE) unsettled_.insert(key.name);
-    if (key.kind == RowKind::ROUTE) takeRoute(*row, true);
+    if (key.kind == RowKind::SERVICE) pendingServices_.insert(key.name);
+    if (key.kind == RowKind::ROUTE) applyRoute(*row, true);
   }
-  for (const auto& name : std::exchange(unsettled_, {})) settleService(table, name);
-  collecting_ = true;
+  for (const auto& name : std::exchange(pendingServices_, {})) updateService(table, name);
+  collectAffected_ = true;
 }
 
-KeySet SliceSelection::take(const Table& table, const ChangedRows& rows) {
+KeySet SliceSelection::apply(const Table& table, const ChangedRows& rows) {
   for (size_t i = 0; i < rows.changed.size(); ++i) {
     const auto& row = *rows.changed[i];
-    touch(row.key);
-    if (row.key.kind == RowKind::SERVICE) unsettled_.insert(row.key.name);
+    markAffected(row.key);
+    if (row.key.kind == RowKind::SERVICE) pendingServices_.insert(row.key.name);
     if (row.key.kind != RowKind::ROUTE) continue;
     const auto& previous = rows.previous[i];
-    if (previous && !previous->deleted) takeRoute(*previous, false);
-    if (!row.deleted) takeRoute(row, true);
+    if (previous && !previous->deleted) applyRoute(*previous, false);
+    if (!row.deleted) applyRoute(row, true);
   }
-  for (const auto& name : std::exchange(unsettled_, {})) settleService(table, name);
-  return std::exchange(touched_, {});
+  for (const auto& name : std::exchange(pendingServices_, {})) updateService(table, name);
+  return std::exchange(affectedKeys_, {});
 }
 
-void SliceSelection::takeRoute(const StoredRow& route, bool added) {
-  if (!wantsRoute(route)) return;
+void SliceSelection::applyRoute(const StoredRow& route, bool added) {
+  if (!matchesInterest(route)) return;
   const auto count = [&](Counts* counts, const std::string& name) { added ? counts->add(name) : counts->remove(name); };
-  const auto reach = [&](const std::string& service) {
+  const auto countService = [&](const std::string& service) {
     const bool before = routedServices_.has(service);
     count(&routedServices_, service);
-    if (routedServices_.has(service) != before) unsettled_.insert(service);
+    if (routedServices_.has(service) != before) pendingServices_.insert(service);
   };
-  for (const auto& share : route.routeRow.shares) reach(share.serviceName);
-  for (const auto& service : route.routeRow.requiredServices) reach(service);
+  for (const auto& share : route.routeRow.shares) countService(share.serviceName);
+  for (const auto& service : route.routeRow.requiredServices) countService(service);
   for (const auto& secret : route.routeRow.requiredSecrets) {
     count(&secrets_, secret);
-    touch(makeKey(RowKind::SECRET, secret));
+    markAffected(makeKey(RowKind::SECRET, secret));
   }
 }
 
 /// Selects the rows of a service, or no longer, after its row or what needs it has changed.
-void SliceSelection::settleService(const Table& table, const std::string& name) {
+void SliceSelection::updateService(const Table& table, const std::string& name) {
   const bool routed = routedServices_.has(name);
-  const bool wanted = routed || interest_.everyHost() || hasName(interest_.services, name);
+  const bool wanted = routed || interest_.includesAllHosts() || hasName(interest_.services, name);
   const auto row = wanted ? table.find(makeKey(RowKind::SERVICE, name)) : nullptr;
   const auto found = services_.find(name);
   const Service before = found == services_.end() ? Service{} : found->second;
@@ -117,18 +117,18 @@
   const bool wasRouted = before.row && before.routed;
   const bool isRouted = row && routed;
   if (wasRouted != isRouted) {
-    for (const auto* endpoint : table.endpointsOf(name)) touch(endpoint->key);
+    for (const auto* endpoint : table.endpointsOf(name)) markAffected(endpoint->key);
   }
   if ((before.row == nullptr) == (row == nullptr)) return;
-  touch(makeKey(RowKind::SERVICE, name));
-  touch(makeKey(RowKind::ROLLOUT, name));
-  for (const auto* limit : table.limitsOf(name)) touch(limit->key);
+  markAffected(makeKey(RowKind::SERVICE, name));
+  markAffected(makeKey(RowKind::ROLLOUT, name));
+  for (const auto* limit : table.limitsOf(name)) markAffected(limit->key);
 }
 
 void SliceSelection::countReferences(const StoredRow& service, bool added) {
   const auto count = [&](RowKind::type kind, Counts* counts, const std::string& name) {
     added ? counts->add(name) : counts->remove(name);
-    touch(makeKey(kind, name));
+    markAffected(makeKey(kind, name));
   };
   const auto& policy = service.serviceRow.retryPolicy;
   if (!policy.empty()) count(RowKind::RETRY_POLICY, &policies_, policy);
--- a/src/table/slice_selection.h
+++ b/src/table/slice_selection.h
@@ -22,9 +22,9 @@
   auto operator<=>(const Interest&) const = default;
 
   /// @return the interest in every host, and with them in every service.
-  static Interest inEveryHost();
+  static Interest allHosts();
 
-  bool everyHost() const;
+  bool includesAllHosts() const;
 };
 
 /// Counts the references from selected rows, so that a change costs what it touches and not what the table holds.
@@ -37,11 +37,11 @@
   const Interest& interest() const { return interest_; }
 
   /// Begins with all rows of a table.
-  void begin(const Table& table);
+  void rebuild(const Table& table);
 
   /// Takes a change of the table in.
   /// @return the changed rows' keys, and those of rows that may be selected or not because of the change
-  KeySet take(const Table& table, const ChangedRows& rows);
+  KeySet apply(const Table& table, const ChangedRows& rows);
 
   /// @return whether a live row of the table is selected.
   bool selects(const StoredRow& row) const;
@@ -64,20 +64,20 @@
     bool routed = false;  // a selected route needs it, so its endpoints are selected too
   };
 
-  bool wantsRoute(const StoredRow& row) const;
-  void takeRoute(const StoredRow& route, bool added);
-  void settleService(const Table& table, const std::string& name);
+  bool matchesInterest(const StoredRow& row) const;
+  void applyRoute(const StoredRow& route, bool added);
+  void updateService(const Table& table, const std::string& name);
   void countReferences(const StoredRow& service, bool added);
-  void touch(RowKey key);
+  void markAffected(RowKey key);
 
   Interest interest_;
   std::map<std::string, Service> services_;
-  Counts routedServices_;            // by selected routes
-  Counts secrets_;                   // by selected routes and services
-  Counts policies_;                  // by selected services
-  std::set<std::string> unsettled_;  // services that the change in progress touches
-  KeySet touched_;                   // by the change in progress
-  bool collecting_ = true;           // into touched_
+  Counts routedServices_;                  // by selected routes
+  Counts secrets_;                         // by selected routes and services
+  Counts policies_;                        // by selected services
+  std::set<std::string> pendingServices_;  // services that the change in progress touches
+  KeySet affectedKeys_;                    // by the change in progress
+  bool collectAffected_ = true;            // into touched_
 };
 
 }  // namespace driftlug::table
--- a/src/table/table.cc
+++ b/src/table/table.cc
@@ -41,7 +41,7 @@
 
 IndexedRows<MatchIndex> Table::routesOf(std::string_view host) const { return rowsOf(routes_, host); }
 
-IndexedRows<MatchIndex> Table::routesMatchingLike(const wire::RouteRow& route) const {
+IndexedRows<MatchIndex> Table::routesWithSameMatch(const wire::RouteRow& route) const {
   return rowsOf(routes_, RouteMatch{route.host, route.pathPrefix, route.method});
 }
 
@@ -107,7 +107,7 @@
   horizon_ = std::max(horizon_, upTo);
 }
 
-void Table::boundTombstones() {
+void Table::trimTombstones() {
   if (tombstones_.size() <= kMaxTombstones) return;
   std::vector<int64_t> revisions;
   revisions.reserve(tombstones_.size());
--- a/src/table/table.h
+++ b/src/table/table.h
@@ -54,7 +54,7 @@
   IndexedRows<MatchIndex> routesOf(std::string_view host) const;
 
   /// @return the routes that match on the same host, prefix and method, by name.
-  IndexedRows<MatchIndex> routesMatchingLike(const wire::RouteRow& route) const;
+  IndexedRows<MatchIndex> routesWithSameMatch(const wire::RouteRow& route) const;
 
   /// Puts a row or, when it is marked deleted, a tombstone; moves revision() up to the row's.
   /// @return what findAny() returned before
@@ -71,7 +71,7 @@
 
   /// Forgets the older half of the tombstones when there are more than kMaxTombstones; readers from before them get
   /// everything.
-  void boundTombstones();
+  void trimTombstones();
 
   /// @return rows and tombstones changed after a revision, in revision order; valid until the table changes.
   IndexedRows<RevisionIndex> changedSince(int64_t revision) const;
--- a/src/table/validator.cc
+++ b/src/table/validator.cc
@@ -29,7 +29,7 @@
   std::vector<Problem>* problems_;
 };
 
-bool nameIsGood(const std::string& name) {
+bool isValidName(const std::string& name) {
   if (name.empty() || name.size() > kMaxNameBytes) return false;
   for (const char c : name) {
     const auto byte = static_cast<unsigned char>(c);
@@ -106,7 +106,7 @@
 }
 
 /// A key that two tenants hold would make it a matter of luck whose requests are counted.
-void checkSharedKeys(const Table& table, std::vector<Problem>* problems) {
+void checkDuplicateTenantKeys(const Table& table, std::vector<Problem>* problems) {
   std::map<std::string_view, std::string_view> holders;  // tenants by key
   for (auto item = table.rows().lower_bound(makeKey(RowKind::TENANT, "")); item != table.rows().end(); ++item) {
     const auto& [rowKey, row] = *item;
@@ -121,8 +121,8 @@
 }
 
 /// Equal match conditions are an error; the order (longest prefix, then exact method) decides all others.
-void checkOtherRoutes(const Row& row, const Table& table, RowProblems* problems) {
-  for (const auto* other : table.routesMatchingLike(row.routeRow)) {
+void checkDuplicateRoutes(const Row& row, const Table& table, RowProblems* problems) {
+  for (const auto* other : table.routesWithSameMatch(row.routeRow)) {
     if (other->key.name == row.key.name) continue;
     problems->add("path_prefix", ProblemKind::kDuplicateMatch,
                   "same host, prefix and method as route " + other->key.name);
@@ -152,7 +152,7 @@
 
 }  // namespace
 
-bool mayBeReferredTo(RowKind::type kind) {
+bool isReferenceable(RowKind::type kind) {
   return kind == RowKind::SERVICE || kind == RowKind::SECRET || kind == RowKind::RETRY_POLICY;
 }
 
@@ -180,7 +180,7 @@
 
 void checkRow(const Row& row, std::vector<Problem>* problems) {
   RowProblems out(row.key, problems);
-  if (!nameIsGood(row.key.name)) out.add("name", ProblemKind::kBadName, "letters, digits, '-', '_' and '.' only");
+  if (!isValidName(row.key.name)) out.add("name", ProblemKind::kBadName, "letters, digits, '-', '_' and '.' only");
   if (!bodyMatchesKind(row)) {
     out.add("kind", ProblemKind::kWrongBody, "the body does not fit the kind");
     return;
@@ -235,10 +235,10 @@
   std::vector<Problem> problems;
   const bool tenants =
       std::any_of(changed.begin(), changed.end(), [](const RowPtr& row) { return row->key.kind == RowKind::TENANT; });
-  if (tenants) checkSharedKeys(table, &problems);
+  if (tenants) checkDuplicateTenantKeys(table, &problems);
   for (const auto& row : changed) {
     if (row->deleted) {
-      if (mayBeReferredTo(row->key.kind)) checkReferrers(row->key, table, &problems);
+      if (isReferenceable(row->key.kind)) checkReferrers(row->key, table, &problems);
       continue;
     }
     checkRow(*row, &problems);
@@ -246,7 +246,7 @@
     checkReferences(*row, table, &problems);
     if (!row->__isset.routeRow) continue;
     RowProblems out(row->key, &problems);
-    checkOtherRoutes(*row, table, &out);
+    checkDuplicateRoutes(*row, table, &out);
   }
   return problems;
 }
--- a/src/table/validator.h
+++ b/src/table/validator.h
@@ -47,7 +47,7 @@
 constexpr double kMaxRatePerS = 1e9;
 
 /// @return whether rows of other kinds may refer to rows of this one.
-bool mayBeReferredTo(RowKind::type kind);
+bool isReferenceable(RowKind::type kind);
 
 /// Checks the fields of one row by themselves.
 void checkRow(const Row& row, std::vector<Problem>* problems);
--- a/src/transport/frame_transport.cc
+++ b/src/transport/frame_transport.cc
@@ -200,7 +200,7 @@
 
 std::optional<base::TimePoint> FrameTransport::partArrivedAt(base::ConnectionId id) const {
   const auto found = connections_.find(id);
-  if (found == connections_.end() || !found->second->reader.midFrame()) return std::nullopt;
+  if (found == connections_.end() || !found->second->reader.hasPartialFrame()) return std::nullopt;
   return found->second->heardAt;
 }
 
@@ -250,7 +250,7 @@
     ++counters_.framesReceived;
     if (std::holds_alternative<wire::StartCompression>(message) && !connection->inflater) {
       connection->inflater = std::make_unique<wire::Inflater>();
-      status = read(connection, connection->reader.takeRest());
+      status = read(connection, connection->reader.takeRemainingBytes());
       continue;
     }
     onFrame(id, std::move(message));
--- a/src/wire/bulk_frames.cc
+++ b/src/wire/bulk_frames.cc
@@ -83,23 +83,23 @@
   CompactProtocol protocol_{buffer_};
 };
 
-FramePtr encodeUpdate(size_t kind, const RowFrameHead& head, std::span<const Row* const> rows) {
+FramePtr encodeUpdate(size_t kind, const RowUpdateHeader& head, std::span<const Row* const> rows) {
   StructWriter out;
   out.number(kFromRevision, head.fromRevision);
   out.number(kToRevision, head.toRevision);
   out.flag(kFull, head.full);
   out.list(kRows, rows);
   out.nested(kDigest, head.digest);
-  return frameOf(kind, out.finish());
+  return makeFrame(kind, out.finish());
 }
 
 }  // namespace
 
-FramePtr encodeSliceUpdate(const RowFrameHead& head, std::span<const Row* const> rows) {
+FramePtr encodeSliceUpdate(const RowUpdateHeader& head, std::span<const Row* const> rows) {
   return encodeUpdate(kindOf<SliceUpdate>(), head, rows);
 }
 
-FramePtr encodeTableUpdate(const RowFrameHead& head, std::span<const Row* const> rows) {
+FramePtr encodeTableUpdate(const RowUpdateHeader& head, std::span<const Row* const> rows) {
   return encodeUpdate(kindOf<TableUpdate>(), head, rows);
 }
 
@@ -112,7 +112,7 @@
   out.list(kEntries, entries);
   out.number(kCommitIndex, head.commitIndex);
   out.number(kRound, head.round);
-  return frameOf(kindOf<AppendRequest>(), out.finish());
+  return makeFrame(kindOf<AppendRequest>(), out.finish());
 }
 
 std::string encodeMutations(const std::vector<Mutation>& mutations) {
--- a/src/wire/bulk_frames.h
+++ b/src/wire/bulk_frames.h
@@ -9,7 +9,7 @@
 namespace driftlug::wire {
 
 /// What a message with rows says beside them.
-struct RowFrameHead {
+struct RowUpdateHeader {
   int64_t fromRevision = 0;
   int64_t toRevision = 0;
   bool full = false;
@@ -17,10 +17,10 @@
 };
 
 /// @return the frame of a SliceUpdate with these rows.
-FramePtr encodeSliceUpdate(const RowFrameHead& head, std::span<const Row* const> rows);
+FramePtr encodeSliceUpdate(const RowUpdateHeader& head, std::span<const Row* const> rows);
 
 /// @return the frame of a TableUpdate with these rows.
-FramePtr encodeTableUpdate(const RowFrameHead& head, std::span<const Row* const> rows);
+FramePtr encodeTableUpdate(const RowUpdateHeader& head, std::span<const Row* const> rows);
 
 /// @param head its own entries are left out
 /// @return the frame of an AppendRequest with these entries.
--- a/src/wire/deflate.h
+++ b/src/wire/deflate.h
@@ -11,10 +11,10 @@
 namespace driftlug::wire {
 
 /// @return the bytes, deflated by themselves at the fastest level.
-std::string deflateWhole(std::string_view bytes);
+std::string deflateBuffer(std::string_view bytes);
 
 /// @return what was deflated, or kBadFrame when the bytes are no such thing or would grow beyond `most`
-absl::StatusOr<std::string> inflateWhole(std::string_view bytes, size_t most);
+absl::StatusOr<std::string> inflateBuffer(std::string_view bytes, size_t maxBytes);
 
 /// Compresses one direction of a connection. What was sent before serves as the dictionary of what follows, so that
 /// the heads of calls, which are much alike, shrink to a few bytes.
--- a/src/wire/frame.cc
+++ b/src/wire/frame.cc
@@ -26,17 +26,17 @@
     uint32_t size = 0;
     buffer_->getBuffer(&bytes, &size);
     out->append(reinterpret_cast<const char*>(bytes), size);
-    if (size > kKeptBytes) {
-      buffer_->resetBuffer(kKeptBytes);
+    if (size > kRetainedBytes) {
+      buffer_->resetBuffer(kRetainedBytes);
     } else {
       buffer_->resetBuffer();
     }
   }
 
  private:
-  static constexpr uint32_t kKeptBytes = 4096;
+  static constexpr uint32_t kRetainedBytes = 4096;
 
-  std::shared_ptr<TMemoryBuffer> buffer_ = std::make_shared<TMemoryBuffer>(kKeptBytes);
+  std::shared_ptr<TMemoryBuffer> buffer_ = std::make_shared<TMemoryBuffer>(kRetainedBytes);
   CompactProtocol protocol_{buffer_};
 };
 
@@ -73,7 +73,7 @@
 constexpr auto kDecoders = makeDecoders(std::make_index_sequence<std::variant_size_v<Message>>());
 
 /// In the order of Message.
-constexpr std::string_view kNames[] = {
+constexpr std::string_view kMessageNames[] = {
     "Hello",         "VoteRequest",         "VoteResponse",   "AppendRequest",  "AppendResponse",
     "SnapshotChunk", "SnapshotChunkAck",    "TimeoutNow",     "RelaySubscribe", "NotLeader",
     "TableUpdate",   "ControllerHeartbeat", "ConfirmRequest", "ConfirmReply",   "ConvergenceReport",
@@ -83,7 +83,7 @@
     "RelayList",     "StartCompression",    "CallBodyGrant",  "CallBodyPiece",  "CallAccepted",
     "PackedFrame",   "CallWithdraw",        "CrashReports",   "VersionReports", "SeenVersions",
     "QuotaAsk",      "QuotaGrant"};
-static_assert(std::size(kNames) == std::variant_size_v<Message>);
+static_assert(std::size(kMessageNames) == std::variant_size_v<Message>);
 
 template <typename... T>
 bool isOneOf(size_t kind) {
@@ -91,7 +91,7 @@
 }
 
 /// Below this a frame is one or two packets anyway.
-constexpr size_t kLeastPackedBytes = 4096;
+constexpr size_t kMinPackedFrameBytes = 4096;
 
 size_t readLength(const char* bytes) {
   size_t length = 0;
@@ -107,7 +107,7 @@
 
 }  // namespace
 
-std::string_view messageName(size_t kind) { return kind < std::size(kNames) ? kNames[kind] : "unknown"; }
+std::string_view messageName(size_t kind) { return kind < std::size(kMessageNames) ? kMessageNames[kind] : "unknown"; }
 
 Purpose purposeOf(size_t kind) {
   if (isOneOf<CallRequest, CallResponse, CallCancel, CallBodyGrant, CallBodyPiece, CallAccepted, CallWithdraw>(kind))
@@ -119,7 +119,7 @@
   return log ? Purpose::kLog : Purpose::kControl;
 }
 
-FramePtr frameOf(size_t kind, std::string_view encoded) {
+FramePtr makeFrame(size_t kind, std::string_view encoded) {
   auto frame = std::make_shared<std::string>(kHeaderBytes, '\0');
   (*frame)[kLengthBytes] = static_cast<char>(kind);
   frame->append(encoded);
@@ -136,9 +136,9 @@
 }
 
 FramePtr packFrame(const FramePtr& frame) {
-  if (frame->size() < kLeastPackedBytes) return frame;
+  if (frame->size() < kMinPackedFrameBytes) return frame;
   PackedFrame packed;
-  packed.deflated = deflateWhole(std::string_view(*frame).substr(kLengthBytes));
+  packed.deflated = deflateBuffer(std::string_view(*frame).substr(kLengthBytes));
   auto result = encodeFrame(packed);
   return result->size() < frame->size() ? result : frame;
 }
@@ -146,7 +146,7 @@
 namespace {
 
 absl::StatusOr<Message> unpackFrame(const PackedFrame& packed) {
-  auto restored = inflateWhole(packed.deflated, kMaxFrameBytes);
+  auto restored = inflateBuffer(packed.deflated, kMaxFrameBytes);
   if (!restored.ok()) return restored.status();
   const bool packedTwice = !restored->empty() && static_cast<unsigned char>((*restored)[0]) == kindOf<PackedFrame>();
   if (packedTwice) return base::makeError(base::ErrorCode::kBadFrame, "a packed frame within another");
@@ -194,7 +194,7 @@
 template absl::StatusOr<LogSnapshot> decodeStruct(std::string_view);
 template absl::StatusOr<EditCommand> decodeStruct(std::string_view);
 
-std::string FrameReader::takeRest() {
+std::string FrameReader::takeRemainingBytes() {
   std::string rest = buffer_.substr(position_);
   buffer_.clear();
   position_ = 0;
@@ -203,9 +203,9 @@
 
 /// There are many connections, and most are idle: none keeps the room of its largest message.
 void FrameReader::releaseBuffer() {
-  constexpr size_t kKeptBytes = 2048;
+  constexpr size_t kRetainedBytes = 2048;
   buffer_.clear();
-  if (buffer_.capacity() > kKeptBytes) buffer_.shrink_to_fit();
+  if (buffer_.capacity() > kRetainedBytes) buffer_.shrink_to_fit();
   position_ = 0;
 }
 
--- a/src/wire/frame.h
+++ b/src/wire/frame.h
@@ -50,7 +50,7 @@
 }
 
 /// @return a frame of a message that is encoded already.
-FramePtr frameOf(size_t kind, std::string_view encoded);
+FramePtr makeFrame(size_t kind, std::string_view encoded);
 
 /// @return the name of a message as in the IDL, by its type byte; for logs.
 std::string_view messageName(size_t kind);
@@ -91,10 +91,10 @@
   absl::StatusOr<bool> next(Message* message);
 
   /// Takes the bytes that are not part of a message taken so far.
-  std::string takeRest();
+  std::string takeRemainingBytes();
 
   /// @return whether a message has begun and its rest is missing.
-  bool midFrame() const { return position_ < buffer_.size(); }
+  bool hasPartialFrame() const { return position_ < buffer_.size(); }
 
  private:
   void releaseBuffer();
--- a/test/ledger/ledger_state_test.cc
+++ b/test/ledger/ledger_state_test.cc
@@ -70,11 +70,11 @@
 TEST_CASE("keys are forgotten when their window ends, not before, and a clock that steps back forgets nothing") {
   LedgerState state;
   state.apply(command(LedgerAction::CLAIM, "old", "a", 1000));
-  state.apply(command(LedgerAction::CLAIM, "other", "a", 999 + kWindowMs));
+  state.apply(command(LedgerAction::CLAIM, "other", "a", 999 + kKeyRetentionMs));
   CHECK(state.find("old") != nullptr);
   state.apply(command(LedgerAction::CLAIM, "third", "a", 5));
   CHECK(state.find("old") != nullptr);
-  state.apply(command(LedgerAction::CLAIM, "fourth", "a", 1000 + kWindowMs));
+  state.apply(command(LedgerAction::CLAIM, "fourth", "a", 1000 + kKeyRetentionMs));
   CHECK(state.find("old") == nullptr);
   CHECK(state.find("other") != nullptr);
 }
@@ -84,16 +84,16 @@
   state.apply(command(LedgerAction::CLAIM, "k", "a", 1000));
   state.apply(command(LedgerAction::COMPLETE, "k", "a", 1001));
   const auto full = state.bytes();
-  const auto outcome = state.apply(command(LedgerAction::CLAIM, "k", "b", 1000 + kAnswerMs));
+  const auto outcome = state.apply(command(LedgerAction::CLAIM, "k", "b", 1000 + kAnswerRetentionMs));
   CHECK(outcome.verdict == LedgerVerdict::COMPLETED);
-  CHECK(outcome.answer->httpStatus == kAnswerGoneStatus);
+  CHECK(outcome.answer->httpStatus == kDroppedAnswerHttpStatus);
   CHECK(outcome.answer->body.empty());
   CHECK(state.bytes() < full);
 }
 
 TEST_CASE("a full ledger refuses new keys and keeps what it has") {
   LedgerState state;
-  const std::string body(kMaxAnswerBytes, 'x');
+  const std::string body(kMaxStoredAnswerBytes, 'x');
   int granted = 0;
   for (int i = 0; i < 2000; ++i) {
     const auto key = "k" + std::to_string(i);
@@ -104,7 +104,7 @@
     state.apply(done);
   }
   CHECK(granted < 2000);
-  CHECK(state.bytes() < kMaxBytes + 2 * kMaxAnswerBytes);
+  CHECK(state.bytes() < kMaxLedgerBytes + 2 * kMaxStoredAnswerBytes);
   CHECK(state.apply(command(LedgerAction::CLAIM, "k0", "b")).verdict == LedgerVerdict::COMPLETED);
 }
 
--- a/test/routing/nearest_idle_test.cc
+++ b/test/routing/nearest_idle_test.cc
@@ -53,12 +53,12 @@
 }
 
 TEST_CASE_METHOD(Fixture, "on narrow links the endpoint beside the node comes first until it is far busier") {
-  auto besideFirst = options();
-  besideFirst.besideGain = 0.4;
-  EndpointPicker other(besideFirst, time, base::RandomSource(3));
+  auto colocatedFirst = options();
+  colocatedFirst.colocationBonus = 0.4;
+  EndpointPicker other(colocatedFirst, time, base::RandomSource(3));
   for (const auto& endpoint : endpoints) other.setConnected(endpoint.name, true);
   time.advance(base::seconds(60));
-  other.setBeside("own-1");
+  other.setColocated("own-1");
   std::map<std::string, int> picked;
   for (int i = 0; i < 40; ++i) {
     const auto* target = other.pick(endpoints, "own", {}, 5);
@@ -70,10 +70,10 @@
 }
 
 TEST_CASE("a large body crosses to another zone only where that gains much") {
-  const auto farOf = [](size_t bodyBytes) {
+  const auto farPicks = [](size_t bodyBytes) {
     test::ManualTime time;
     auto options = Fixture::options();
-    options.bodyBytesPerPenalty = 32U << 10;
+    options.bodyBytesPerZonePenalty = 32U << 10;
     EndpointPicker picker(options, time, base::RandomSource(3));
     const std::vector<EndpointTarget> endpoints = {{"near", "10.0.0.1", 7000, "own", kFullWeight, 10},
                                                    {"far", "10.0.0.2", 7000, "far", kFullWeight, 10}};
@@ -87,13 +87,13 @@
     }
     return far;
   };
-  CHECK(farOf(0) >= 5);
-  CHECK(farOf(64U << 10) <= 2);
+  CHECK(farPicks(0) >= 5);
+  CHECK(farPicks(64U << 10) <= 2);
 }
 
 TEST_CASE_METHOD(Fixture, "what an endpoint told of its load counts, and fades") {
-  picker.onReport("own-1", 20);
-  picker.onReport("own-2", 20);
+  picker.onLoadReport("own-1", 20);
+  picker.onLoadReport("own-2", 20);
   CHECK(send(1).count("own-1") == 0);
   time.advance(base::seconds(5));
   const auto later = send(1);
--- a/test/table/slice_test.cc
+++ b/test/table/slice_test.cc
@@ -30,10 +30,10 @@
 }
 
 /// What an interest needs, by a walk over the whole table.
-class Walk {
+class ReferenceSelection {
  public:
-  Walk(const table::Table& table, const table::Interest& interest) : table_(table) {
-    const bool every = interest.everyHost();
+  ReferenceSelection(const table::Table& table, const table::Interest& interest) : table_(table) {
+    const bool every = interest.includesAllHosts();
     const auto has = [](const auto& names, const auto& name) {
       return std::find(names.begin(), names.end(), name) != names.end();
     };
@@ -92,7 +92,7 @@
       (void)slice.update(table, {{row}, {previous}});
       table::KeySet held;
       for (const auto* member : slice.allRows()) held.insert(member->key);
-      REQUIRE(held == Walk(table, slice.interest()).keys());
+      REQUIRE(held == ReferenceSelection(table, slice.interest()).keys());
     }
   }
 }
--- a/test/table/table_test.cc
+++ b/test/table/table_test.cc
@@ -74,7 +74,7 @@
   table.put(test::routeRow("b", "h", "/p/", {{"s", 100}}, 2, "GET"));
   table.put(test::routeRow("c", "h", "/q/", {{"s", 100}}, 3));
   const auto like = [&](const char* name, const char* host, const char* prefix, const char* method) {
-    return names(table.routesMatchingLike(test::routeRow(name, host, prefix, {{"s", 100}}, 9, method)->routeRow));
+    return names(table.routesWithSameMatch(test::routeRow(name, host, prefix, {{"s", 100}}, 9, method)->routeRow));
   };
   CHECK(like("x", "h", "/p/", "") == std::set<std::string>{"a"});
   CHECK(like("x", "h", "/p/", "GET") == std::set<std::string>{"b"});
--- a/test/wire/frame_test.cc
+++ b/test/wire/frame_test.cc
@@ -34,7 +34,7 @@
       REQUIRE(*reader.next(&message));
     }
     CHECK(std::get<wire::CallRequest>(message).body.size() == 3000);
-    CHECK_FALSE(reader.midFrame());
+    CHECK_FALSE(reader.hasPartialFrame());
   }
 }
 
@@ -97,13 +97,14 @@
     return wire::decodeFrame(std::string_view(*frame).substr(wire::kLengthBytes)).status();
   };
   CHECK(base::errorCodeOf(decode("no deflated bytes")) == base::ErrorCode::kBadFrame);
-  const auto cut = wire::deflateWhole(std::string(100'000, 'x'));
+  const auto cut = wire::deflateBuffer(std::string(100'000, 'x'));
   CHECK(base::errorCodeOf(decode(cut.substr(0, cut.size() / 2))) == base::ErrorCode::kBadFrame);
-  CHECK(base::errorCodeOf(decode(wire::deflateWhole(std::string((64U << 20) + 1, 'x')))) == base::ErrorCode::kBadFrame);
+  CHECK(base::errorCodeOf(decode(wire::deflateBuffer(std::string((64U << 20) + 1, 'x')))) ==
+        base::ErrorCode::kBadFrame);
   wire::PackedFrame inner;
-  inner.deflated = wire::deflateWhole("x");
+  inner.deflated = wire::deflateBuffer("x");
   const auto twice = wire::encodeFrame(inner);
-  CHECK(base::errorCodeOf(decode(wire::deflateWhole(std::string_view(*twice).substr(wire::kLengthBytes)))) ==
+  CHECK(base::errorCodeOf(decode(wire::deflateBuffer(std::string_view(*twice).substr(wire::kLengthBytes)))) ==
         base::ErrorCode::kBadFrame);
 }
 
@@ -123,7 +124,7 @@
     slice.rows.push_back(row);
   }
   for (const auto& row : slice.rows) rows.push_back(&row);
-  const wire::RowFrameHead head{slice.fromRevision, slice.toRevision, slice.full, slice.digest};
+  const wire::RowUpdateHeader head{slice.fromRevision, slice.toRevision, slice.full, slice.digest};
   CHECK(*wire::encodeSliceUpdate(head, rows) == *wire::encodeFrame(slice));
   wire::TableUpdate table;
   table.fromRevision = slice.fromRevision;
--- a/test/work/relay_work_test.cc
+++ b/test/work/relay_work_test.cc
@@ -17,7 +17,7 @@
 {
 	large_table rows(_routes);
 	relay::SliceCache slices;
-	const auto slice = slices.get(table::Interest::inEveryHost(), rows.table);
+	const auto slice = slices.get(table::Interest::allHosts(), rows.table);
 	const int64_t before = rows.table.revision();
 	rows.addRoutes(kChange);
 	const auto start = allocationsSoFar().count;
--- a/tools/load_model/load_model.cc
+++ b/tools/load_model/load_model.cc
@@ -107,8 +107,8 @@
 	policy.entry.fullFor = base::milliseconds(100);
 	policy.entry.overloadRetryAfter = base::milliseconds(1000);
 	policy.entry.picker.policy = routing::PickPolicy::kNearestIdle;
-	policy.entry.picker.bodyBytesPerPenalty = 32U << 10;
-	policy.entry.picker.besideGain = _linkMbps < kNarrowMbps ? 0.4 : 0;
+	policy.entry.picker.bodyBytesPerZonePenalty = 32U << 10;
+	policy.entry.picker.colocationBonus = _linkMbps < kNarrowMbps ? 0.4 : 0;
 	policy.entry.inlineBodyBytes = static_cast<size_t>(std::min(4096.0, 0.004 * _linkMbps * 1e6 / 8));
 	policy.endpoint.waitWithinTarget = true;
 	policy.endpoint.defaultQueue = 32;
