--- a/src/ledger/ledger_client.cc
+++ b/src/ledger/ledger_client.cc
@@ -7,7 +7,7 @@
 namespace driftlug::ledger {
 namespace {
 
-/// A command without a reply is sent again after this time; it covers a change of leader or relay.
+/// Interval at which an unanswered command is resent; resending also covers a change of leader or relay.
 constexpr base::Duration kResendInterval = base::milliseconds(150);
 
 }  // namespace
@@ -74,7 +74,7 @@
 }
 
 void LedgerClient::onReply(const wire::LedgerReply& reply) {
-  // A ledger that is full or has lost its leader says so; asking again may help until the limit.
+  // The ledger is full or has no leader; the command is resent until its timeout.
   if (reply.verdict == wire::LedgerVerdict::UNAVAILABLE) return;
   LedgerAnswer answer;
   answer.verdict = reply.verdict;
--- a/src/ledger/ledger_client.h
+++ b/src/ledger/ledger_client.h
@@ -1,4 +1,5 @@
-/// A node's way to the ledger: commands go over its relay to the leading controller, and are sent again until answered.
+/// A node's client of the ledger: sends commands through its relay to the leading controller and resends them until
+/// they are answered.
 #pragma once
 
 #include <functional>
@@ -15,38 +16,40 @@
 
 /// Answer to a command.
 struct LedgerAnswer {
-  wire::LedgerVerdict::type verdict = wire::LedgerVerdict::UNAVAILABLE;  ///< also when no answer came in time
-  std::optional<wire::StoredAnswer> stored;                              ///< of a completed key
+  wire::LedgerVerdict::type verdict = wire::LedgerVerdict::UNAVAILABLE;  ///< UNAVAILABLE also after a timeout
+  std::optional<wire::StoredAnswer> stored;                              ///< response stored for a completed key
 };
 
 using LedgerCallback = std::function<void(const LedgerAnswer&)>;
 
-/// Commands are idempotent by owner, so a lost reply costs a repetition, never a second grant to another.
+/// Commands are idempotent per owner: after a lost reply a command is resent, and a key is never granted to a second
+/// owner because of it.
 ///
-/// Invariant: each callback is called once, at its time limit at the latest, never from within the call.
+/// Invariant: each callback is called exactly once, no later than its timeout, and never from within the submitting
+/// call.
 class LedgerClient {
  public:
-  /// Sends to the relay in use; false when there is none now.
+  /// Sends a message to the current relay; returns false when there is none.
   using Send = std::function<bool(const wire::Message&)>;
 
   LedgerClient(base::Scheduler& scheduler, base::RandomSource random, std::string ownerPrefix, Send send);
   ~LedgerClient();
 
-  /// @return an owner that no other attempt has.
+  /// @return an owner id that is unique per attempt.
   std::string newOwner();
 
-  /// Asks to run the request of a key.
+  /// Claims a key in order to run its request.
   void claim(const std::string& key, int64_t fingerprint, const std::string& owner, base::Duration timeout,
              LedgerCallback done);
 
-  /// Stores the answer of a request that this owner ran.
+  /// Stores the answer of a request that this owner has run; the outcome is not reported.
   void complete(const std::string& key, const std::string& owner, const wire::StoredAnswer& answer,
                 base::Duration timeout);
 
-  /// Gives a key back because its request did not run.
+  /// Releases a key whose request did not run.
   void release(const std::string& key, const std::string& owner, base::Duration timeout, LedgerCallback done);
 
-  /// A reply came from the relay.
+  /// Handles a reply from the relay.
   void onReply(const wire::LedgerReply& reply);
 
   size_t pending() const { return pending_.size(); }
--- a/src/ledger/ledger_state.cc
+++ b/src/ledger/ledger_state.cc
@@ -20,7 +20,7 @@
 }
 
 LedgerOutcome LedgerState::apply(const wire::LedgerCommand& command) {
-  // Leaders' clocks may differ; time never moves back.
+  // The clocks of successive leaders may differ; the ledger's time never goes backwards.
   nowMs_ = std::max(nowMs_, command.timestampMs);
   expire();
   switch (command.action) {
@@ -40,7 +40,7 @@
     const auto& record = found->second;
     if (record.fingerprint != command.fingerprint) return {LedgerVerdict::MISMATCH, nullptr};
     if (record.completed) return {LedgerVerdict::COMPLETED, &record.answer};
-    // The owner asks again because the first reply was lost.
+    // The owner repeats its claim after a lost reply.
     const bool isOwner = record.owner == command.owner;
     return {isOwner ? LedgerVerdict::GRANTED : LedgerVerdict::CLAIMED, nullptr};
   }
@@ -80,7 +80,7 @@
 
 wire::LedgerRecord* LedgerState::recordAt(const ClaimOrderEntry& entry) {
   const auto found = records_.find(entry.second);
-  // A key that was released and claimed again has a later place in the order.
+  // A key that was released and claimed again has a newer entry; this one is outdated.
   const bool isCurrent = found != records_.end() && found->second.claimedAtMs == entry.first;
   return isCurrent ? &found->second : nullptr;
 }
--- a/src/ledger/ledger_state.h
+++ b/src/ledger/ledger_state.h
@@ -1,4 +1,4 @@
-/// The ledger of idempotency keys: which requests were begun, and how they ended.
+/// State of the ledger of idempotency keys: which requests were started and how they ended.
 #pragma once
 
 #include <deque>
@@ -10,28 +10,29 @@
 
 namespace driftlug::ledger {
 
-/// Time for which a key is remembered, in milliseconds of the leaders' clocks. A resend after it runs anew.
+/// Retention time of a key, by the leaders' clocks. A request resent after that runs again.
 constexpr int64_t kKeyRetentionMs = int64_t{3600} * 1000;
-/// Time for which the body of an answer is kept. A resend after it is told that the request completed, and no more.
+/// Retention time of the body of an answer. A later resend learns only that the request completed.
 constexpr int64_t kAnswerRetentionMs = int64_t{600} * 1000;
-/// Bytes of stored answers and keys; claims are refused beyond, rather than forgetting keys inside the window.
+/// Maximum size of keys and stored answers. Beyond it claims are refused, since dropping keys before kKeyRetentionMs
+/// would let requests run twice.
 constexpr size_t kMaxLedgerBytes = size_t{256} << 20;
-/// Longest answer that is kept; a resend of a request with a longer one is told that it completed, without it.
+/// Maximum size of a stored answer body. For a longer one a resend learns only that the request completed.
 constexpr size_t kMaxStoredAnswerBytes = size_t{256} << 10;
 
-/// Status of a stored answer whose body is no longer kept.
+/// HTTP status of a stored answer whose body was dropped.
 constexpr int kDroppedAnswerHttpStatus = 410;
 
-/// What a command led to.
+/// Result of a command.
 struct LedgerOutcome {
   wire::LedgerVerdict::type verdict = wire::LedgerVerdict::UNAVAILABLE;
-  const wire::StoredAnswer* answer = nullptr;  ///< of a completed key; valid until the next change
+  const wire::StoredAnswer* answer = nullptr;  ///< stored answer of a completed key; valid until the next change
 };
 
-/// Replicated state: equal on every controller after equal commands.
+/// Replicated state machine: the same commands yield the same state on every controller.
 ///
-/// Invariants: a key is granted to one owner at a time, and never again once it completed, until its window ends;
-/// a released key may be granted anew, because its owner vouches that nothing ran.
+/// Invariants: a key is granted to one owner at a time, and after completion not again until its retention ends; a
+/// released key may be granted again, because its owner guarantees that the request did not run.
 class LedgerState {
  public:
   /// Applies one command.
@@ -61,10 +62,10 @@
   static size_t bytesOf(const wire::LedgerRecord& record);
 
   std::map<std::string, wire::LedgerRecord> records_;       // by key
-  std::deque<std::pair<int64_t, std::string>> claimOrder_;  // (claimed at, key), oldest first; may name released keys
-  size_t answerDropPosition_ = 0;                           // of the front of order_: their answers are gone
-  int64_t nowMs_ = 0;                                       // newest time that a command carried
-  size_t bytes_ = 0;                                        // sum of bytesOf() over records_
+  std::deque<std::pair<int64_t, std::string>> claimOrder_;  // (claimed at, key), oldest first; may hold released keys
+  size_t answerDropPosition_ = 0;  // entries at the front of claimOrder_ whose answers were dropped
+  int64_t nowMs_ = 0;              // highest timestamp of a command
+  size_t bytes_ = 0;               // sum of bytesOf() over records_
 };
 
 }  // namespace driftlug::ledger
--- a/src/routing/endpoint_picker.cc
+++ b/src/routing/endpoint_picker.cc
@@ -8,9 +8,9 @@
 namespace driftlug::routing {
 namespace {
 
-constexpr double kLatencySmoothing = 0.2;     // of a new latency in the moving average
-constexpr double kDefaultLatencyUs = 1000;    // of an endpoint that was never used
-constexpr double kCrossZoneCostFactor = 1.3;  // how much dearer an endpoint of another zone counts
+constexpr double kLatencySmoothing = 0.2;     // weight of a new sample in the moving average
+constexpr double kDefaultLatencyUs = 1000;    // for an endpoint without a known latency
+constexpr double kCrossZoneCostFactor = 1.3;  // cost multiplier of an endpoint in another zone
 constexpr double kLowestSlowStartShare = 0.1;
 
 double secondsOf(base::Duration duration) { return std::chrono::duration<double>(duration).count(); }
@@ -41,7 +41,7 @@
     connected.push_back(&endpoint);
     if (usable(state, now)) healthy.push_back(&endpoint);
   }
-  // Reports that condemn most of a service are more likely wrong than right.
+  // Reports that rule out most endpoints of a service are more likely wrong than right, so they are ignored.
   const double lowest = static_cast<double>(weighted) * (1 - options_.maxEjectedShare);
   const bool tooFew = static_cast<double>(healthy.size() + excluded.size()) < lowest;
   return healthy.empty() || (tooFew && excluded.empty()) ? connected : healthy;
@@ -128,12 +128,12 @@
           : 0;
   const EndpointTarget* best = nullptr;
   double lowest = 0;
-  double fastest = 0;  // the shortest known latency, 0 while none is
+  double fastest = 0;  // shortest known latency; 0 while none is known
   for (const auto* target : choices) {
     const double latency = decayedLatencyUs(*target);
     if (latency > 0 && (fastest == 0 || latency < fastest)) fastest = latency;
   }
-  // Equals are taken in turn, so that callers do not all choose the same one.
+  // The scan starts at a random position, so that callers do not all choose the same one of several equal endpoints.
   const size_t first = random_.below(choices.size());
   for (size_t i = 0; i < choices.size(); ++i) {
     const auto* target = choices[(first + i) % choices.size()];
@@ -192,7 +192,7 @@
   state.failures = 0;
   const auto latencyUs = static_cast<double>(latency.count());
   const bool known = state.latencyUs > 0 && now - state.latencyAt <= options_.probeAfter;
-  // A slower answer counts at once, a faster one only gradually.
+  // A slower answer gets twice the weight of a faster one, so that the average rises faster than it falls.
   const double weight = known && latencyUs > state.latencyUs ? 2 * kLatencySmoothing : kLatencySmoothing;
   state.latencyUs = known ? state.latencyUs * (1 - weight) + latencyUs * weight : latencyUs;
   state.latencyAt = now;
--- a/src/routing/endpoint_picker.h
+++ b/src/routing/endpoint_picker.h
@@ -1,4 +1,4 @@
-/// Chooses an endpoint of a service by what this node has itself observed.
+/// Client-side load balancing: chooses an endpoint of a service from what this node has observed.
 #pragma once
 
 #include <map>
@@ -16,113 +16,114 @@
 enum class PickPolicy {
   kRoundRobin,
   kRandom,
-  kLeastInFlight,  ///< fewer own requests in flight, of two drawn at random
-  kLeastCost,      ///< smaller (latency × requests in flight), of two drawn at random
-  kNearestIdle,    ///< the own zone while it has slots to spare, else the endpoint with the most
+  kLeastInFlight,  ///< power of two choices: the one with fewer of this node's requests in flight
+  kLeastCost,      ///< power of two choices: the one with the smaller latency × requests in flight
+  kNearestIdle,    ///< the local zone while it has free slots, else the endpoint with the most free slots
 };
 
 /// Settings of the picker.
 struct PickerOptions {
   PickPolicy policy = PickPolicy::kLeastCost;
-  base::Duration slowStart = base::seconds(5);         ///< over which a new endpoint gets its full share
-  base::Duration latencyHalfLife = base::seconds(10);  ///< half-life of an observed latency
-  /// An endpoint without an answer for so long, and without a request, counts as one of unknown latency: what made it
-  /// slow may be over, and only a request can tell.
+  base::Duration slowStart = base::seconds(5);         ///< time over which a new endpoint ramps up to its full share
+  base::Duration latencyHalfLife = base::seconds(10);  ///< after which an observed latency counts half
+  /// The latency of an endpoint that has answered nothing for this long and has no request in flight counts as unknown:
+  /// the cause of the slowness may have passed, and only a request can show it.
   base::Duration probeAfter = base::seconds(2);
   int ejectAfterFailures = 5;  ///< consecutive failures
   base::Duration ejectFor = base::seconds(3);
   double maxEjectedShare = 0.5;   ///< of a service's endpoints
-  int defaultSlots = 16;          ///< of an endpoint that does not tell
-  double idleUtilization = 0.85;  ///< kNearestIdle: up to this share of busy slots endpoints count as equal
-  double crossZonePenalty = 0.5;  ///< kNearestIdle: share of busy slots that another zone counts more
-  size_t bodyBytesPerZonePenalty =
-      0;  ///< kNearestIdle: bytes of a body that count as another zone does, beside it; 0 for none
-  /// kNearestIdle: share of busy slots that the endpoint beside the node counts less, since a call there crosses no
-  /// link.
+  int defaultSlots = 16;          ///< of an endpoint that does not report its number of slots
+  double idleUtilization = 0.85;  ///< kNearestIdle: endpoints below this utilization (0 to 1) count as equally loaded
+  double crossZonePenalty = 0.5;  ///< kNearestIdle: utilization added to an endpoint in another zone
+  /// kNearestIdle: request body bytes that add crossZonePenalty once more to an endpoint in another zone; 0 ignores the
+  /// body size.
+  size_t bodyBytesPerZonePenalty = 0;
+  /// kNearestIdle: utilization subtracted from the endpoint on this node, since a call to it crosses no link.
   double colocationBonus = 0;
-  double slownessPenalty = 0.2;  ///< kNearestIdle: for each time that an endpoint is slower than the fastest
-  double maxSlowness = 3;        ///< kNearestIdle: times slower that are told apart
-  base::Duration loadReportHalfLife = base::milliseconds(500);  ///< half-life of what an endpoint said of its load
+  double slownessPenalty = 0.2;  ///< kNearestIdle: utilization added per multiple of the fastest latency
+  double maxSlowness = 3;        ///< kNearestIdle: upper bound of (latency / fastest latency - 1)
+  base::Duration loadReportHalfLife = base::milliseconds(500);  ///< after which a reported load counts half
 };
 
-/// State of all endpoints that this node uses, kept across table versions.
+/// Load, latency and health of all endpoints that this node uses, kept across table versions.
 ///
-/// Own observations lead: a load or a condition that others report can take an endpoint out of the choice, but
-/// never below half of a service's endpoints, and it never makes a slow endpoint look fast.
+/// Local observations take precedence over reports: reported load and availability can exclude endpoints, but at most
+/// maxEjectedShare of a service's endpoints, and never make a slow endpoint look fast.
 class EndpointPicker {
  public:
   EndpointPicker(PickerOptions options, const base::TimeSource& time, base::RandomSource random);
 
-  /// Chooses among a service's endpoints.
+  /// Chooses among a service's endpoints by the configured policy.
   /// @param excluded endpoints that were already tried for this request
+  /// @param rank priority of the request, lowest first; skips endpoints that recently refused a request of the same or
+  /// a higher priority because all slots were busy
+  /// @param bodyBytes size of a large request body, which makes endpoints in other zones less attractive; 0 for a small
+  /// body
   /// @return null when there is no candidate
-  /// @param rank how urgent the request is, lower first; endpoints that refused an equal or more urgent request for
-  /// want of slots are left out for a while
-  /// @param bodyBytes size of a body that is large enough to matter, which is to cross to another zone only where that
-  /// gains much; else 0
   const EndpointTarget* pick(const std::vector<EndpointTarget>& endpoints, const std::string& ownZone,
                              const std::set<std::string>& excluded, int rank = 0, size_t bodyBytes = 0);
 
-  /// Chooses the endpoint that a key puts first among those that take work, the same at all nodes that know the same.
+  /// Chooses an endpoint by rendezvous hashing over the usable endpoints; nodes with the same view choose the same one.
   /// @param excluded endpoints that were already tried for this request
-  /// @return null when none takes work
+  /// @return null when no endpoint is usable
   const EndpointTarget* pickByKey(uint64_t key, const std::vector<EndpointTarget>& endpoints,
                                   const std::set<std::string>& excluded);
 
-  /// @return whether a single endpoint takes work while others of the service are away.
+  /// @return whether the service has several endpoints, of which exactly one is usable.
   bool hasSingleUsableEndpoint(const std::vector<EndpointTarget>& endpoints);
 
-  /// A request was sent to an endpoint.
+  /// Counts a request that was sent to an endpoint.
   void onSent(const std::string& endpoint);
 
-  /// A request ended.
-  /// @param failed whether the endpoint, not the request, was at fault
+  /// Records the result of a request.
+  /// @param failed whether the request failed because of the endpoint
   void onDone(const std::string& endpoint, base::Duration latency, bool failed);
 
-  /// The endpoint told, with an answer, how many requests it runs or holds for all callers.
+  /// Records the number of requests, running and queued, that an endpoint reported for all its callers.
   void onLoadReport(const std::string& endpoint, int inFlight);
 
-  /// The endpoint's back end is known to be away: it is left out for as long as after failures in a row.
+  /// Excludes an endpoint for ejectFor, as after consecutive failures: its back end is known to be down.
   void eject(const std::string& endpoint);
 
-  /// The endpoint refused a request of this rank for want of slots, and is not asked again before the given time.
+  /// The endpoint refused a request of this rank because all slots were busy; it gets no request of the same or a lower
+  /// priority for the given time.
   void onFull(const std::string& endpoint, int rank, base::Duration backOff);
 
-  /// The endpoint refused a request since its body could not have crossed the endpoint's link in time; no other request
-  /// with a large body goes there for this time.
+  /// The endpoint refused a request because its link could not have carried the body in time; it gets no request with a
+  /// large body for the given time.
   void onLargeBodyRefused(const std::string& endpoint, base::Duration duration);
 
-  /// Forgets an endpoint that is gone for good.
+  /// Drops the state of a removed endpoint.
   void forget(const std::string& endpoint) { states_.erase(endpoint); }
 
-  /// A request ended without telling anything of the endpoint.
+  /// A request ended without a result that counts for or against the endpoint.
   void onAbandoned(const std::string& endpoint);
 
-  /// The connection to an endpoint's node opened or closed.
+  /// Sets whether the connection to the endpoint's node is open.
   void setConnected(const std::string& endpoint, bool connected);
 
-  /// The endpoint said, or a relay said of it, that it takes no new work, or that it does again.
+  /// Sets whether the endpoint accepts new requests, as reported by itself or by a relay.
   void setAvailable(const std::string& endpoint, bool available);
 
-  /// The endpoint's node does not acknowledge what is sent to it, or does so again.
+  /// Sets whether the endpoint's node has stopped acknowledging messages.
   void setUnresponsive(const std::string& endpoint, bool unresponsive) {
     states_[endpoint].unresponsive = unresponsive;
   }
 
-  /// The endpoint's node is this one: a call there crosses no link.
+  /// Marks an endpoint as served by this node: a call to it crosses no link.
   void setColocated(const std::string& endpoint) { states_[endpoint].colocated = true; }
 
   int inFlight(const std::string& endpoint) const;
 
-  /// @return the share of an endpoint's slots that is busy, as far as this node knows.
+  /// @return the estimated share of an endpoint's slots that is busy; may exceed 1.
   double utilization(const EndpointTarget& target);
 
  private:
   struct State {
     int inFlight = 0;
-    double latencyUs = 0;  // moving average; 0 while unknown
+    double latencyUs = 0;  // exponential moving average; 0 while unknown
     base::TimePoint latencyAt{};
-    double othersInFlight = 0;  // requests of other callers, when the endpoint last told
+    double othersInFlight = 0;  // requests of other callers in the last load report
     base::TimePoint reportedAt{};
     int failures = 0;  // consecutive
     base::TimePoint ejectedUntil{};
@@ -130,8 +131,8 @@
     bool available = true;
     bool unresponsive = false;
     bool colocated = false;
-    base::TimePoint slowStartAt{};  // when it was first connected
-    int refusedRank = 0;            // the most urgent rank that was refused, until refusedUntil
+    base::TimePoint slowStartAt{};  // start of the current slow start: connected or available again
+    int refusedRank = 0;            // highest priority (lowest rank) refused before refusedUntil
     base::TimePoint refusedUntil{};
     base::TimePoint bodiesRefusedUntil{};
   };
@@ -149,7 +150,7 @@
   const base::TimeSource& time_;
   base::RandomSource random_;
   std::map<std::string, State> states_;
-  uint64_t roundRobinIndex_ = 0;  // of round robin
+  uint64_t roundRobinIndex_ = 0;
 };
 
 }  // namespace driftlug::routing
--- a/src/routing/route_index.cc
+++ b/src/routing/route_index.cc
@@ -7,7 +7,7 @@
 namespace driftlug::routing {
 namespace {
 
-/// @return whether a path lies under a prefix, at a segment border.
+/// @return whether a path starts with a prefix that ends at a segment boundary.
 bool prefixMatches(std::string_view prefix, std::string_view path) {
   if (path.substr(0, prefix.size()) != prefix) return false;
   return path.size() == prefix.size() || prefix.back() == '/' || path[prefix.size()] == '/';
--- a/src/routing/route_index.h
+++ b/src/routing/route_index.h
@@ -1,4 +1,4 @@
-/// Routes by host, in versions that share what does not differ.
+/// Index of routes by host. Copies share the buckets that are unchanged.
 #pragma once
 
 #include <array>
@@ -14,7 +14,7 @@
 
 namespace driftlug::routing {
 
-/// A route, ready for use.
+/// A route row in the form used for matching.
 struct Route {
   std::string name;
   std::string host;
@@ -23,22 +23,24 @@
   std::vector<WeightedChoice> shares;
   bool repeatable = false;
   int timeoutMs = 0;
-  int maxAttempts = 0;      ///< 0 leaves it to the service's retry rule
-  int targetLatencyMs = 0;  ///< 0 when none is stated
-  int priority = 0;         ///< 0 is the most urgent
-  bool keyless = false;     ///< callers need no key, though there are tenants
+  int maxAttempts = 0;      ///< 0 uses the service's retry rule
+  int targetLatencyMs = 0;  ///< 0 when the table states none
+  int priority = 0;         ///< 0 is the highest priority
+  bool keyless = false;     ///< callers need no tenant key, even when there are tenants
 };
 
-/// A copy costs some hundreds of pointers at any number of routes; a change, the hosts that it touches.
+/// Routes in kBucketCount copy-on-write buckets: a copy costs one pointer per bucket whatever the number of routes, an
+/// update only the buckets of the changed hosts.
 class RouteIndex {
  public:
-  /// Takes all routes of a slice.
+  /// Replaces the index by all routes of a slice.
   void build(const table::Table& slice);
 
-  /// Takes the routes of some hosts anew.
+  /// Rebuilds the routes of the given hosts from a slice.
   void update(const table::Table& slice, const std::set<std::string>& hosts);
 
-  /// @return the route with the longest prefix, an exact method before any method; null when none matches.
+  /// @return the matching route with the longest prefix, preferring an exact method to a wildcard; null when none
+  /// matches.
   const Route* match(std::string_view host, std::string_view path, std::string_view method) const;
 
  private:
@@ -56,7 +58,7 @@
   static size_t bucketOf(std::string_view host);
   static std::shared_ptr<const Routes> buildRoutes(const table::Table& slice, std::string_view host);
 
-  std::array<std::shared_ptr<const Bucket>, kBucketCount> buckets_;  // null where there is no host
+  std::array<std::shared_ptr<const Bucket>, kBucketCount> buckets_;  // null for an empty bucket
 };
 
 }  // namespace driftlug::routing
--- a/src/routing/routing_table.cc
+++ b/src/routing/routing_table.cc
@@ -5,7 +5,7 @@
 namespace driftlug::routing {
 namespace {
 
-/// Calls back with each row of a kind.
+/// Calls `visit` with each row of a kind.
 template <typename Visit>
 void visitRows(const table::Table& slice, table::RowKind::type kind, Visit visit) {
   const auto& rows = slice.rows();
--- a/src/routing/routing_table.h
+++ b/src/routing/routing_table.h
@@ -1,4 +1,4 @@
-/// The table as a node runs it: one immutable version, compiled for lookups.
+/// Routing table of a node: one immutable version of its slice, indexed for lookups.
 #pragma once
 
 #include <map>
@@ -17,17 +17,17 @@
 
 namespace driftlug::routing {
 
-/// Weight of an endpoint that takes its full share.
+/// Weight of an endpoint that gets its full share of requests.
 constexpr int kFullWeight = 100;
 
-/// Where to reach one endpoint.
+/// Address and capacity of one endpoint.
 struct EndpointTarget {
   std::string name;
   std::string address;
   int port = 0;
   std::string zone;
   int weight = 0;
-  int slots = 0;        ///< requests that the back end works on at once; 0 when unknown
+  int slots = 0;        ///< requests that the back end runs concurrently; 0 when unknown
   std::string version;  ///< of the back end's software; empty when unknown
 };
 
@@ -37,13 +37,13 @@
   int maxQueued = 0;
 };
 
-/// How often a request may be sent again.
+/// Limits on retries of a request.
 struct RetryRule {
   int maxAttempts = 1;
   int budgetPercent = 0;
 };
 
-/// Limits of what callers may send; 0 where the table states none.
+/// Limits on requests from callers; 0 where the table states none.
 struct IngressLimits {
   int maxHeadBytes = 0;
   int64_t maxBodyBytes = 0;
@@ -51,20 +51,22 @@
   int idleTimeoutMs = 0;
 };
 
-/// One version of a node's slice. Never changed once built; requests keep the version they began with.
+/// One immutable version of a node's slice. A request keeps using the version it started with.
 class RoutingTable {
  public:
   explicit RoutingTable(const table::Table& slice, int64_t revision);
 
-  /// As a version built anew, at the cost of what differs.
-  /// @param before the version before, whose parts are shared where no row of theirs has changed
-  /// @param rows that differ between the versions
+  /// Builds a version from the previous one, rebuilding only the parts and hosts that changed; the result equals a full
+  /// build.
+  /// @param previousVersion shares its parts in which no row has changed
+  /// @param rows the rows that differ between the two versions
   RoutingTable(const RoutingTable& previousVersion, const table::Table& slice, int64_t revision,
                const table::ChangedRows& rows);
 
   int64_t revision() const { return revision_; }
 
-  /// @return the route with the longest prefix, an exact method before any method; null when none matches.
+  /// @return the matching route with the longest prefix, preferring an exact method to a wildcard; null when none
+  /// matches.
   const Route* match(std::string_view host, std::string_view path, std::string_view method) const {
     return routes_.match(host, path, method);
   }
@@ -82,23 +84,23 @@
 
   const tenants::tenant_directory& tenants() const { return *tenants_; }
 
-  /// @return whether back ends of a zone take no requests.
+  /// @return whether a zone is evacuated: its back ends get no requests.
   bool evacuated(const std::string& zone) const { return services_->evacuated.count(zone) > 0; }
 
-  /// @return requests a second that a cold back end of a service bears; 0 when the table does not say.
+  /// @return requests per second that a cold back end of a service can handle; 0 when the table states none.
   double coldPerS(const std::string& service) const;
 
-  /// @return connections that a service's back end takes at most; 0 when the table does not say.
+  /// @return the maximum number of connections to a service's back end; 0 when the table states none.
   int maxConnections(const std::string& service) const;
 
-  /// @return which versions of a service take requests; null where that is not known yet, and all do.
+  /// @return which versions of a service get requests; null when there is no rollout row and all versions do.
   const rollout::version_policy* versions(const std::string& service) const;
 
   /// @return the endpoints of all services that have any.
   const std::map<std::string, std::vector<EndpointTarget>>& endpointsByService() const { return services_->endpoints; }
 
  private:
-  /// What is neither a route nor a tenant.
+  /// Rows other than routes and tenants.
   struct Services {
     std::map<std::string, std::vector<EndpointTarget>> endpoints;  // by service
     std::map<std::string, ServiceLimit> limits;                    // by service
--- a/src/routing/weighted_split.h
+++ b/src/routing/weighted_split.h
@@ -1,4 +1,4 @@
-/// Weighted choice that is exact over time, not only on average.
+/// Deterministic weighted choice (smooth weighted round robin).
 #pragma once
 
 #include <cstdint>
@@ -14,16 +14,16 @@
   int64_t weight;
 };
 
-/// Smooth weighted round robin: after any n picks each choice was picked n·weight/sum times, give or take one.
+/// Smooth weighted round robin: after any n picks each choice was picked n·weight/sum times, within one.
 ///
-/// The position survives a change of weights, so that frequent edits do not favour the first choice.
+/// Credits are kept across a change of weights, so that frequent edits do not favour the first choice.
 class WeightedSplit {
  public:
-  /// @return the name picked, empty when no choice has a weight above 0.
+  /// @return the name of the picked choice; empty when no choice has a weight above 0.
   std::string pick(const std::vector<WeightedChoice>& choices);
 
  private:
-  std::map<std::string, int64_t> credit_;  // by name; sums to 0 between picks
+  std::map<std::string, int64_t> credit_;  // by name; the sum is 0 between picks
 };
 
 }  // namespace driftlug::routing
--- a/test/ledger/ledger_state_test.cc
+++ b/test/ledger/ledger_state_test.cc
@@ -30,7 +30,7 @@
   LedgerState state;
   CHECK(state.apply(command(LedgerAction::CLAIM, "k", "a")).verdict == LedgerVerdict::GRANTED);
   CHECK(state.apply(command(LedgerAction::CLAIM, "k", "b")).verdict == LedgerVerdict::CLAIMED);
-  // The owner's own repetition is the same claim.
+  // A repeated claim of the same owner is granted again.
   CHECK(state.apply(command(LedgerAction::CLAIM, "k", "a")).verdict == LedgerVerdict::GRANTED);
 }
 
@@ -55,7 +55,7 @@
   CHECK(state.apply(command(LedgerAction::RELEASE, "k", "b")).verdict == LedgerVerdict::MISMATCH);
   CHECK(state.apply(command(LedgerAction::RELEASE, "k", "a")).verdict == LedgerVerdict::GRANTED);
   CHECK(state.apply(command(LedgerAction::CLAIM, "k", "b")).verdict == LedgerVerdict::GRANTED);
-  // The first owner's late word about its lost claim changes nothing.
+  // A late COMPLETE of the first owner, whose claim was released, is refused.
   CHECK(state.apply(command(LedgerAction::COMPLETE, "k", "a")).verdict == LedgerVerdict::MISMATCH);
 }
 
@@ -67,7 +67,7 @@
   CHECK(state.apply(other).verdict == LedgerVerdict::MISMATCH);
 }
 
-TEST_CASE("keys are forgotten when their window ends, not before, and a clock that steps back forgets nothing") {
+TEST_CASE("keys are forgotten when their window ends, not before, and a clock that steps back removes none") {
   LedgerState state;
   state.apply(command(LedgerAction::CLAIM, "old", "a", 1000));
   state.apply(command(LedgerAction::CLAIM, "other", "a", 999 + kKeyRetentionMs));
@@ -79,7 +79,7 @@
   CHECK(state.find("other") != nullptr);
 }
 
-TEST_CASE("an answer is dropped before its key, and says so") {
+TEST_CASE("an answer is dropped before its key and reported as gone") {
   LedgerState state;
   state.apply(command(LedgerAction::CLAIM, "k", "a", 1000));
   state.apply(command(LedgerAction::COMPLETE, "k", "a", 1001));
--- a/test/routing/nearest_idle_test.cc
+++ b/test/routing/nearest_idle_test.cc
@@ -8,7 +8,7 @@
 namespace driftlug::routing {
 namespace {
 
-/// Four endpoints of ten slots: two in the own zone, two elsewhere.
+/// Four endpoints with ten slots each: two in the local zone, two in another.
 struct Fixture {
   Fixture() : picker(options(), time, base::RandomSource(3)) {
     for (const auto* name : {"own-1", "own-2", "far-1", "far-2"}) {
@@ -43,7 +43,8 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(Fixture, "requests stay in the own zone while it has slots to spare, then go where there are some") {
+TEST_CASE_METHOD(Fixture,
+                 "requests stay in the local zone while it has free slots, then go to endpoints with free slots") {
   const auto few = send(15);
   CHECK(few.count("far-1") + few.count("far-2") == 0);
   CHECK(few.at("own-1") >= 5);
@@ -52,7 +53,7 @@
   CHECK(more.at("far-1") + more.at("far-2") >= 10);
 }
 
-TEST_CASE_METHOD(Fixture, "on narrow links the endpoint beside the node comes first until it is far busier") {
+TEST_CASE_METHOD(Fixture, "on narrow links the endpoint on the same node is preferred until it is far busier") {
   auto colocatedFirst = options();
   colocatedFirst.colocationBonus = 0.4;
   EndpointPicker other(colocatedFirst, time, base::RandomSource(3));
@@ -69,7 +70,7 @@
   CHECK(picked["own-1"] <= 18);
 }
 
-TEST_CASE("a large body crosses to another zone only where that gains much") {
+TEST_CASE("a large body is sent to another zone only for a large gain") {
   const auto farPicks = [](size_t bodyBytes) {
     test::ManualTime time;
     auto options = Fixture::options();
@@ -91,7 +92,7 @@
   CHECK(farPicks(64U << 10) <= 2);
 }
 
-TEST_CASE_METHOD(Fixture, "what an endpoint told of its load counts, and fades") {
+TEST_CASE_METHOD(Fixture, "a reported load affects the choice and decays") {
   picker.onLoadReport("own-1", 20);
   picker.onLoadReport("own-2", 20);
   CHECK(send(1).count("own-1") == 0);
@@ -100,7 +101,7 @@
   CHECK(later.count("own-1") + later.count("own-2") == 1);
 }
 
-TEST_CASE_METHOD(Fixture, "an endpoint that is many times slower than the fastest is left for last") {
+TEST_CASE_METHOD(Fixture, "an endpoint that is many times slower than the fastest is chosen last") {
   for (const auto* name : {"own-1", "own-2", "far-1", "far-2"}) {
     picker.onSent(name);
     picker.onDone(name, base::milliseconds(std::string(name) == "own-1" ? 500 : 100), false);
@@ -108,7 +109,7 @@
   CHECK(send(6).count("own-1") == 0);
 }
 
-TEST_CASE_METHOD(Fixture, "a full endpoint is asked again by what is more urgent, or after the time") {
+TEST_CASE_METHOD(Fixture, "a full endpoint gets more urgent requests at once, and others after the back-off") {
   for (const auto* name : {"own-1", "own-2", "far-1"}) picker.onFull(name, 5, base::milliseconds(100));
   CHECK(picker.pick(endpoints, "own", {}, 5)->name == "far-2");
   CHECK(picker.pick(endpoints, "own", {}, 9)->name == "far-2");
--- a/test/routing/routing_test.cc
+++ b/test/routing/routing_test.cc
@@ -51,7 +51,7 @@
   return endpoints;
 }
 
-/// Serves requests one after another and returns the share that each endpoint got.
+/// Sends one request per millisecond and returns the number of requests that each endpoint got.
 std::map<std::string, int> serve(routing::PickPolicy policy, const std::map<std::string, int>& latencyMs,
                                  int requests) {
   test::ManualTime time;
@@ -86,7 +86,7 @@
   CHECK(serve(routing::PickPolicy::kLeastCost, latency, 4000)["e0"] < 200);
 }
 
-TEST_CASE("an endpoint that was slow for a while is asked again soon") {
+TEST_CASE("an endpoint that was slow for a while is probed again soon") {
   test::ManualTime time;
   routing::PickerOptions options;
   options.slowStart = base::Duration(0);
@@ -105,7 +105,7 @@
     picker.onDone(target->name, base::milliseconds(5), false);
     ++picked[target->name];
   }
-  // Two seconds after its slow answer it is asked, and each answer makes it cheaper.
+  // It is probed two seconds after its slow answer, and each fast answer lowers its cost.
   CHECK(picked["e0"] > 100);
 }
 
@@ -143,7 +143,7 @@
 }
 
 TEST_CASE("seven hops of retries in total overload stay within the budget") {
-  // Every hop tries up to three times; each attempt at one hop is a request at the next.
+  // Every hop makes up to three attempts; each attempt at one hop is a request at the next.
   double requests = 10'000;
   double product = 1;
   for (int hop = 0; hop < 7; ++hop) {
