--- a/src/ledger/ledger_client.h
+++ b/src/ledger/ledger_client.h
@@ -1,5 +1,5 @@
 /// A node's client of the ledger: sends commands through its relay to the leading controller and resends them until
-/// they are answered.
+/// they are answered or time out.
 #pragma once
 
 #include <functional>
--- a/src/table/row.h
+++ b/src/table/row.h
@@ -23,12 +23,12 @@
   uint64_t high = 0;
 };
 
-/// A row as tables hold it: never changed, hashed once.
+/// An immutable row with its hash.
 class StoredRow : public Row {
  public:
   explicit StoredRow(Row row);
 
-  /// As the row, but of another revision.
+  /// Copies a row under another revision.
   StoredRow(const Row& row, int64_t revision);
 
   const RowHash& hash() const { return hash_; }
@@ -37,13 +37,13 @@
   RowHash hash_;
 };
 
-/// Rows in tables are shared between tables and slices.
+/// Rows are shared between tables and slices.
 using RowPtr = std::shared_ptr<const StoredRow>;
 
-/// @return a row that a table can hold.
+/// @return an immutable row for use in tables.
 RowPtr storeRow(Row row);
 
-/// @return a row that a table can hold, as the one given but of another revision.
+/// @return an immutable copy of a row under another revision.
 RowPtr storeRow(const Row& row, int64_t revision);
 
 /// Orders keys by kind, then by name.
@@ -53,35 +53,35 @@
   }
 };
 
-/// Hashes keys, for containers without an order.
+/// Hashes keys for unordered containers.
 struct RowKeyHash {
   size_t operator()(const RowKey& key) const {
     return std::hash<std::string>()(key.name) * 31 + static_cast<size_t>(key.kind);
   }
 };
 
-/// @return the name of a kind in paths and files, such as `retry_policy`.
+/// @return the name of a kind as used in paths and files, such as `retry_policy`.
 std::string_view kindName(RowKind::type kind);
 
-/// @return the kind of that name, or 0 when there is none.
+/// @return the kind with this name; 0 when there is none.
 RowKind::type kindFromName(std::string_view name);
 
-/// @return a key.
+/// @return the key of a kind and a name.
 RowKey makeKey(RowKind::type kind, std::string name);
 
 /// @return `kind/name`, for logs and messages.
 std::string keyText(const RowKey& key);
 
-/// @return whether exactly the body that fits the kind is set (none for a deleted row).
+/// @return whether exactly the body of the row's kind is set (none for a deleted row).
 bool bodyMatchesKind(const Row& row);
 
-/// A digest over a set of rows that can be updated row by row in any order.
+/// Digest over a set of rows, updated incrementally and independent of the order of rows.
 class DigestSum {
  public:
   void add(const StoredRow& row);
   void remove(const StoredRow& row);
 
-  /// @return the digest of the rows added and not removed.
+  /// @return the digest of the rows that were added and not removed.
   Digest value() const;
 
   bool operator==(const DigestSum&) const = default;
--- a/src/table/row_change.h
+++ b/src/table/row_change.h
@@ -1,4 +1,4 @@
-/// Changes of a table that are rolled back unless they are committed.
+/// Transactional change of a table: rolled back unless committed.
 #pragma once
 
 #include <utility>
@@ -8,15 +8,15 @@
 
 namespace driftlug::table {
 
-/// Rows that changed together.
+/// The rows of one change, before and after it.
 struct ChangedRows {
-  std::vector<RowPtr> changed;   ///< as they are now, tombstones among them
-  std::vector<RowPtr> previous;  ///< the same rows before, null where there was none
+  std::vector<RowPtr> changed;   ///< the rows after the change, including tombstones
+  std::vector<RowPtr> previous;  ///< the same rows before the change; null where there was none
 
   bool empty() const { return changed.empty(); }
 };
 
-/// Changes rows in place, so that a refused change costs no copy of the table.
+/// Changes rows in place, so that a rejected change needs no copy of the table.
 class RowChange {
  public:
   explicit RowChange(Table* table) : table_(table), previousRevision_(table->revision()) {}
--- a/src/table/row_index.h
+++ b/src/table/row_index.h
@@ -1,4 +1,4 @@
-/// Indexes over the rows of a table: sets of rows in other orders than that of their keys.
+/// Secondary indexes over the rows of a table.
 #pragma once
 
 #include <set>
@@ -9,7 +9,7 @@
 
 namespace driftlug::table {
 
-/// What routes match on.
+/// Match condition of a route.
 struct RouteMatch {
   std::string_view host;
   std::string_view pathPrefix;
@@ -27,7 +27,7 @@
   bool operator()(const StoredRow* row, int64_t revision) const { return row->revision < revision; }
 };
 
-/// Orders endpoints, or limits, by the service that they are of, then by name.
+/// Orders endpoints or limits by service, then by name.
 struct ByService {
   using is_transparent = void;
   static std::string_view serviceOf(const StoredRow* row) {
@@ -41,7 +41,7 @@
   bool operator()(const StoredRow* row, std::string_view service) const { return serviceOf(row) < service; }
 };
 
-/// Orders routes by what they match on, the host first, then by name.
+/// Orders routes by match condition (host, path prefix, method), then by name.
 struct ByMatch {
   using is_transparent = void;
   static std::tuple<std::string_view, std::string_view, std::string_view> matchOf(const StoredRow* row) {
@@ -64,7 +64,7 @@
 using ServiceIndex = std::set<const StoredRow*, ByService>;
 using MatchIndex = std::set<const StoredRow*, ByMatch>;
 
-/// Rows of an index that belong to what was asked for; valid until the table changes.
+/// Range of index entries that match a lookup; valid until the table changes.
 template <typename Index>
 class IndexedRows {
  public:
--- a/src/table/row_json.cc
+++ b/src/table/row_json.cc
@@ -9,7 +9,7 @@
 using base::makeError;
 using nlohmann::json;
 
-/// Reads typed fields of one JSON object and remembers which were used.
+/// Reads typed fields of one JSON object and records which were read, in order to report unknown ones.
 class FieldReader {
  public:
   FieldReader(const RowKey& key, const json& fields) : key_(key), fields_(fields) {}
@@ -30,7 +30,7 @@
     *value = static_cast<int32_t>(wide);
   }
 
-  /// @return whether the field is there
+  /// @return whether the field is present
   bool fraction(const char* name, double* value) {
     const auto* field = take(name);
     if (field == nullptr) return false;
--- a/src/table/row_json.h
+++ b/src/table/row_json.h
@@ -1,4 +1,4 @@
-/// Rows as JSON objects, the form of the operators' interface and of table files.
+/// Conversion of rows from and to JSON, as used by the operator API and table files.
 #pragma once
 
 #include <absl/status/statusor.h>
@@ -10,11 +10,12 @@
 
 namespace driftlug::table {
 
-/// @return the row as `{kind, name, revision, …fields}`; secret values are replaced by their length unless asked for.
+/// @return the row as `{kind, name, revision, …fields}`. Secret values are replaced by their length, and tenant keys by
+/// their number, unless `withSecretValue` is set.
 nlohmann::json rowToJson(const Row& row, bool withSecretValue);
 
-/// Reads a row from the fields of its kind. Unknown fields and wrong types are refused.
-/// @return the row without a revision, or kBadRequestBody naming the field
+/// Reads a row from the fields of its kind. Unknown fields and wrong types are errors.
+/// @return the row without a revision, or kBadRequestBody that names the field
 absl::StatusOr<Row> rowFromJson(const RowKey& key, const nlohmann::json& fields);
 
 /// @return a problem as `{row, field, problem, message}`.
--- a/src/table/slice.cc
+++ b/src/table/slice.cc
@@ -42,8 +42,9 @@
   entries->erase(found);
 }
 
-/// Brings one key in line with the table.
-/// @param row selected under that key, null for none
+/// Updates the entry of one key after a change of the table.
+/// @param row the selected row with that key; null when there is none
+/// @return whether the entry changed
 bool Slice::reconcileRow(const RowKey& key, const RowPtr& row, int64_t now) {
   const auto member = members_.find(key);
   const auto before = member == members_.end() ? nullptr : member->second.row;
@@ -52,7 +53,7 @@
   if (row) {
     digest_.add(*row);
     erase(&removedRows_, key);
-    // Of the rows that are there when the slice begins only their own revisions are known.
+    // For rows present when the slice is first computed only their own revisions are known.
     putEntry(&members_, key, {row, now == firstRevision_ ? row->revision : now});
   } else {
     erase(&members_, key);
@@ -61,7 +62,7 @@
   return true;
 }
 
-/// Forgets the older half of the rows that left when there are too many.
+/// Drops the older half of the removed rows when there are more than kMaxTombstones.
 void Slice::trimRemovedRows() {
   if (removedRows_.size() <= kMaxTombstones) return;
   std::vector<int64_t> revisions;
--- a/src/table/slice.h
+++ b/src/table/slice.h
@@ -1,4 +1,4 @@
-/// Slices: the part of the table that one kind of node needs, and deltas between its versions.
+/// Slices: the subset of the table that nodes with one interest need, and deltas between its versions.
 #pragma once
 
 #include <map>
@@ -10,18 +10,18 @@
 
 namespace driftlug::table {
 
-/// The rows of one interest, with the revision at which each entered or left, so that a delta from any
-/// revision since the slice was first computed is exact. From an earlier one it is exact as long as the only rows that
-/// left were deleted, since the table's tombstones tell of those.
+/// The rows of one interest, each with the revision at which it entered or left the slice. Deltas from any revision
+/// since the slice was first computed are exact. A delta from an earlier revision is exact if all rows that left
+/// since then were deleted, since the table has tombstones for those.
 ///
-/// Invariants: the rows are those that the interest selects from the table given last; digest() covers them.
+/// Invariants: the rows are those that the interest selects from the last table passed in; digest() covers them.
 class Slice {
  public:
   Slice(Interest interest, const Table& table);
 
   const Interest& interest() const { return selection_.interest(); }
 
-  /// @return revision of the last change that touched the slice.
+  /// @return the revision of the last change that affected the slice.
   int64_t revision() const { return revision_; }
 
   Digest digest() const { return digest_.value(); }
@@ -30,20 +30,20 @@
   /// @return whether a row is part of the slice.
   bool contains(const RowKey& key) const { return members_.count(key) > 0; }
 
-  /// Follows a change of the table that was given last.
+  /// Applies a change of the table that was passed in last.
   /// @return whether the slice changed
   bool update(const Table& table, const ChangedRows& rows);
 
-  /// Computes the slice anew from a table.
+  /// Recomputes the slice from a table.
   /// @return whether it changed
   bool refresh(const Table& table);
 
-  /// @return rows that a reader at `fromRevision` lacks, tombstones for those that left; valid until the next change.
-  /// The delta is exact when fromRevision is at least firstRevision() and none of the rows that left
-  /// since is forgotten, else the reader's digest decides.
+  /// @return the rows that a reader at `fromRevision` lacks, with tombstones for rows that left the slice; valid until
+  /// the next change. The delta is exact if fromRevision is at least firstRevision() and no tombstone since then was
+  /// trimmed; otherwise the reader has to compare its digest.
   std::vector<const Row*> changedSince(int64_t fromRevision) const;
 
-  /// @return every row; valid until the next change.
+  /// @return all rows; valid until the next change.
   std::vector<const Row*> allRows() const;
 
   /// @return the revision at which the slice was first computed from a table that was not empty.
@@ -53,7 +53,7 @@
   /// A row of the slice, or the tombstone of one that left.
   struct Entry {
     RowPtr row;
-    int64_t since;  // revision at which it entered or left; before the slice began, the row's own
+    int64_t since;  // revision at which it entered or left; the row's own if that was before firstRevision_
   };
 
   struct BySince {
@@ -73,8 +73,8 @@
 
   SliceSelection selection_;
   Entries members_;                          // rows of the slice
-  Entries removedRows_;                      // tombstones of rows that left, kMaxTombstones at most
-  std::set<const Entry*, BySince> bySince_;  // of both
+  Entries removedRows_;                      // tombstones of rows that left, at most kMaxTombstones
+  std::set<const Entry*, BySince> bySince_;  // entries of members_ and removedRows_
   DigestSum digest_;
   int64_t firstRevision_ = 0;
   int64_t revision_ = 0;
--- a/src/table/slice_selection.cc
+++ b/src/table/slice_selection.cc
@@ -6,10 +6,10 @@
 namespace driftlug::table {
 namespace {
 
-/// Stands among the hosts of an interest for every host.
+/// Wildcard in Interest::hosts that selects all hosts.
 constexpr char kEveryHost[] = "*";
 
-/// Rows that concern every node, whatever routes it serves.
+/// @return whether rows of this kind are sent to all nodes, whatever routes they serve.
 bool isGlobalKind(RowKind::type kind) {
   return kind == RowKind::INGRESS || kind == RowKind::TENANT || kind == RowKind::EVACUATION;
 }
@@ -100,7 +100,7 @@
   }
 }
 
-/// Selects the rows of a service, or no longer, after its row or what needs it has changed.
+/// Updates the selection of a service and its rows after a change of its row or of the references to it.
 void SliceSelection::updateService(const Table& table, const std::string& name) {
   const bool routed = routedServices_.has(name);
   const bool wanted = routed || interest_.includesAllHosts() || hasName(interest_.services, name);
--- a/src/table/slice_selection.h
+++ b/src/table/slice_selection.h
@@ -1,4 +1,4 @@
-/// Which rows an interest needs, kept up to date as rows change.
+/// Incremental selection of the rows that an interest needs.
 #pragma once
 
 #include <map>
@@ -13,41 +13,42 @@
 
 using KeySet = std::set<RowKey, RowKeyLess>;
 
-/// What a node asks for: routes of the hosts it accepts calls for, and the services it runs beside.
+/// Subscription of a node: the hosts it accepts calls for and the services it is a sidecar of.
 struct Interest {
-  std::vector<std::string> hosts;     ///< sorted; routes with these hosts and all they need
-  std::vector<std::string> services;  ///< sorted; limits, policy and secrets of these services
+  std::vector<std::string> hosts;     ///< sorted; selects the routes of these hosts and all rows they refer to
+  std::vector<std::string> services;  ///< sorted; selects the limits, retry policy and secrets of these services
 
   bool operator==(const Interest&) const = default;
   auto operator<=>(const Interest&) const = default;
 
-  /// @return the interest in every host, and with them in every service.
+  /// @return the interest in all hosts, which includes all services.
   static Interest allHosts();
 
   bool includesAllHosts() const;
 };
 
-/// Counts the references from selected rows, so that a change costs what it touches and not what the table holds.
+/// Counts references from selected rows, so that the cost of a change depends on the affected rows and not on the size
+/// of the table.
 ///
-/// Invariant: selects() holds for exactly the rows of the table that the interest needs, directly or by references.
+/// Invariant: selects() is true for exactly the rows of the table that the interest needs, directly or by reference.
 class SliceSelection {
  public:
   explicit SliceSelection(Interest interest) : interest_(std::move(interest)) {}
 
   const Interest& interest() const { return interest_; }
 
-  /// Begins with all rows of a table.
+  /// Recomputes the selection from all rows of a table.
   void rebuild(const Table& table);
 
-  /// Takes a change of the table in.
-  /// @return the changed rows' keys, and those of rows that may be selected or not because of the change
+  /// Applies a change of the table.
+  /// @return the keys of the changed rows and of all rows whose selection may have changed
   KeySet apply(const Table& table, const ChangedRows& rows);
 
   /// @return whether a live row of the table is selected.
   bool selects(const StoredRow& row) const;
 
  private:
-  /// References by name.
+  /// Reference counts by name.
   class Counts {
    public:
     void add(const std::string& name) { ++counts_[name]; }
@@ -55,13 +56,13 @@
     bool has(const std::string& name) const { return counts_.count(name) > 0; }
 
    private:
-    std::map<std::string, int> counts_;  // above 0
+    std::map<std::string, int> counts_;  // positive counts only
   };
 
   /// A service whose rows are selected.
   struct Service {
-    RowPtr row;           // as it was when its references were counted
-    bool routed = false;  // a selected route needs it, so its endpoints are selected too
+    RowPtr row;           // version whose references are counted
+    bool routed = false;  // whether a selected route needs it; then its endpoints are selected too
   };
 
   bool matchesInterest(const StoredRow& row) const;
@@ -72,12 +73,12 @@
 
   Interest interest_;
   std::map<std::string, Service> services_;
-  Counts routedServices_;                  // by selected routes
-  Counts secrets_;                         // by selected routes and services
-  Counts policies_;                        // by selected services
-  std::set<std::string> pendingServices_;  // services that the change in progress touches
-  KeySet affectedKeys_;                    // by the change in progress
-  bool collectAffected_ = true;            // into touched_
+  Counts routedServices_;                  // references from selected routes
+  Counts secrets_;                         // references from selected routes and services
+  Counts policies_;                        // references from selected services
+  std::set<std::string> pendingServices_;  // services to update in the current change
+  KeySet affectedKeys_;                    // keys affected by the current change
+  bool collectAffected_ = true;            // false during rebuild()
 };
 
 }  // namespace driftlug::table
--- a/src/table/table.h
+++ b/src/table/table.h
@@ -11,31 +11,30 @@
 
 namespace driftlug::table {
 
-/// Deleted rows that are remembered, for readers that lack the deletion.
+/// Maximum number of tombstones kept for readers that have not seen the deletions.
 constexpr size_t kMaxTombstones = 20'000;
 
-/// @param revisions not empty
-/// @return a revision that half of them don't exceed.
+/// @param revisions must not be empty
+/// @return the median: at least half of the revisions do not exceed it.
 int64_t medianOf(std::vector<int64_t> revisions);
 
 using RowMap = std::map<RowKey, RowPtr, RowKeyLess>;
 
 /// All rows at one revision.
 ///
-/// Invariants: live and deleted rows are kept apart; a key is in at most one of them; no row's
-/// revision is above revision().
+/// Invariants: a key is in at most one of rows() and tombstones(); no row's revision exceeds revision().
 class Table {
  public:
   /// @return the revision of the last change.
   int64_t revision() const { return revision_; }
 
-  /// @return the live row, or null.
+  /// @return the live row; null when there is none.
   RowPtr find(const RowKey& key) const;
 
-  /// @return the live row or the tombstone, or null.
+  /// @return the live row or the tombstone; null when there is neither.
   RowPtr findAny(const RowKey& key) const;
 
-  /// @return the revision of the row or of its tombstone, 0 when the key was never used.
+  /// @return the revision of the row or of its tombstone, 0 when there is neither.
   int64_t rowRevision(const RowKey& key) const;
 
   const RowMap& rows() const { return rows_; }
@@ -56,27 +55,27 @@
   /// @return the routes that match on the same host, prefix and method, by name.
   IndexedRows<MatchIndex> routesWithSameMatch(const wire::RouteRow& route) const;
 
-  /// Puts a row or, when it is marked deleted, a tombstone; moves revision() up to the row's.
+  /// Inserts or replaces a row, or a tombstone when the row is marked deleted; raises revision() to the row's.
   /// @return what findAny() returned before
   RowPtr put(const RowPtr& row);
 
-  /// Takes back put(): sets a key to what findAny() returned before, and the revision to what it was.
+  /// Reverts put(): restores what findAny() returned for the key before, and the previous revision.
   void undoPut(const RowKey& key, const RowPtr& previous, int64_t previousRevision);
 
-  /// Sets the revision without a row change; it never moves back.
+  /// Raises the revision without a row change; a lower revision has no effect.
   void advanceTo(int64_t revision);
 
-  /// Forgets tombstones up to a revision.
+  /// Drops tombstones up to a revision, and raises the horizon to it.
   void dropTombstones(int64_t upTo);
 
-  /// Forgets the older half of the tombstones when there are more than kMaxTombstones; readers from before them get
-  /// everything.
+  /// Drops the older half of the tombstones when there are more than kMaxTombstones; readers at an older revision then
+  /// get the full table.
   void trimTombstones();
 
   /// @return rows and tombstones changed after a revision, in revision order; valid until the table changes.
   IndexedRows<RevisionIndex> changedSince(int64_t revision) const;
 
-  /// @return lowest revision from which changedSince() is complete.
+  /// @return the lowest revision from which changedSince() is complete.
   int64_t horizon() const { return horizon_; }
 
   /// Declares that changes up to a revision may be missing from changedSince().
--- a/src/table/table_observer.h
+++ b/src/table/table_observer.h
@@ -1,4 +1,4 @@
-/// Observer of the changes of a table.
+/// Observer of table changes.
 #pragma once
 
 #include "table/row_change.h"
@@ -9,10 +9,10 @@
  public:
   virtual ~TableObserver() = default;
 
-  /// Rows of the table have changed.
+  /// Called after rows of the table have changed.
   virtual void onTableChange(const ChangedRows& rows) = 0;
 
-  /// The whole table was replaced.
+  /// Called after the whole table was replaced.
   virtual void onTableReplaced() = 0;
 };
 
--- a/src/table/validator.cc
+++ b/src/table/validator.cc
@@ -85,7 +85,7 @@
 }
 
 void checkRate(const char* field, double value, RowProblems* problems) {
-  // Written so that a number that is none fails too.
+  // Negated, so that NaN is rejected too.
   if (!(value >= 0 && value <= kMaxRatePerS)) {
     problems->add(field, ProblemKind::kOutOfRange, "must be a number from 0 on");
   }
@@ -105,7 +105,7 @@
   if (tenant.__isset.burst) checkRate("burst", tenant.burst, problems);
 }
 
-/// A key that two tenants hold would make it a matter of luck whose requests are counted.
+/// Reports tenant keys that are used by two tenants: requests with such a key could be counted for either.
 void checkDuplicateTenantKeys(const Table& table, std::vector<Problem>* problems) {
   std::map<std::string_view, std::string_view> holders;  // tenants by key
   for (auto item = table.rows().lower_bound(makeKey(RowKind::TENANT, "")); item != table.rows().end(); ++item) {
@@ -120,7 +120,8 @@
   }
 }
 
-/// Equal match conditions are an error; the order (longest prefix, then exact method) decides all others.
+/// Reports routes with equal match conditions. All other overlaps are resolved by precedence (longest prefix, then
+/// exact method).
 void checkDuplicateRoutes(const Row& row, const Table& table, RowProblems* problems) {
   for (const auto* other : table.routesWithSameMatch(row.routeRow)) {
     if (other->key.name == row.key.name) continue;
@@ -135,7 +136,7 @@
   problems->add(field, ProblemKind::kUnknownReference, std::string(kindName(kind)) + " " + name + " does not exist");
 }
 
-/// Reports rows that still refer to a deleted one.
+/// Reports rows that still refer to a deleted row.
 void checkReferrers(const RowKey& deleted, const Table& table, std::vector<Problem>* problems) {
   for (const auto& [key, row] : table.rows()) {
     std::vector<Problem> found;
--- a/src/table/validator.h
+++ b/src/table/validator.h
@@ -1,4 +1,4 @@
-/// One validator for rows, used by the controller before acceptance, by nodes before activation and by
+/// Validation of rows, used by the controller before it accepts an edit, by nodes before they activate a slice and by
 /// `driftlugctl check`.
 #pragma once
 
@@ -9,7 +9,7 @@
 
 namespace driftlug::table {
 
-/// What is wrong with a row.
+/// Kinds of validation errors.
 enum class ProblemKind {
   kBadName,
   kWrongBody,
@@ -21,7 +21,7 @@
   kDanglingReference,
 };
 
-/// @return the stable lower-case name of a kind of problem.
+/// @return the stable lower-case name of a kind of problem, as used in the API.
 std::string_view problemName(ProblemKind kind);
 
 /// One problem with one field of one row.
@@ -43,23 +43,23 @@
 constexpr size_t kMaxNoteBytes = 64 << 10;
 constexpr size_t kMaxNameBytes = 200;
 constexpr size_t kMaxSecretBytes = 64 << 10;
-/// Of a tenant's requests; beyond what any fleet carries, and far from overflow.
+/// Maximum request rate of a tenant: more than any fleet handles, and far below numeric overflow.
 constexpr double kMaxRatePerS = 1e9;
 
 /// @return whether rows of other kinds may refer to rows of this one.
 bool isReferenceable(RowKind::type kind);
 
-/// Checks the fields of one row by themselves.
+/// Checks the fields of one row in isolation.
 void checkRow(const Row& row, std::vector<Problem>* problems);
 
-/// Checks all references from a row into a set of live rows.
+/// Checks that all rows that a row refers to exist in the table.
 void checkReferences(const Row& row, const Table& table, std::vector<Problem>* problems);
 
-/// Checks the table that results from an edit: the changed rows themselves, their references, and the rows
-/// that refer to deleted ones.
+/// Checks the table that results from an edit: the changed rows, their references, and the rows that refer to deleted
+/// ones.
 /// @param table the table after the edit
-/// @param changed the rows that the edit changed, tombstones among them
-/// @return every problem found, none when the edit is good
+/// @param changed the rows that the edit changed, including tombstones
+/// @return all problems found; empty when the edit is valid
 std::vector<Problem> checkEdit(const Table& table, const std::vector<RowPtr>& changed);
 
 /// Checks every row of a table.
--- a/src/wire/bulk_frames.cc
+++ b/src/wire/bulk_frames.cc
@@ -11,7 +11,7 @@
 using apache::thrift::transport::TMemoryBuffer;
 using CompactProtocol = TCompactProtocolT<TMemoryBuffer>;
 
-/// Field numbers of SliceUpdate and of TableUpdate, which are laid out alike.
+/// Field numbers of SliceUpdate and TableUpdate, which have the same layout.
 enum UpdateField : int16_t { kFromRevision = 1, kToRevision = 2, kFull = 3, kRows = 4, kDigest = 5 };
 
 /// Field numbers of AppendRequest.
@@ -28,7 +28,7 @@
 /// Field numbers of EditCommand.
 enum EditField : int16_t { kRequestId = 1, kAuthor = 2, kMutations = 3, kBaseRevision = 4 };
 
-/// Writes the fields of one struct, in the order of their numbers.
+/// Writes the fields of one struct, which must be written in the order of their numbers.
 class StructWriter {
  public:
   StructWriter() { protocol_.writeStructBegin(""); }
--- a/src/wire/bulk_frames.h
+++ b/src/wire/bulk_frames.h
@@ -1,4 +1,5 @@
-/// Frames that carry many rows or log entries, encoded from these where they are.
+/// Encoding of frames with many rows or log entries, directly from the caller's objects without copying them into a
+/// message.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +9,7 @@
 
 namespace driftlug::wire {
 
-/// What a message with rows says beside them.
+/// Fields of SliceUpdate and TableUpdate other than the rows.
 struct RowUpdateHeader {
   int64_t fromRevision = 0;
   int64_t toRevision = 0;
@@ -16,17 +17,17 @@
   Digest digest;
 };
 
-/// @return the frame of a SliceUpdate with these rows.
+/// @return the frame of a SliceUpdate with the given rows.
 FramePtr encodeSliceUpdate(const RowUpdateHeader& head, std::span<const Row* const> rows);
 
-/// @return the frame of a TableUpdate with these rows.
+/// @return the frame of a TableUpdate with the given rows.
 FramePtr encodeTableUpdate(const RowUpdateHeader& head, std::span<const Row* const> rows);
 
-/// @param head its own entries are left out
-/// @return the frame of an AppendRequest with these entries.
+/// @param head fields of the message; its own entries are ignored
+/// @return the frame of an AppendRequest with the given entries.
 FramePtr encodeAppendRequest(const AppendRequest& head, std::span<const LogEntry* const> entries);
 
-/// @return the encoding of an EditCommand that has these mutations and nothing else.
+/// @return the encoding of an EditCommand with the given mutations and default values for all other fields.
 std::string encodeMutations(const std::vector<Mutation>& mutations);
 
 }  // namespace driftlug::wire
--- a/src/wire/deflate.cc
+++ b/src/wire/deflate.cc
@@ -10,9 +10,10 @@
 
 constexpr int kCompressionLevel = 1;
 constexpr int kNoCompressionLevel = 0;
-constexpr int kRawWindowBits = -12;  // negative: no header; 4 KiB of what was sent before
-constexpr int kMemoryLevel = 4;      // 8 KiB of hash tables and pending bytes
-/// Of a longer frame only so much is searched for repetitions, which are in its head; the rest, a body, is stored.
+constexpr int kRawWindowBits = -12;  // negative: raw deflate without a header; 4 KiB window
+constexpr int kMemoryLevel = 4;      // 8 KiB for hash tables and pending output
+/// Of a frame over kLongFrameBytes only this prefix is compressed, since the redundancy is in the headers; the rest,
+/// the body, is stored uncompressed.
 constexpr size_t kCompressedHeadBytes = 2048;
 constexpr size_t kLongFrameBytes = 8192;
 constexpr size_t kChunkBytes = 4096;
--- a/src/wire/deflate.h
+++ b/src/wire/deflate.h
@@ -1,4 +1,4 @@
-/// Compression with zlib: of a stream of frames, flushed behind each frame, and of single pieces.
+/// zlib compression of single buffers and of a stream of frames that is flushed after each frame.
 #pragma once
 
 #include <absl/status/status.h>
@@ -10,14 +10,14 @@
 
 namespace driftlug::wire {
 
-/// @return the bytes, deflated by themselves at the fastest level.
+/// @return the bytes compressed as one independent zlib stream at the fastest level.
 std::string deflateBuffer(std::string_view bytes);
 
-/// @return what was deflated, or kBadFrame when the bytes are no such thing or would grow beyond `most`
+/// @return the decompressed bytes, or kBadFrame when the input is invalid or the result would exceed `maxBytes`
 absl::StatusOr<std::string> inflateBuffer(std::string_view bytes, size_t maxBytes);
 
-/// Compresses one direction of a connection. What was sent before serves as the dictionary of what follows, so that
-/// the heads of calls, which are much alike, shrink to a few bytes.
+/// Compresses one direction of a connection. Earlier frames serve as the dictionary of later ones, so that the similar
+/// headers of calls compress to a few bytes.
 class Deflater {
  public:
   Deflater();
@@ -25,7 +25,7 @@
   Deflater(const Deflater&) = delete;
   Deflater& operator=(const Deflater&) = delete;
 
-  /// @return the bytes from which the other side can restore all that was added so far.
+  /// @return compressed bytes, flushed so that the peer can decompress everything added so far.
   std::string add(std::string_view bytes);
 
  private:
@@ -34,7 +34,7 @@
   z_stream stream_{};
 };
 
-/// Restores one direction of a connection.
+/// Decompresses one direction of a connection.
 class Inflater {
  public:
   Inflater();
@@ -42,8 +42,9 @@
   Inflater(const Inflater&) = delete;
   Inflater& operator=(const Inflater&) = delete;
 
-  /// Restores what can be restored so far, and adds it to `out`.
-  /// @return OK, or kBadFrame when the bytes are no such stream or grow beyond the longest frame
+  /// Decompresses as much as possible of the input and appends it to `out`.
+  /// @return OK, kBadFrame when the stream is invalid, or kFrameTooLarge when the output of one call exceeds
+  /// kMaxFrameBytes
   absl::Status add(std::string_view bytes, std::string* out);
 
  private:
--- a/src/wire/frame.cc
+++ b/src/wire/frame.cc
@@ -16,7 +16,7 @@
 using apache::thrift::transport::TMemoryBuffer;
 using CompactProtocol = TCompactProtocolT<TMemoryBuffer>;
 
-/// Keeps its buffer between structs: most are rows and short messages.
+/// Encodes structs into a reused buffer, since most structs are rows and short messages.
 class Encoder {
  public:
   template <typename T>
@@ -72,7 +72,7 @@
 
 constexpr auto kDecoders = makeDecoders(std::make_index_sequence<std::variant_size_v<Message>>());
 
-/// In the order of Message.
+/// Message names, in the order of the alternatives of Message.
 constexpr std::string_view kMessageNames[] = {
     "Hello",         "VoteRequest",         "VoteResponse",   "AppendRequest",  "AppendResponse",
     "SnapshotChunk", "SnapshotChunkAck",    "TimeoutNow",     "RelaySubscribe", "NotLeader",
@@ -90,7 +90,7 @@
   return ((kind == kindOf<T>()) || ...);
 }
 
-/// Below this a frame is one or two packets anyway.
+/// Minimum size of a frame for packing: a shorter one fits into one or two packets anyway.
 constexpr size_t kMinPackedFrameBytes = 4096;
 
 size_t readLength(const char* bytes) {
@@ -201,7 +201,8 @@
   return rest;
 }
 
-/// There are many connections, and most are idle: none keeps the room of its largest message.
+/// Releases large buffers after use: there are many connections, most of them idle, and none should keep memory for its
+/// largest message.
 void FrameReader::releaseBuffer() {
   constexpr size_t kRetainedBytes = 2048;
   buffer_.clear();
--- a/src/wire/frame.h
+++ b/src/wire/frame.h
@@ -1,4 +1,4 @@
-/// Frames: a four-byte big-endian length, one byte of message type, then a Thrift compact struct.
+/// Frame format: four-byte big-endian length, one-byte message type, then a struct in Thrift compact encoding.
 #pragma once
 
 #include <absl/status/statusor.h>
@@ -13,7 +13,7 @@
 
 namespace driftlug::wire {
 
-/// Every message that travels between processes. The position is the type byte and never changes.
+/// All messages between processes. The index is the type byte on the wire and must never change.
 using Message =
     std::variant<Hello, VoteRequest, VoteResponse, AppendRequest, AppendResponse, SnapshotChunk, SnapshotChunkAck,
                  TimeoutNow, RelaySubscribe, NotLeader, TableUpdate, ControllerHeartbeat, ConfirmRequest, ConfirmReply,
@@ -22,16 +22,16 @@
                  LedgerReply, MemberList, RelayList, StartCompression, CallBodyGrant, CallBodyPiece, CallAccepted,
                  PackedFrame, CallWithdraw, CrashReports, VersionReports, SeenVersions, QuotaAsk, QuotaGrant>;
 
-/// An encoded frame, shared between the connections it is sent on.
+/// An encoded frame, shared by all connections that send it.
 using FramePtr = std::shared_ptr<const std::string>;
 
 constexpr size_t kLengthBytes = 4;
 constexpr size_t kHeaderBytes = kLengthBytes + 1;
-/// What a message is for, so that traffic can be counted by purpose.
+/// Purpose of a message, used to count traffic.
 enum class Purpose { kControl, kLog, kLedger, kCall };
 constexpr size_t kPurposes = 4;
 
-/// @return the purpose of a message by its type byte.
+/// @return the purpose of messages with a type byte.
 Purpose purposeOf(size_t kind);
 
 /// @return the type byte of a frame.
@@ -49,57 +49,58 @@
   }(static_cast<const Message*>(nullptr));
 }
 
-/// @return a frame of a message that is encoded already.
+/// @return a frame with a message that is already encoded.
 FramePtr makeFrame(size_t kind, std::string_view encoded);
 
-/// @return the name of a message as in the IDL, by its type byte; for logs.
+/// @return the IDL name of messages with a type byte, for logs.
 std::string_view messageName(size_t kind);
 
-/// Longest frame that a peer may send, in bytes.
+/// Maximum length of a frame from a peer, in bytes.
 constexpr size_t kMaxFrameBytes = 64U << 20;
-/// Longest string and longest list inside a frame.
+/// Maximum sizes of a string and of a list inside a frame.
 constexpr int kMaxStringBytes = 32 << 20;
 constexpr int kMaxListItems = 2'000'000;
 
-/// @return the message as a complete frame.
+/// @return the encoded frame of a message.
 FramePtr encodeFrame(const Message& message);
 
-/// Packs a frame that is worth it, for peers that take PackedFrame.
-/// @return the packed frame, or the given one where packing it gains nothing
+/// Compresses a frame, for peers that support PackedFrame.
+/// @return the packed frame, or the given one when it is short or packing does not make it smaller
 FramePtr packFrame(const FramePtr& frame);
 
-/// Decodes the part of a frame behind its length; a packed one is unpacked.
+/// Decodes a frame without its length prefix; unpacks a PackedFrame.
 /// @return the message, or kBadFrame
 absl::StatusOr<Message> decodeFrame(std::string_view typeAndPayload);
 
-/// @return a struct in Thrift compact form, without a frame around it.
+/// @return a struct in Thrift compact encoding, without a frame.
 template <typename T>
 std::string encodeStruct(const T& value);
 
-/// @return the struct, or kBadFrame
+/// @return the decoded struct, or kBadFrame
 template <typename T>
 absl::StatusOr<T> decodeStruct(std::string_view bytes);
 
-/// Cuts a stream of bytes into frames.
+/// Splits a byte stream into messages.
 class FrameReader {
  public:
-  /// Adds bytes as they arrived.
+  /// Appends received bytes.
   void append(std::string_view bytes) { buffer_.append(bytes); }
 
-  /// Takes the next whole message.
-  /// @return true when `message` was set, false when more bytes are needed, or the error that ends the stream
+  /// Extracts the next complete message.
+  /// @return true when `message` was set, false when more bytes are needed, or an error after which the stream is
+  /// unusable
   absl::StatusOr<bool> next(Message* message);
 
-  /// Takes the bytes that are not part of a message taken so far.
+  /// Removes and returns the bytes after the last extracted message.
   std::string takeRemainingBytes();
 
-  /// @return whether a message has begun and its rest is missing.
+  /// @return whether unread bytes remain: the beginning of an incomplete frame once next() has returned false.
   bool hasPartialFrame() const { return position_ < buffer_.size(); }
 
  private:
   void releaseBuffer();
 
-  std::string buffer_;   // bytes not yet taken, from position_ on
+  std::string buffer_;   // unread bytes from position_ on
   size_t position_ = 0;  // start of the next frame in buffer_
 };
 
--- a/test/ledger/ledger_state_test.cc
+++ b/test/ledger/ledger_state_test.cc
@@ -67,7 +67,7 @@
   CHECK(state.apply(other).verdict == LedgerVerdict::MISMATCH);
 }
 
-TEST_CASE("keys are forgotten when their window ends, not before, and a clock that steps back removes none") {
+TEST_CASE("keys are removed when their retention ends, not before, and a clock that steps back removes none") {
   LedgerState state;
   state.apply(command(LedgerAction::CLAIM, "old", "a", 1000));
   state.apply(command(LedgerAction::CLAIM, "other", "a", 999 + kKeyRetentionMs));
--- a/test/table/slice_test.cc
+++ b/test/table/slice_test.cc
@@ -29,7 +29,7 @@
   return base;
 }
 
-/// What an interest needs, by a walk over the whole table.
+/// Reference implementation: computes the keys that an interest needs from the whole table.
 class ReferenceSelection {
  public:
   ReferenceSelection(const table::Table& table, const table::Interest& interest) : table_(table) {
@@ -79,7 +79,7 @@
 
 }  // namespace
 
-TEST_CASE("a slice that follows changes holds what a walk over the whole table finds") {
+TEST_CASE("an incrementally updated slice equals a selection over the whole table") {
   const std::vector<table::Interest> interests = {{{"a"}, {}}, {{"a", "b"}, {"c"}}, {{}, {"a"}}, {{"*"}, {}}};
   for (uint64_t seed = 1; seed <= 40; ++seed) {
     test::RowDraw draw(seed);
@@ -97,7 +97,7 @@
   }
 }
 
-TEST_CASE("a slice holds routes and all that they need, and nothing else") {
+TEST_CASE("a slice holds routes and all rows that they need, and nothing else") {
   const auto table = twoServices();
   const table::Slice slice({{"h"}, {}}, table);
   CHECK(slice.contains(table::makeKey(RowKind::SECRET, "k1")));
@@ -106,7 +106,7 @@
   CHECK_FALSE(slice.contains(table::makeKey(RowKind::ENDPOINT, "e2")));
 }
 
-TEST_CASE("a route that turns to another service brings its old rows along") {
+TEST_CASE("a route moved to another service replaces the rows of its old service in the delta") {
   auto table = twoServices();
   table::Slice slice({{"h"}, {}}, table);
   table.put(test::routeRow("r", "h", "/", {{"s2", 100}}, 2));
@@ -118,7 +118,7 @@
   CHECK(after.find(table::makeKey(RowKind::SECRET, "k1")) == nullptr);
 }
 
-TEST_CASE("a slice that begins later still tells an earlier reader of rows that were deleted") {
+TEST_CASE("a slice created later still sends deletions to readers of an earlier revision") {
   auto table = twoServices();
   const auto reader = applyRows({}, table::Slice({{"*"}, {}}, table).allRows());
   table.put(test::routeRow("gone", "h", "/gone/", {{"s1", 100}}, 2));
@@ -129,11 +129,11 @@
   CHECK(slice.refresh(table));
   CHECK(applyRows(reader, slice.changedSince(1)).digest() == slice.digest());
   CHECK(applyRows(later, slice.changedSince(2)).digest() == slice.digest());
-  // Only what changed is told.
+  // Only changed rows are sent.
   CHECK(slice.changedSince(2).size() == 2);
 }
 
-TEST_CASE("a slice does not remember every row that ever left it") {
+TEST_CASE("a slice keeps a bounded number of tombstones") {
   auto table = twoServices();
   table::Slice slice({{"*"}, {}}, table);
   const auto live = slice.size();
--- a/test/table/table_test.cc
+++ b/test/table/table_test.cc
@@ -45,7 +45,7 @@
   CHECK_FALSE(left.digest() == right.digest());
 }
 
-TEST_CASE("undoPut takes a change back whole") {
+TEST_CASE("undoPut reverts a change completely") {
   table::Table table;
   table.put(test::endpointRow("e", "old", 1));
   const auto digest = table.digest();
@@ -68,7 +68,7 @@
   CHECK(table.changedSince(0).empty());
 }
 
-TEST_CASE("routes that match alike are found through every change, and no others are") {
+TEST_CASE("lookup of routes with the same match condition follows every change") {
   table::Table table;
   table.put(test::routeRow("a", "h", "/p/", {{"s", 100}}, 1));
   table.put(test::routeRow("b", "h", "/p/", {{"s", 100}}, 2, "GET"));
--- a/test/wire/deflate_test.cc
+++ b/test/wire/deflate_test.cc
@@ -8,7 +8,7 @@
 
 namespace driftlug::wire {
 
-TEST_CASE("what was added is restored behind each flush, whatever the pieces") {
+TEST_CASE("the stream is decompressed completely after each flush, however the input is split") {
   base::RandomSource random(5);
   Deflater deflater;
   Inflater inflater;
@@ -29,7 +29,7 @@
   }
 }
 
-TEST_CASE("heads that are much alike shrink to a fraction") {
+TEST_CASE("similar headers compress to a fraction of their size") {
   Deflater deflater;
   size_t last = 0;
   for (int i = 0; i < 5; ++i) {
@@ -45,7 +45,7 @@
   CHECK(last < 40);
 }
 
-TEST_CASE("heads shrink again behind a long body") {
+TEST_CASE("headers still compress after a long body") {
   Deflater deflater;
   Inflater inflater;
   std::string restored;
--- a/test/wire/frame_test.cc
+++ b/test/wire/frame_test.cc
@@ -108,7 +108,7 @@
         base::ErrorCode::kBadFrame);
 }
 
-TEST_CASE("frames of rows are encoded as the messages that they are") {
+TEST_CASE("bulk-encoded row frames equal the encoded messages") {
   wire::SliceUpdate slice;
   slice.fromRevision = 7;
   slice.toRevision = 9;
@@ -135,7 +135,7 @@
   CHECK(*wire::encodeTableUpdate(head, rows) == *wire::encodeFrame(table));
 }
 
-TEST_CASE("an append is encoded as the message that it is") {
+TEST_CASE("a bulk-encoded append equals the encoded message") {
   wire::AppendRequest append;
   append.term = 3;
   append.leader = "leader";
@@ -156,7 +156,7 @@
   CHECK(*wire::encodeAppendRequest(append, entries) == *wire::encodeFrame(append));
 }
 
-TEST_CASE("mutations are encoded as a command that has nothing else") {
+TEST_CASE("encoded mutations equal a command with mutations only") {
   wire::EditCommand command;
   command.mutations.resize(3);
   command.mutations[1].row.key.name = "name";
