--- a/src/routing/endpoint_picker.h
+++ b/src/routing/endpoint_picker.h
@@ -63,13 +63,14 @@
   const EndpointTarget* pick(const std::vector<EndpointTarget>& endpoints, const std::string& ownZone,
                              const std::set<std::string>& excluded, int rank = 0, size_t bodyBytes = 0);
 
-  /// Chooses an endpoint by rendezvous hashing over the usable endpoints; nodes with the same view choose the same one.
+  /// Chooses an endpoint by rendezvous hashing; nodes with the same view choose the same one. Considers endpoints with
+  /// a weight above 0 that are connected, available, responsive and not ejected.
   /// @param excluded endpoints that were already tried for this request
-  /// @return null when no endpoint is usable
+  /// @return null when there is none
   const EndpointTarget* pickByKey(uint64_t key, const std::vector<EndpointTarget>& endpoints,
                                   const std::set<std::string>& excluded);
 
-  /// @return whether the service has several endpoints, of which exactly one is usable.
+  /// @return whether the service has several endpoints, of which exactly one is connected, available and not ejected.
   bool hasSingleUsableEndpoint(const std::vector<EndpointTarget>& endpoints);
 
   /// Counts a request that was sent to an endpoint.
