--- a/src/node/control_client.cc
+++ b/src/node/control_client.cc
@@ -421,7 +421,7 @@
 }
 
 void ControlClient::persist(int64_t revision, std::function<void()> done) {
-  wire::RowFrameHead head;
+  wire::RowUpdateHeader head;
   head.full = true;
   head.toRevision = revision;
   head.digest = slices_.rows().digest();
--- a/src/node/endpoint_links.cc
+++ b/src/node/endpoint_links.cc
@@ -341,8 +341,8 @@
   link.lastReceivedAt = scheduler_.now();
   link.unacknowledgedSince.reset();
   link.silent = false;
-  picker_.setSilent(endpoint->second, false);
-  if (peer.id == options_.nodeId) picker_.setBeside(endpoint->second);
+  picker_.setUnresponsive(endpoint->second, false);
+  if (peer.id == options_.nodeId) picker_.setColocated(endpoint->second);
   log_.info("link endpoint={} address={}:{} up", endpoint->second, link.address.host, link.address.port);
   picker_.setConnected(endpoint->second, true);
 }
@@ -394,7 +394,7 @@
   link.unacknowledgedSince.reset();
   if (!link.silent) return;
   link.silent = false;
-  picker_.setSilent(found->second, false);
+  picker_.setUnresponsive(found->second, false);
   log_.info("link endpoint={} responds again", found->second);
 }
 
@@ -422,7 +422,7 @@
   if (readUntil - *link->unacknowledgedSince >= kReplaceConnectionAfter) return replaceConnection(endpoint, link);
   if (link->silent || readUntil - *link->unacknowledgedSince < kSilenceTimeout) return;
   link->silent = true;
-  picker_.setSilent(endpoint, true);
+  picker_.setUnresponsive(endpoint, true);
   log_.warn("link endpoint={} is silent, {} calls in progress", endpoint, picker_.inFlight(endpoint));
   onSilent_(link->connection, endpoint);
 }
--- a/src/node/entry_calls_hedging.cc
+++ b/src/node/entry_calls_hedging.cc
@@ -55,7 +55,7 @@
 
 const routing::EndpointTarget* EntryCalls::pickIdleEndpoint(const Call& call) {
   const auto* target = pickEndpoint(call);
-  const bool idle = target != nullptr && picker_.busyShare(*target) < options_.hedgeIdleShare;
+  const bool idle = target != nullptr && picker_.utilization(*target) < options_.hedgeIdleShare;
   return idle ? target : nullptr;
 }
 
--- a/src/node/entry_calls_quarantine.cc
+++ b/src/node/entry_calls_quarantine.cc
@@ -38,13 +38,13 @@
 /// All nodes pick the same endpoint for a request, where its copies queue behind each other. A crashing request thus
 /// takes down two back ends of a service at most, the second one on probation, however many callers send it.
 void EntryCalls::attemptOnProbation(CallId id, Call* call) {
-  const auto* target = picker_.pickFor(fingerprintOfCall(call).low, candidatesFor(*call), call->tried);
+  const auto* target = picker_.pickByKey(fingerprintOfCall(call).low, candidatesFor(*call), call->tried);
   if (target == nullptr) {
     if (!call->tried.empty()) return finish(id, call->lastFailure);
     return finish(id, failureAnswer(CallOutcome::NOT_RUN, ErrorCode::kNoEndpoint, kUnavailableStatus,
                                     base::millisecondsOf(withJitter(options_.overloadRetryAfter))));
   }
-  const bool isOnlyEndpoint = picker_.onlyOneTakesWork(candidatesFor(*call));
+  const bool isOnlyEndpoint = picker_.hasSingleUsableEndpoint(candidatesFor(*call));
   if (isOnlyEndpoint &&
       quarantine_->history().timeSinceLastCrash(fingerprintOfCall(call)) < kLastEndpointProbationDelay) {
     return finish(id, failureAnswer(CallOutcome::NOT_RUN, ErrorCode::kOnProbation, kUnavailableStatus,
--- a/src/node/slice_store.cc
+++ b/src/node/slice_store.cc
@@ -18,7 +18,7 @@
 bool changedReferencesResolve(const table::ChangedRows& change, const table::Table& rows) {
   std::vector<table::Problem> problems;
   for (const auto& row : change.changed) {
-    if (row->deleted && table::mayBeReferredTo(row->key.kind)) return allReferencesResolve(rows);
+    if (row->deleted && table::isReferenceable(row->key.kind)) return allReferencesResolve(rows);
     if (!row->deleted) table::checkReferences(*row, rows, &problems);
   }
   return problems.empty();
--- a/src/table/validator.cc
+++ b/src/table/validator.cc
@@ -29,7 +29,7 @@
   std::vector<Problem>* problems_;
 };
 
-bool nameIsGood(const std::string& name) {
+bool isValidName(const std::string& name) {
   if (name.empty() || name.size() > kMaxNameBytes) return false;
   for (const char c : name) {
     const auto byte = static_cast<unsigned char>(c);
@@ -85,7 +85,7 @@
 }
 
 void checkRate(const char* field, double value, RowProblems* problems) {
-  // Written so that a number that is none fails too.
+  // Negated, so that NaN is rejected too.
   if (!(value >= 0 && value <= kMaxRatePerS)) {
     problems->add(field, ProblemKind::kOutOfRange, "must be a number from 0 on");
   }
@@ -105,8 +105,8 @@
   if (tenant.__isset.burst) checkRate("burst", tenant.burst, problems);
 }
 
-/// A key that two tenants hold would make it a matter of luck whose requests are counted.
-void checkSharedKeys(const Table& table, std::vector<Problem>* problems) {
+/// Reports tenant keys that are used by two tenants: requests with such a key could be counted for either.
+void checkDuplicateTenantKeys(const Table& table, std::vector<Problem>* problems) {
   std::map<std::string_view, std::string_view> holders;  // tenants by key
   for (auto item = table.rows().lower_bound(makeKey(RowKind::TENANT, "")); item != table.rows().end(); ++item) {
     const auto& [rowKey, row] = *item;
@@ -120,9 +120,10 @@
   }
 }
 
-/// Equal match conditions are an error; the order (longest prefix, then exact method) decides all others.
-void checkOtherRoutes(const Row& row, const Table& table, RowProblems* problems) {
-  for (const auto* other : table.routesMatchingLike(row.routeRow)) {
+/// Reports routes with equal match conditions. All other overlaps are resolved by precedence (longest prefix, then
+/// exact method).
+void checkDuplicateRoutes(const Row& row, const Table& table, RowProblems* problems) {
+  for (const auto* other : table.routesWithSameMatch(row.routeRow)) {
     if (other->key.name == row.key.name) continue;
     problems->add("path_prefix", ProblemKind::kDuplicateMatch,
                   "same host, prefix and method as route " + other->key.name);
@@ -135,7 +136,7 @@
   problems->add(field, ProblemKind::kUnknownReference, std::string(kindName(kind)) + " " + name + " does not exist");
 }
 
-/// Reports rows that still refer to a deleted one.
+/// Reports rows that still refer to a deleted row.
 void checkReferrers(const RowKey& deleted, const Table& table, std::vector<Problem>* problems) {
   for (const auto& [key, row] : table.rows()) {
     std::vector<Problem> found;
@@ -152,7 +153,7 @@
 
 }  // namespace
 
-bool mayBeReferredTo(RowKind::type kind) {
+bool isReferenceable(RowKind::type kind) {
   return kind == RowKind::SERVICE || kind == RowKind::SECRET || kind == RowKind::RETRY_POLICY;
 }
 
@@ -180,7 +181,7 @@
 
 void checkRow(const Row& row, std::vector<Problem>* problems) {
   RowProblems out(row.key, problems);
-  if (!nameIsGood(row.key.name)) out.add("name", ProblemKind::kBadName, "letters, digits, '-', '_' and '.' only");
+  if (!isValidName(row.key.name)) out.add("name", ProblemKind::kBadName, "letters, digits, '-', '_' and '.' only");
   if (!bodyMatchesKind(row)) {
     out.add("kind", ProblemKind::kWrongBody, "the body does not fit the kind");
     return;
@@ -235,10 +236,10 @@
   std::vector<Problem> problems;
   const bool tenants =
       std::any_of(changed.begin(), changed.end(), [](const RowPtr& row) { return row->key.kind == RowKind::TENANT; });
-  if (tenants) checkSharedKeys(table, &problems);
+  if (tenants) checkDuplicateTenantKeys(table, &problems);
   for (const auto& row : changed) {
     if (row->deleted) {
-      if (mayBeReferredTo(row->key.kind)) checkReferrers(row->key, table, &problems);
+      if (isReferenceable(row->key.kind)) checkReferrers(row->key, table, &problems);
       continue;
     }
     checkRow(*row, &problems);
@@ -246,7 +247,7 @@
     checkReferences(*row, table, &problems);
     if (!row->__isset.routeRow) continue;
     RowProblems out(row->key, &problems);
-    checkOtherRoutes(*row, table, &out);
+    checkDuplicateRoutes(*row, table, &out);
   }
   return problems;
 }
