--- a/apps/control_api_client.cc
+++ b/apps/control_api_client.cc
@@ -10,8 +10,8 @@
 namespace driftlug::apps {
 namespace {
 
-constexpr base::Duration kTryTimeout = base::seconds(2);
-constexpr base::Duration kPause = base::milliseconds(50);
+constexpr base::Duration kAttemptTimeout = base::seconds(2);
+constexpr base::Duration kRetryDelay = base::milliseconds(50);
 constexpr int kRedirect = 307;
 constexpr int kUnavailable = 503;
 constexpr int kGatewayTimeout = 504;
@@ -52,7 +52,7 @@
 ControlApiClient::ControlApiClient(SyncHttp& http, std::vector<base::Address> controllers, base::Duration timeout)
     : http_(http), controllers_(std::move(controllers)), timeout_(timeout) {}
 
-base::Address ControlApiClient::nextController() { return controllers_[position_++ % controllers_.size()]; }
+base::Address ControlApiClient::nextController() { return controllers_[nextIndex_++ % controllers_.size()]; }
 
 ApiAnswer ControlApiClient::request(const std::string& method, const std::string& path, const std::string& body) {
   const auto until = http_.loop().now() + timeout_;
@@ -67,17 +67,17 @@
     request.body = body;
     const auto left = std::chrono::duration_cast<base::Duration>(until - http_.loop().now());
     const bool waits = path.find("wait_ms=") != std::string::npos;
-    const auto result = http_.call(address, std::move(request), waits ? left : std::min(kTryTimeout, left));
+    const auto result = http_.call(address, std::move(request), waits ? left : std::min(kAttemptTimeout, left));
     if (result.outcome == transport::HttpOutcome::kCompleted) {
       last = toAnswer(result.response);
       if (last.status == kRedirect) {
         address = locationAddress(transport::findHeader(result.response.headers, "location"), address);
         continue;
       }
-      const bool undecided = last.status == kUnavailable || last.status == kGatewayTimeout;
-      if (!undecided) return last;
+      const bool retryable = last.status == kUnavailable || last.status == kGatewayTimeout;
+      if (!retryable) return last;
     }
-    http_.wait(kPause);
+    http_.wait(kRetryDelay);
     address = nextController();
   }
   return last;
--- a/apps/control_api_client.h
+++ b/apps/control_api_client.h
@@ -37,7 +37,7 @@
   SyncHttp& http_;
   std::vector<base::Address> controllers_;
   base::Duration timeout_;
-  size_t position_ = 0;
+  size_t nextIndex_ = 0;
 };
 
 /// @return a request id that no other call makes.
--- a/apps/controller_daemon.cc
+++ b/apps/controller_daemon.cc
@@ -157,9 +157,9 @@
 }
 
 /// The relay within a controller's process; it serves the table of that controller.
-class InnerRelay {
+class EmbeddedRelay {
  public:
-  InnerRelay(transport::EventLoop& loop, controller::Controller& controller)
+  EmbeddedRelay(transport::EventLoop& loop, controller::Controller& controller)
       : controller_(controller),
         frames_(loop, "relay"),
         relay_(options(), loop, base::RandomSource(processSeed()), frames_) {
@@ -169,9 +169,9 @@
     controller.observeTable(&relay_);
   }
 
-  ~InnerRelay() { controller_.observeTable(nullptr); }
-  InnerRelay(const InnerRelay&) = delete;
-  InnerRelay& operator=(const InnerRelay&) = delete;
+  ~EmbeddedRelay() { controller_.observeTable(nullptr); }
+  EmbeddedRelay(const EmbeddedRelay&) = delete;
+  EmbeddedRelay& operator=(const EmbeddedRelay&) = delete;
 
   void startOrExit() {
     if (const auto status = frames_.listen(FLAGS_listen_host, FLAGS_relay_port); !status.ok()) exitWithError(status);
@@ -182,7 +182,7 @@
 
  private:
   static relay::RelayOptions options() {
-    constexpr base::Duration kLongLease = base::seconds(30);
+    constexpr base::Duration kEndpointLease = base::seconds(30);
     relay::RelayOptions options;
     options.id = FLAGS_name + "-relay";
     options.zone = FLAGS_zone;
@@ -191,8 +191,8 @@
     options.nodeHeartbeat = base::milliseconds(FLAGS_relay_heartbeat_ms);
     options.listening = {FLAGS_listen_host, FLAGS_relay_port};
     // Nodes see for themselves whether an endpoint is in reach; one that has lost its relay still takes calls.
-    options.endpointLease = kLongLease;
-    options.peerLease = kLongLease;
+    options.endpointLease = kEndpointLease;
+    options.peerLease = kEndpointLease;
     return options;
   }
 
@@ -235,8 +235,8 @@
   controller::HttpApi api(controller, loop);
   controller.onConvergenceReport([&api] { api.onConvergenceChanged(); });
   frames.setHandler(&controller);
-  std::unique_ptr<InnerRelay> innerRelay;
-  if (FLAGS_relay_port > 0) innerRelay = std::make_unique<InnerRelay>(loop, controller);
+  std::unique_ptr<EmbeddedRelay> embeddedRelay;
+  if (FLAGS_relay_port > 0) embeddedRelay = std::make_unique<EmbeddedRelay>(loop, controller);
   ExtraPages extraPages;
   if (makeExtraPages) extraPages = makeExtraPages(controller);
 
@@ -256,7 +256,7 @@
     constexpr base::Duration kStopTime = base::milliseconds(300);
     admin.setStopping();
     controller.prepareStop();
-    if (innerRelay) innerRelay->relay().prepareStop();
+    if (embeddedRelay) embeddedRelay->relay().prepareStop();
     loop.schedule(kStopTime, [&loop] { loop.stop(); });
   };
   const auto reload = [&] {
@@ -271,9 +271,9 @@
     }
     const auto http = httpAddress();
     admin.listenOrExit(http.host, http.port);
-    if (innerRelay) innerRelay->startOrExit();
+    if (embeddedRelay) embeddedRelay->startOrExit();
   });
-  if (innerRelay) loop.onOverslept([&innerRelay](base::Duration) { innerRelay->relay().onAway(); });
+  if (embeddedRelay) loop.onOverslept([&embeddedRelay](base::Duration) { embeddedRelay->relay().onAway(); });
   loop.run();
   return 0;
 }
--- a/apps/ctl_main.cc
+++ b/apps/ctl_main.cc
@@ -116,7 +116,7 @@
 
   int apply(const Arguments& arguments) {
     json edits;
-    if (const int code = changesOf(arguments, &edits); code != kDone) return code;
+    if (const int code = diffWithTable(arguments, &edits); code != kDone) return code;
     if (edits.empty()) {
       std::printf("nothing differs\n");
       return kDone;
@@ -126,7 +126,7 @@
 
   int diff(const Arguments& arguments) {
     json edits;
-    if (const int code = changesOf(arguments, &edits); code != kDone) return code;
+    if (const int code = diffWithTable(arguments, &edits); code != kDone) return code;
     for (const auto& item : edits) {
       std::printf("%s %s/%s %s\n", item["expected_revision"] == 0 ? "+" : "~", item["kind"].get<std::string>().c_str(),
                   item["name"].get<std::string>().c_str(), item["row"].dump().c_str());
@@ -143,13 +143,13 @@
     return waitFor(revision);
   }
 
-  int drain(const Arguments&) { return askNode(FLAGS_undo ? "DELETE" : "POST", "/drain"); }
+  int drain(const Arguments&) { return requestNode(FLAGS_undo ? "DELETE" : "POST", "/drain"); }
 
-  int held(const Arguments&) { return askNode("GET", "/quarantine"); }
+  int held(const Arguments&) { return requestNode("GET", "/quarantine"); }
 
   int release(const Arguments& arguments) {
     if (arguments.size() != 1) return usageError("release needs a REQUEST, as held lists it");
-    return askNode("DELETE", "/quarantine/" + arguments[0]);
+    return requestNode("DELETE", "/quarantine/" + arguments[0]);
   }
 
   int evacuate(const Arguments& arguments) {
@@ -199,10 +199,11 @@
   }
 
   int waitFor(int64_t revision) {
-    constexpr int kStepMs = 500;
+    constexpr int kLongPollMs = 500;
     const auto until = http_.loop().now() + base::milliseconds(FLAGS_timeout_ms);
     while (true) {
-      const auto path = "/v1/revisions/" + std::to_string(revision) + "/convergence?wait_ms=" + std::to_string(kStepMs);
+      const auto path =
+          "/v1/revisions/" + std::to_string(revision) + "/convergence?wait_ms=" + std::to_string(kLongPollMs);
       const auto answer = client_.request("GET", path, "");
       if (answer.status != 200) return printAnswer(answer);
       const bool everywhere = answer.body.value("everywhere", false);
@@ -218,7 +219,7 @@
   }
 
   /// Compares a file with the table.
-  int changesOf(const Arguments& arguments, json* edits) {
+  int diffWithTable(const Arguments& arguments, json* edits) {
     if (arguments.size() != 1) return usageError("a FILE is needed");
     const auto rows = apps::readTableFile(arguments[0]);
     if (!rows.ok()) {
@@ -248,7 +249,7 @@
   }
 
   /// Asks a page of the node that --node names.
-  int askNode(const std::string& method, const std::string& path) {
+  int requestNode(const std::string& method, const std::string& path) {
     if (FLAGS_node.empty()) return usageError("--node HOST:PORT is needed");
     transport::HttpRequest request;
     request.method = method;
--- a/apps/ctl_output.cc
+++ b/apps/ctl_output.cc
@@ -25,14 +25,14 @@
   }
 }
 
-int printAnswer(const ApiAnswer& answer, bool asOneLine) {
+int printAnswer(const ApiAnswer& answer, bool compact) {
   if (answer.status == 0) std::fprintf(stderr, "not_accepted: no controller answered in time\n");
-  if (answer.status != 0) std::printf("%s\n", answer.body.dump(asOneLine ? -1 : 2).c_str());
+  if (answer.status != 0) std::printf("%s\n", answer.body.dump(compact ? -1 : 2).c_str());
   return exitCodeFor(answer);
 }
 
-int usageError(const std::string& sentence) {
-  std::fprintf(stderr, "bad_flag: %s\n", sentence.c_str());
+int usageError(const std::string& message) {
+  std::fprintf(stderr, "bad_flag: %s\n", message.c_str());
   return kBadInput;
 }
 
--- a/apps/ctl_output.h
+++ b/apps/ctl_output.h
@@ -27,10 +27,10 @@
 
 /// Prints an answer's body, or why there is none.
 /// @return its exit code
-int printAnswer(const ApiAnswer& answer, bool asOneLine);
+int printAnswer(const ApiAnswer& answer, bool compact);
 
 /// Prints what is wrong with the arguments.
 /// @return kBadInput
-int usageError(const std::string& sentence);
+int usageError(const std::string& message);
 
 }  // namespace driftlug::apps
--- a/apps/endpoint_health.h
+++ b/apps/endpoint_health.h
@@ -38,8 +38,8 @@
   }
 
   /// Takes no new work, or takes it again.
-  void setDrainAsked(bool asked) {
-    drainAsked_ = asked;
+  void setDrainRequested(bool requested) {
+    drainRequested_ = requested;
     update();
   }
 
@@ -52,14 +52,14 @@
     pool_.send(request, interval * 2, [this, interval](const transport::HttpResult& result) {
       // Only a clear word of the back end counts; a lost health check says nothing of requests.
       const bool answered = result.outcome == transport::HttpOutcome::kCompleted;
-      backendDrains_ = answered && result.response.status == 503;
+      backendDraining_ = answered && result.response.status == 503;
       update();
       timer_.start(interval);
     });
   }
 
   void update() {
-    const bool draining = drainAsked_ || backendDrains_;
+    const bool draining = drainRequested_ || backendDraining_;
     calls_.setDraining(draining);
     const auto condition = draining ? wire::EndpointCondition::DRAINING : wire::EndpointCondition::LIVE;
     if (condition == state_.condition) return;
@@ -72,8 +72,8 @@
   transport::HttpClientPool pool_;
   base::Timer timer_;
   wire::EndpointState state_;
-  bool drainAsked_ = false;
-  bool backendDrains_ = false;
+  bool drainRequested_ = false;
+  bool backendDraining_ = false;
 };
 
 }  // namespace driftlug::apps
--- a/apps/node_daemon.cc
+++ b/apps/node_daemon.cc
@@ -7,7 +7,6 @@
 
 #include "base/error.h"
 #include "base/settings.h"
-#include "connect_presence.h"
 #include "endpoint_health.h"
 #include "entry_server.h"
 #include "http_backend.h"
@@ -19,6 +18,7 @@
 #include "node_settings.h"
 #include "quarantine_page.h"
 #include "storage/posix_disk.h"
+#include "tcp_presence_check.h"
 #include "transport/frame_transport.h"
 
 DECLARE_string(backend);
@@ -53,15 +53,15 @@
 constexpr int kOkStatus = 200;
 /// Calls of tenants with a limit wait for permits. Calls that come within some milliseconds share a question; one that
 /// is not answered in the time of an election or two is refused.
-constexpr quota::quota_queue_options kQuotaTimes{base::milliseconds(5), base::milliseconds(700),
-                                                 base::milliseconds(250)};
+constexpr quota::quota_queue_options kQuotaQueueOptions{base::milliseconds(5), base::milliseconds(700),
+                                                        base::milliseconds(250)};
 /// For the back end to say which of two incarnations it is. It is on this machine: one that has just started answers
 /// within milliseconds, and calls to it wait no longer than this.
 constexpr base::Duration kIdentityTimeout = base::milliseconds(200);
 
 /// @param well whether the back end is well; if so, and it names no time, it is not cold
 /// @return how much longer the back end is cold, if its answer tells
-std::optional<int> coldMsIn(const std::vector<wire::HttpHeader>& headers, bool well) {
+std::optional<int> remainingColdMs(const std::vector<wire::HttpHeader>& headers, bool well) {
   const std::string text(transport::findHeader(headers, FLAGS_cold_header));
   int coldMs = 0;
   if (absl::SimpleAtoi(text, &coldMs)) return coldMs;
@@ -208,7 +208,8 @@
   base::Address backendAddress() const;
   size_t backendConnections(int connections) const;
   void onActivation(const routing::RoutingTablePtr& table);
-  void onDrainPage(const transport::HttpRequest& request, const std::function<void(transport::HttpResponse)>& respond);
+  void onDrainRequest(const transport::HttpRequest& request,
+                      const std::function<void(transport::HttpResponse)>& respond);
   void onTerminate();
   void onReload();
   void onOverslept(base::Duration late);
@@ -219,9 +220,9 @@
   size_t unsentBytes() const override { return entryServer_.server().unsentBytes() + callFrames_.unsentBytes(); }
   void end() override { loop_.stop(); }
   void onBackendCrash(uint64_t crash, const std::vector<quarantine::crashed_run>& runs);
-  void askForIdentity();
-  void askWhetherCold();
-  void askBackend(base::Duration timeout, node::LocalBackend::IdentityCallback done);
+  void queryIdentity();
+  void queryColdState();
+  void queryBackend(base::Duration timeout, node::LocalBackend::IdentityCallback done);
   DaemonPages pages();
 
   transport::EventLoop loop_;
@@ -241,7 +242,7 @@
   node::LocalBackend localBackend_;
   quarantine::request_quarantine quarantine_{loop_};
   quota::quota_queue quotas_;
-  ConnectPresence presence_;
+  TcpPresenceCheck presenceCheck_;
   quarantine::crash_watch crashWatch_;
   EntryServer entryServer_;
   AdminServer admin_;
@@ -269,11 +270,12 @@
       versionReporter_(FLAGS_service, loop_, base::RandomSource(random_.bits()), endpoint_,
                        [this](const wire::Message& message) { return control_.sendVersions(message); }),
       health_(loop_, control_, endpoint_, backendAddress()),
-      localBackend_(placeFromSettings(), loop_, endpoint_,
+      localBackend_(endpointStateFromSettings(), loop_, endpoint_,
                     [this](const wire::EndpointState& state) { control_.announce(state); }),
-      quotas_(loop_, kQuotaTimes, [this](const wire::QuotaAsk& question) { return control_.askForPermits(question); }),
-      presence_(loop_, backendAddress()),
-      crashWatch_(loop_, base::RandomSource(random_.bits()), presence_,
+      quotas_(loop_, kQuotaQueueOptions,
+              [this](const wire::QuotaAsk& question) { return control_.askForPermits(question); }),
+      presenceCheck_(loop_, backendAddress()),
+      crashWatch_(loop_, base::RandomSource(random_.bits()), presenceCheck_,
                   [this](uint64_t crash, const auto& runs) { onBackendCrash(crash, runs); }),
       entryServer_(loop_, entry_, entryHeadersFromSettings(), shares_.callers),
       admin_(loop_, pages()) {
@@ -304,7 +306,7 @@
   endpoint_.onWrongIncarnation([this](const std::string& endpoint) { localBackend_.onWrongEndpoint(endpoint); });
   endpoint_.onBackendContact([this](bool reached) { localBackend_.onContact(reached); });
   endpoint_.onRunEnded([this](const node::EndedRun& run) { versionReporter_.onRun(run); });
-  endpoint_.onDoubtedWarmth([this] { askWhetherCold(); });
+  endpoint_.onDoubtedWarmth([this] { queryColdState(); });
   localBackend_.onBackend([this](const std::string& endpoint, const node::BackendReport& report) {
     endpoint_.onColdTold(base::milliseconds(report.coldMs), false);
     versionReporter_.useBackend(endpoint, report.version, report.slots, report.coldMs);
@@ -313,7 +315,7 @@
   if (makeReportPages) reportPages_ = makeReportPages(localBackend_);
   if (!FLAGS_identity_header.empty()) {
     localBackend_.setIdentityCheck(
-        [this](node::LocalBackend::IdentityCallback done) { askBackend(kIdentityTimeout, std::move(done)); },
+        [this](node::LocalBackend::IdentityCallback done) { queryBackend(kIdentityTimeout, std::move(done)); },
         !FLAGS_first_start);
   }
 }
@@ -332,7 +334,7 @@
   };
   pages.other = [this](const transport::HttpRequest& request, const auto& respond) {
     if (isQuarantinePage(request.path)) return respond(answerQuarantinePage(request, &quarantine_));
-    onDrainPage(request, respond);
+    onDrainRequest(request, respond);
   };
   return pages;
 }
@@ -355,12 +357,12 @@
   return std::min(wanted, shares_.backend);
 }
 
-void NodeDaemon::onDrainPage(const transport::HttpRequest& request,
-                             const std::function<void(transport::HttpResponse)>& respond) {
+void NodeDaemon::onDrainRequest(const transport::HttpRequest& request,
+                                const std::function<void(transport::HttpResponse)>& respond) {
   if (request.path != "/drain" || request.method == "GET") {
     return respond(transport::jsonResponse(404, "{\"error\":\"row_not_found\",\"message\":\"no such path\"}\n"));
   }
-  health_.setDrainAsked(request.method == "POST");
+  health_.setDrainRequested(request.method == "POST");
   respond(transport::jsonResponse(
       200, "{\"result\":\"" + std::string(endpoint_.draining() ? "draining" : "live") + "\"}\n"));
 }
@@ -391,8 +393,8 @@
   if (hasBackend() && !reportServer_) health_.start();
   if (reportServer_ && !FLAGS_identity_header.empty()) {
     // A back end that starts with its node tells of itself soon; one that was there before may take a while.
-    constexpr base::Duration kPatience = base::milliseconds(30);
-    loop_.schedule(kPatience, [this] { askForIdentity(); });
+    constexpr base::Duration kFirstReportDelay = base::milliseconds(30);
+    loop_.schedule(kFirstReportDelay, [this] { queryIdentity(); });
   }
   if (!FLAGS_first_start) endpoint_.doubtWarmth();
   loop_.onOverslept([this](base::Duration late) { onOverslept(late); });
@@ -408,17 +410,17 @@
   localBackend_.onCrash();
 }
 
-void NodeDaemon::askForIdentity() {
+void NodeDaemon::queryIdentity() {
   constexpr base::Duration kTimeout = base::milliseconds(500);
   if (FLAGS_first_start || !localBackend_.incarnation().empty()) return;
-  askBackend(kTimeout, [this](const node::BackendIdentity& identity) {
+  queryBackend(kTimeout, [this](const node::BackendIdentity& identity) {
     if (identity.well) localBackend_.onIdentified(identity.incarnation);
   });
 }
 
-void NodeDaemon::askWhetherCold() {
+void NodeDaemon::queryColdState() {
   if (FLAGS_cold_header.empty()) return;
-  askBackend(kIdentityTimeout, [this](const node::BackendIdentity& identity) {
+  queryBackend(kIdentityTimeout, [this](const node::BackendIdentity& identity) {
     log_.info("{} was asked whether it is cold: well={} cold_ms={}", identity.incarnation, identity.well,
               identity.coldMs.value_or(-1));
     if (identity.coldMs) endpoint_.onColdTold(base::milliseconds(*identity.coldMs), true);
@@ -426,7 +428,7 @@
 }
 
 /// @param timeout after which it counts as not having said anything
-void NodeDaemon::askBackend(base::Duration timeout, node::LocalBackend::IdentityCallback done) {
+void NodeDaemon::queryBackend(base::Duration timeout, node::LocalBackend::IdentityCallback done) {
   if (!identityPool_) {
     transport::HttpPoolOptions options;
     options.maxConnections = 2;  // the question at the start, and one about a report
@@ -447,7 +449,7 @@
       identity.incarnation = std::string(transport::findHeader(headers, FLAGS_identity_header));
       identity.well = kOkStatus == result.response.status;
       identity.leaving = !identity.well && !refused;
-      identity.coldMs = coldMsIn(headers, identity.well);
+      identity.coldMs = remainingColdMs(headers, identity.well);
     }
     done(identity);
   });
@@ -473,7 +475,7 @@
   if (reportServer_) {
     localBackend_.setStopping();
   } else if (hasBackend()) {
-    health_.setDrainAsked(true);
+    health_.setDrainRequested(true);
   }
   stop_.begin();
 }
--- a/apps/node_settings.cc
+++ b/apps/node_settings.cc
@@ -88,11 +88,11 @@
 /// @return how long a planned stop may take.
 base::Duration stopTimeoutFromSettings() {
   /// From the last answer until the process is gone: its turn on a busy tenth of a core, and the close of connections.
-  constexpr base::Duration kTimeToEnd = base::milliseconds(500);
+  constexpr base::Duration kExitMargin = base::milliseconds(500);
   const base::Duration timeout = base::milliseconds(FLAGS_stop_timeout_ms);
   if (FLAGS_stop_grace_s <= 0) return timeout;
   const auto grace = std::chrono::duration<double>(FLAGS_stop_grace_s);
-  const auto untilKilled = std::chrono::duration_cast<base::Duration>(grace) - kTimeToEnd;
+  const auto untilKilled = std::chrono::duration_cast<base::Duration>(grace) - kExitMargin;
   return std::clamp(untilKilled, base::Duration(0), timeout);
 }
 
@@ -105,20 +105,21 @@
 /// with its call. One that takes longer is worth the round trip: sent to a back end that then refuses it, it has held
 /// up all that waits for the link for nothing. Links are taken to be alike.
 size_t inlineBodyBytesFromSettings() {
-  constexpr int64_t kMostBytes = 4096;
-  constexpr double kSecondsOfLink = 0.004;
+  constexpr int64_t kMaxInlineBytes = 4096;
+  constexpr double kMaxTransferSeconds = 0.004;
   const auto link = linkBytesPerSecondFromSettings();
-  if (link == 0) return kMostBytes;
-  return static_cast<size_t>(std::min(kMostBytes, static_cast<int64_t>(kSecondsOfLink * static_cast<double>(link))));
+  if (link == 0) return kMaxInlineBytes;
+  return static_cast<size_t>(
+      std::min(kMaxInlineBytes, static_cast<int64_t>(kMaxTransferSeconds * static_cast<double>(link))));
 }
 
 /// Where links are narrow, four in ten requests of a loaded fleet can run beside the node that takes them: of 42,000
 /// requests on links of 1 Mbit/s those served in time rise by 0.03 (mean of six loaded days, one play each). On links
 /// of 1 Gbit/s it only makes the choice worse: 0.01 less on two fleets.
-double besideGainFromSettings() {
-  constexpr double kNarrowMbps = 20;
-  constexpr double kGain = 0.4;
-  return FLAGS_link_mbps > 0 && FLAGS_link_mbps < kNarrowMbps ? kGain : 0;
+double localEndpointGainFromSettings() {
+  constexpr double kNarrowLinkMbps = 20;
+  constexpr double kNarrowLinkGain = 0.4;
+  return FLAGS_link_mbps > 0 && FLAGS_link_mbps < kNarrowLinkMbps ? kNarrowLinkGain : 0;
 }
 
 }  // namespace
@@ -159,7 +160,7 @@
   options.fullFor = base::milliseconds(FLAGS_full_for_ms);
   options.overloadRetryAfter = base::milliseconds(FLAGS_overload_retry_after_ms);
   if (FLAGS_prefer_zone) options.picker.policy = routing::PickPolicy::kNearestIdle;
-  options.picker.besideGain = besideGainFromSettings();
+  options.picker.besideGain = localEndpointGainFromSettings();
   options.picker.otherZonePenalty = FLAGS_zone_penalty_percent / 100.0;
   options.picker.slownessPenalty = FLAGS_slowness_penalty_percent / 100.0;
   options.picker.bodyBytesPerPenalty = static_cast<size_t>(FLAGS_body_kib_per_zone_penalty) << 10;
@@ -239,14 +240,14 @@
   return listenAddressOrExit("frame_listen", FLAGS_frame_listen, FLAGS_listen_host, FLAGS_frame_port);
 }
 
-wire::EndpointState placeFromSettings() {
+wire::EndpointState endpointStateFromSettings() {
   const auto frames = frameAddressFromSettings();
-  wire::EndpointState place;
-  place.serviceName = FLAGS_service;
-  place.address = frames.host;
-  place.port = frames.port;
-  place.zone = FLAGS_zone;
-  return place;
+  wire::EndpointState state;
+  state.serviceName = FLAGS_service;
+  state.address = frames.host;
+  state.port = frames.port;
+  state.zone = FLAGS_zone;
+  return state;
 }
 
 }  // namespace driftlug::apps
--- a/apps/node_settings.h
+++ b/apps/node_settings.h
@@ -29,6 +29,6 @@
 descriptors::descriptor_shares descriptorSharesFromSettings();
 
 /// @return where others reach the endpoint beside this node.
-wire::EndpointState placeFromSettings();
+wire::EndpointState endpointStateFromSettings();
 
 }  // namespace driftlug::apps
--- a/apps/rollout_command.cc
+++ b/apps/rollout_command.cc
@@ -40,17 +40,17 @@
 }
 
 int RolloutCommand::run(const Arguments& arguments) {
-  const auto what = arguments.empty() ? std::string("status") : arguments[0];
-  if ("status" == what && 2 >= arguments.size()) {
+  const auto subcommand = arguments.empty() ? std::string("status") : arguments[0];
+  if ("status" == subcommand && 2 >= arguments.size()) {
     return show(2 == arguments.size() ? arguments[1] : "");
   }
-  if ("start" == what && 3 == arguments.size()) {
+  if ("start" == subcommand && 3 == arguments.size()) {
     return start(arguments[1], arguments[2]);
   }
-  if ("abort" == what && 2 == arguments.size()) {
+  if ("abort" == subcommand && 2 == arguments.size()) {
     return printAnswer(client_.request("DELETE", pathOf(arguments[1]), ""), settings_.json);
   }
-  if ("watch" == what && 2 == arguments.size()) {
+  if ("watch" == subcommand && 2 == arguments.size()) {
     return watch(arguments[1]);
   }
   return usageError(
--- a/apps/table_file.cc
+++ b/apps/table_file.cc
@@ -23,9 +23,9 @@
   try {
     document = toml::parse_file(path);
   } catch (const toml::parse_error& error) {
-    std::ostringstream place;
-    place << path << ": " << error.description() << " at line " << error.source().begin.line;
-    return makeError(ErrorCode::kBadRequestBody, place.str());
+    std::ostringstream location;
+    location << path << ": " << error.description() << " at line " << error.source().begin.line;
+    return makeError(ErrorCode::kBadRequestBody, location.str());
   }
   std::ostringstream text;
   text << toml::json_formatter{document};
@@ -51,10 +51,10 @@
   return out;
 }
 
-absl::StatusOr<int> cellNumber(const std::string& place, const std::string& text) {
+absl::StatusOr<int> cellNumber(const std::string& location, const std::string& text) {
   int value = 0;
   if (absl::SimpleAtoi(text, &value)) return value;
-  return makeError(ErrorCode::kBadRequestBody, place + ": '" + text + "' is no whole number");
+  return makeError(ErrorCode::kBadRequestBody, location + ": '" + text + "' is no whole number");
 }
 
 /// Header `route,service,weight`: the shares of each route named.
@@ -74,16 +74,16 @@
   std::map<std::string, json> fields;
   for (int number = 2; std::getline(stream, line); ++number) {
     if (absl::StripAsciiWhitespace(line).empty()) continue;
-    const auto place = path + ":" + std::to_string(number);
+    const auto location = path + ":" + std::to_string(number);
     const auto values = cells(line);
-    if (values.size() != 3) return makeError(ErrorCode::kBadRequestBody, place + ": three cells are needed");
-    const auto second = cellNumber(place, weights ? values[2] : values[1]);
+    if (values.size() != 3) return makeError(ErrorCode::kBadRequestBody, location + ": three cells are needed");
+    const auto second = cellNumber(location, weights ? values[2] : values[1]);
     if (!second.ok()) return second.status();
     if (weights) {
       fields[values[0]]["shares"][values[1]] = *second;
       continue;
     }
-    const auto third = cellNumber(place, values[2]);
+    const auto third = cellNumber(location, values[2]);
     if (!third.ok()) return third.status();
     fields[values[0]] = {{"max_concurrent", *second}, {"max_queued", *third}};
   }
--- a/apps/connect_presence.cc
+++ b/apps/tcp_presence_check.cc
@@ -1,4 +1,4 @@
-#include "connect_presence.h"
+#include "tcp_presence_check.h"
 
 #include <utility>
 
@@ -11,22 +11,22 @@
 
 }  // namespace
 
-ConnectPresence::~ConnectPresence() {
+TcpPresenceCheck::~TcpPresenceCheck() {
   if (stream_) stream_->close();
 }
 
-void ConnectPresence::check(std::function<void(quarantine::presence)> done) {
+void TcpPresenceCheck::check(std::function<void(quarantine::presence)> done) {
   done_ = std::move(done);
   transport::StreamOptions options;
   options.connectTimeout = kTimeout;
   stream_ = transport::TcpStream::connect(loop_, address_, this, options);
 }
 
-void ConnectPresence::onClosed(bool) {
+void TcpPresenceCheck::onClosed(bool) {
   finish(stream_->refused() ? quarantine::presence::gone : quarantine::presence::unknown);
 }
 
-void ConnectPresence::finish(quarantine::presence found) {
+void TcpPresenceCheck::finish(quarantine::presence found) {
   std::exchange(stream_, nullptr)->close();
   std::exchange(done_, nullptr)(found);
 }
--- a/apps/connect_presence.h
+++ b/apps/tcp_presence_check.h
@@ -10,10 +10,10 @@
 
 namespace driftlug::apps {
 
-class ConnectPresence : public quarantine::back_end_presence, private transport::StreamHandler {
+class TcpPresenceCheck : public quarantine::back_end_presence, private transport::StreamHandler {
  public:
-  ConnectPresence(transport::EventLoop& loop, base::Address address) : loop_(loop), address_(std::move(address)) {}
-  ~ConnectPresence() override;
+  TcpPresenceCheck(transport::EventLoop& loop, base::Address address) : loop_(loop), address_(std::move(address)) {}
+  ~TcpPresenceCheck() override;
 
   void check(std::function<void(quarantine::presence)> done) override;
 
--- a/apps/trace_command.cc
+++ b/apps/trace_command.cc
@@ -9,7 +9,7 @@
 namespace {
 
 /// @return whether a line names the call, not another one whose id only begins alike.
-bool names(const std::string& line, const std::string& callId) {
+bool mentionsCall(const std::string& line, const std::string& callId) {
   const std::string field = "call=" + callId;
   for (auto at = line.find(field); at != std::string::npos; at = line.find(field, at + 1)) {
     const auto end = at + field.size();
@@ -27,7 +27,7 @@
     std::ifstream in(file);
     std::string line;
     while (std::getline(in, line)) {
-      if (!names(line, callId)) continue;
+      if (!mentionsCall(line, callId)) continue;
       const auto blank = line.find(' ');
       lines.push_back({line.substr(0, blank), file, blank == std::string::npos ? "" : line.substr(blank + 1)});
     }
--- a/test/apps/quarantine_page_test.cc
+++ b/test/apps/quarantine_page_test.cc
@@ -3,31 +3,32 @@
 #include <catch2/catch.hpp>
 #include <nlohmann/json.hpp>
 
-#include "connect_presence.h"
 #include "simulation/process.h"
+#include "tcp_presence_check.h"
 
 namespace driftlug::apps {
 namespace {
 
-constexpr quarantine::request_fingerprint kGuilty{1, 2};
+constexpr quarantine::request_fingerprint kCrashingRequest{1, 2};
 
 struct Fixture {
   Fixture() : process(queue, "node", {"zone", "region"}, {"10.0.0.1", 1}) {
     process.start();
-    known = std::make_unique<quarantine::request_quarantine>(process);
-    known->onNews([this](const auto& reports) { news.insert(news.end(), reports.begin(), reports.end()); });
+    requestQuarantine = std::make_unique<quarantine::request_quarantine>(process);
+    requestQuarantine->onNews(
+        [this](const auto& reports) { crashReports.insert(crashReports.end(), reports.begin(), reports.end()); });
   }
 
-  transport::HttpResponse ask(const std::string& method, const std::string& path) {
+  transport::HttpResponse sendRequest(const std::string& method, const std::string& path) {
     transport::HttpRequest request;
     request.method = method;
     request.path = path;
-    return answerQuarantinePage(request, known.get());
+    return answerQuarantinePage(request, requestQuarantine.get());
   }
 
   void hold() {
-    known->onCrash(10, "tiles", "i-1", std::vector<quarantine::crashed_run>{{kGuilty}});
-    known->onCrash(11, "tiles", "i-2", std::vector<quarantine::crashed_run>{{kGuilty, true}});
+    requestQuarantine->onCrash(10, "tiles", "i-1", std::vector<quarantine::crashed_run>{{kCrashingRequest}});
+    requestQuarantine->onCrash(11, "tiles", "i-2", std::vector<quarantine::crashed_run>{{kCrashingRequest, true}});
   }
 
   void runFor(base::Duration duration) {
@@ -38,42 +39,42 @@
 
   simulation::EventQueue queue;
   simulation::Process process;
-  std::unique_ptr<quarantine::request_quarantine> known;
-  std::vector<wire::CrashReport> news;
+  std::unique_ptr<quarantine::request_quarantine> requestQuarantine;
+  std::vector<wire::CrashReport> crashReports;
 };
 
 }  // namespace
 
 TEST_CASE_METHOD(Fixture, "held requests are listed, and released by their fingerprint") {
   hold();
-  const auto page = nlohmann::json::parse(ask("GET", "/quarantine").body);
+  const auto page = nlohmann::json::parse(sendRequest("GET", "/quarantine").body);
   REQUIRE(page["requests"].size() == 1);
   const auto& request = page["requests"][0];
   CHECK(request["standing"] == "held");
   CHECK(request["crashes"] == 2);
   CHECK(request["service"] == "tiles");
 
-  news.clear();
-  CHECK(ask("DELETE", "/quarantine/" + request["request"].get<std::string>()).status == 200);
-  CHECK(known->standingOf(kGuilty, "tiles") == quarantine::standing::clear);
+  crashReports.clear();
+  CHECK(sendRequest("DELETE", "/quarantine/" + request["request"].get<std::string>()).status == 200);
+  CHECK(requestQuarantine->standingOf(kCrashingRequest, "tiles") == quarantine::standing::clear);
   runFor(base::milliseconds(200));
-  REQUIRE(news.size() == 2);
-  CHECK(news[0].requests[0].cleared);
+  REQUIRE(crashReports.size() == 2);
+  CHECK(crashReports[0].requests[0].cleared);
 }
 
 TEST_CASE_METHOD(Fixture, "what the page does not know is refused") {
   hold();
-  CHECK(ask("DELETE", "/quarantine/00000000000000000000000000000009").status == 404);
-  CHECK(ask("DELETE", "/quarantine/nonsense").status == 404);
-  CHECK(ask("DELETE", "/quarantine").status == 404);
-  CHECK(ask("POST", "/quarantine").status == 405);
-  CHECK(known->standingOf(kGuilty, "tiles") == quarantine::standing::held);
+  CHECK(sendRequest("DELETE", "/quarantine/00000000000000000000000000000009").status == 404);
+  CHECK(sendRequest("DELETE", "/quarantine/nonsense").status == 404);
+  CHECK(sendRequest("DELETE", "/quarantine").status == 404);
+  CHECK(sendRequest("POST", "/quarantine").status == 405);
+  CHECK(requestQuarantine->standingOf(kCrashingRequest, "tiles") == quarantine::standing::held);
 }
 
 TEST_CASE("a back end's address is found listening, and gone once its process has ended") {
   transport::EventLoop loop;
   std::optional<quarantine::presence> found;
-  const auto ask = [&](ConnectPresence* presence) {
+  const auto findPresence = [&](TcpPresenceCheck* presence) {
     found.reset();
     presence->check([&](quarantine::presence answer) { found = answer; });
     while (!found) loop.runOnce();
@@ -81,9 +82,9 @@
   };
   auto listener = std::make_unique<transport::TcpListener>(loop, [](const auto& stream) { stream->close(); });
   REQUIRE(listener->listen("127.0.0.1", 0, {}).ok());
-  ConnectPresence presence(loop, {"127.0.0.1", listener->port()});
-  CHECK(ask(&presence) == quarantine::presence::listening);
-  CHECK(ask(&presence) == quarantine::presence::listening);
+  TcpPresenceCheck presence(loop, {"127.0.0.1", listener->port()});
+  CHECK(findPresence(&presence) == quarantine::presence::listening);
+  CHECK(findPresence(&presence) == quarantine::presence::listening);
   loop.close();
 }
 
@@ -97,7 +98,7 @@
     port = listener.port();
     other.close();
   }
-  ConnectPresence presence(loop, {"127.0.0.1", port});
+  TcpPresenceCheck presence(loop, {"127.0.0.1", port});
   std::optional<quarantine::presence> found;
   presence.check([&](quarantine::presence answer) { found = answer; });
   while (!found) loop.runOnce();
--- a/test/apps/relay_signals_test.cc
+++ b/test/apps/relay_signals_test.cc
@@ -15,9 +15,9 @@
 namespace driftlug::tools {
 namespace {
 
-constexpr int kPatienceMs = 10'000;
-constexpr int kStillMs = 2'500;  // longer than the relay's timers by more than a second
-constexpr int kMomentMs = 300;   // in which a process would end that doesn't take a signal
+constexpr int kTimeoutMs = 10'000;
+constexpr int kSuspendMs = 2'500;  // longer than the relay's timers by more than a second
+constexpr int kSettleMs = 300;     // in which a process would end that doesn't take a signal
 
 /// What listens at a controller's address, and knows nothing else of one.
 class Listener {
@@ -37,9 +37,9 @@
   const std::string& address() const { return address_; }
 
   /// @return whether somebody connected in time.
-  bool reached() const {
+  bool waitForConnection() const {
     pollfd wait{socket_, POLLIN, 0};
-    return ::poll(&wait, 1, kPatienceMs) == 1;
+    return ::poll(&wait, 1, kTimeoutMs) == 1;
   }
 
  private:
@@ -74,17 +74,17 @@
   ProcessGroup processes(folder);
   writeSettings(first.address());
   REQUIRE(processes.start("relay", {DRIFTLUG_RELAY, "--config=" + settings()}));
-  REQUIRE(first.reached());
+  REQUIRE(first.waitForConnection());
   writeSettings(second.address());
   processes.signal("relay", SIGHUP);
-  CHECK(second.reached());
+  CHECK(second.waitForConnection());
   CHECK(processes.running("relay"));
   writeSettings("nobody");
   processes.signal("relay", SIGHUP);
-  ::usleep(kMomentMs * 1000);
+  ::usleep(kSettleMs * 1000);
   CHECK(processes.running("relay"));
   processes.signal("relay", SIGTERM);
-  CHECK(processes.waitFor("relay", kPatienceMs) == 0);
+  CHECK(processes.waitFor("relay", kTimeoutMs) == 0);
 }
 
 TEST_CASE_METHOD(Fixture, "a relay takes signals from the moment on at which others can see it") {
@@ -94,9 +94,9 @@
     ProcessGroup processes(folder);
     writeSettings(controller.address());
     REQUIRE(processes.start("relay", {DRIFTLUG_RELAY, "--config=" + settings()}));
-    REQUIRE(controller.reached());
+    REQUIRE(controller.waitForConnection());
     processes.signal("relay", SIGHUP);
-    ::usleep(kMomentMs * 1000);
+    ::usleep(kSettleMs * 1000);
     CHECK(processes.running("relay"));
     processes.signal("relay", SIGKILL);
   }
@@ -107,14 +107,14 @@
   ProcessGroup processes(folder);
   writeSettings(controller.address());
   REQUIRE(processes.start("relay", {DRIFTLUG_RELAY, "--config=" + settings()}));
-  REQUIRE(controller.reached());
+  REQUIRE(controller.waitForConnection());
   processes.signal("relay", SIGSTOP);
-  ::usleep(kStillMs * 1000);
+  ::usleep(kSuspendMs * 1000);
   processes.signal("relay", SIGCONT);
   const std::string expected = "was away";
-  for (int waited = 0; waited < kPatienceMs && processes.output("relay").find(expected) == std::string::npos;
-       waited += kMomentMs) {
-    ::usleep(kMomentMs * 1000);
+  for (int waited = 0; waited < kTimeoutMs && processes.output("relay").find(expected) == std::string::npos;
+       waited += kSettleMs) {
+    ::usleep(kSettleMs * 1000);
   }
   INFO(processes.output("relay"));  // it may be stopped before its loop has run
   CHECK(processes.output("relay").find(expected) != std::string::npos);
--- a/test/platform/config_api_test.cc
+++ b/test/platform/config_api_test.cc
@@ -15,13 +15,13 @@
 
 /// Asks for configurations only.
 struct Fixture : PagesFixture {
-  transport::HttpResponse ask(size_t position, const std::string& method, const std::string& body) {
-    return PagesFixture::ask(position, method, "/config", body);
+  transport::HttpResponse sendRequest(size_t position, const std::string& method, const std::string& body) {
+    return PagesFixture::sendRequest(position, method, "/config", body);
   }
 
   int put(const std::string& body) { return putConfig(body); }
 
-  int64_t inPlace() { return configVersionOf(hosts[leader()]->controller().state().table()).number; }
+  int64_t currentVersion() { return configVersionOf(hosts[leader()]->controller().state().table()).number; }
 };
 
 std::string config(int version, int base, const std::string& kind = "safe") {
@@ -33,11 +33,11 @@
 TEST_CASE_METHOD(Fixture, "versions climb by uneven steps, each on top of the one in place") {
   CHECK(put(config(3, 0)) == 200);
   CHECK(put(config(7, 3)) == 200);
-  CHECK(inPlace() == 7);
+  CHECK(currentVersion() == 7);
   CHECK(put(config(9, 3)) == 412);
   CHECK(put(config(7, 7, "unsafe")) == 400);
   CHECK(put(config(5, 7)) == 400);
-  CHECK(inPlace() == 7);
+  CHECK(currentVersion() == 7);
 }
 
 TEST_CASE_METHOD(Fixture, "what was taken is acknowledged again, also when later versions are in place") {
@@ -46,7 +46,7 @@
   CHECK(put(config(7, 3)) == 200);
   CHECK(put(config(3, 0)) == 200);
   CHECK(put(config(3, 0, "unsafe")) == 412);
-  CHECK(inPlace() == 7);
+  CHECK(currentVersion() == 7);
 }
 
 TEST_CASE_METHOD(Fixture, "of two changes on the same version one wins") {
@@ -63,7 +63,7 @@
   runFor(base::seconds(1));
   std::sort(statuses.begin(), statuses.end());
   CHECK(statuses == std::vector<int>{200, 412});
-  CHECK(inPlace() == 5);
+  CHECK(currentVersion() == 5);
 }
 
 TEST_CASE_METHOD(Fixture, "an invalid configuration is refused whole") {
@@ -76,43 +76,43 @@
                            routeResource("r-2", "a.example", "/p/", "safe", "s-1"), serviceResource("s-1")}),
                config(5, 3, "odd"));
   CHECK(put(bad) == 400);
-  CHECK(inPlace() == 3);
+  CHECK(currentVersion() == 3);
   CHECK(put(config(6, 3)) == 200);
 }
 
 TEST_CASE_METHOD(Fixture, "another controller names the leader") {
   const auto position = leader();
   const auto other = (position + 1) % hosts.size();
-  const auto response = ask(other, "PUT", config(3, 0));
+  const auto response = sendRequest(other, "PUT", config(3, 0));
   CHECK(response.status == 307);
   CHECK(transport::findHeader(response.headers, "location") == "http://" + hosts[position]->ip() + ":8000/config");
-  CHECK(ask(other, "GET", "").status == 307);
+  CHECK(sendRequest(other, "GET", "").status == 307);
 }
 
 TEST_CASE_METHOD(Fixture, "a leader that is cut off neither takes nor reads anything") {
   CHECK(put(config(3, 0)) == 200);
   const auto old = leader();
   cutOff(old, true);
-  CHECK(ask(old, "GET", "").status == 503);
-  CHECK(ask(old, "PUT", config(5, 3)).status == 503);
+  CHECK(sendRequest(old, "GET", "").status == 503);
+  CHECK(sendRequest(old, "PUT", config(5, 3)).status == 503);
   runFor(base::seconds(2));
   CHECK(put(config(6, 3)) == 200);
-  CHECK(ask(old, "PUT", config(7, 3)).status != 200);
+  CHECK(sendRequest(old, "PUT", config(7, 3)).status != 200);
   cutOff(old, false);
   runFor(base::seconds(3));
-  CHECK(inPlace() == 6);
-  const auto read = ask(leader(), "GET", "");
+  CHECK(currentVersion() == 6);
+  const auto read = sendRequest(leader(), "GET", "");
   CHECK(read.status == 200);
   CHECK(nlohmann::json::parse(read.body)["version"] == "00000006");
 }
 
 TEST_CASE_METHOD(Fixture, "before the first configuration there is none to read") {
-  CHECK(ask(leader(), "GET", "").status == 404);
+  CHECK(sendRequest(leader(), "GET", "").status == 404);
 }
 
 TEST_CASE_METHOD(Fixture, "a controller that does not lead sends a change on without reading it") {
   const size_t follower = leader() == 0 ? 1 : 0;
-  const auto response = ask(follower, "PUT", "{ cut short");
+  const auto response = sendRequest(follower, "PUT", "{ cut short");
   CHECK(response.status == 307);
   CHECK(put("{ cut short") == 400);
 }
--- a/test/platform/config_document_test.cc
+++ b/test/platform/config_document_test.cc
@@ -96,13 +96,13 @@
 TEST_CASE("bodies that are no JSON are refused, however they fail") {
   const auto good = configBody(1, 0, {routeResource("r-1", "a.example", "/p/", "safe", "s-1"), serviceResource("s-1")});
   REQUIRE(parseConfig(good).ok());
-  constexpr size_t kDeep = 2'000'000;
+  constexpr size_t kNestingDepth = 2'000'000;
   const std::vector<std::string> bad{"",
                                      good.substr(0, good.size() - 1),
                                      good + "}",
                                      good + " x",
                                      "[" + good + "]",
-                                     std::string(kDeep, '['),
+                                     std::string(kNestingDepth, '['),
                                      "{\"version\":\"\xff\xfe\"}"};
   for (const auto& body : bad) CHECK_FALSE(parseConfig(body).ok());
 }
--- a/test/platform/config_steps_test.cc
+++ b/test/platform/config_steps_test.cc
@@ -81,14 +81,14 @@
 TEST_CASE_METHOD(PagesFixture, "a large configuration leaves the loop to others while it is read and written") {
   constexpr int kSmall = 100;
   constexpr int kLarge = 10'000;
-  constexpr uint64_t kMostInStep = 250;
-  constexpr uint64_t kSteps = kLarge / kMostInStep;
+  constexpr uint64_t kMaxResourcesPerStep = 250;
+  constexpr uint64_t kSteps = kLarge / kMaxResourcesPerStep;
   const auto eventsOf = [this](const auto& action) {
     const auto before = queue.executed();
     action();
     return queue.executed() - before;
   };
-  const auto read = [this] { CHECK(ask(leader(), "GET", "/config", "").status == kOk); };
+  const auto read = [this] { CHECK(sendRequest(leader(), "GET", "/config", "").status == kOk); };
   const auto small = eventsOf([this] { CHECK(putConfig(configOf(1, 0, kSmall)) == kOk); });
   const auto smallRead = eventsOf(read);
   CHECK(eventsOf([this] { CHECK(putConfig(configOf(2, 1, kLarge)) == kOk); }) >= small + kSteps);
--- a/test/platform/evacuation_api_test.cc
+++ b/test/platform/evacuation_api_test.cc
@@ -9,7 +9,7 @@
 namespace {
 
 struct Fixture : PagesFixture {
-  int order(size_t position, const std::string& method, const std::string& zone) {
+  int sendOrder(size_t position, const std::string& method, const std::string& zone) {
     EvacuationApi api(hosts[position]->controller());
     transport::HttpRequest request;
     request.method = method;
@@ -27,39 +27,39 @@
 }  // namespace
 
 TEST_CASE_METHOD(Fixture, "a zone is emptied and taken back, and an order that comes again changes nothing") {
-  CHECK(order(leader(), "POST", "sur-a") == 200);
+  CHECK(sendOrder(leader(), "POST", "sur-a") == 200);
   const auto revision = hosts[leader()]->controller().state().table().revision();
-  CHECK(order(leader(), "POST", "sur-a") == 200);
+  CHECK(sendOrder(leader(), "POST", "sur-a") == 200);
   CHECK(hosts[leader()]->controller().state().table().revision() == revision);
   CHECK(zones() == std::vector<std::string>{"sur-a"});
-  CHECK(order(leader(), "DELETE", "sur-a") == 200);
-  CHECK(order(leader(), "DELETE", "sur-a") == 200);
+  CHECK(sendOrder(leader(), "DELETE", "sur-a") == 200);
+  CHECK(sendOrder(leader(), "DELETE", "sur-a") == 200);
   CHECK(zones().empty());
 }
 
 TEST_CASE_METHOD(Fixture, "a zone can be emptied, taken back and emptied again") {
   for (int i = 0; i < 3; ++i) {
-    CHECK(order(leader(), "POST", "sur-a") == 200);
+    CHECK(sendOrder(leader(), "POST", "sur-a") == 200);
     CHECK(zones().size() == 1);
-    CHECK(order(leader(), "DELETE", "sur-a") == 200);
+    CHECK(sendOrder(leader(), "DELETE", "sur-a") == 200);
     CHECK(zones().empty());
   }
 }
 
 TEST_CASE_METHOD(Fixture, "what is no zone's name is refused, and other controllers send to the leader") {
-  CHECK(order(leader(), "POST", "a/b") == 400);
-  CHECK(order((leader() + 1) % hosts.size(), "POST", "sur-a") == 307);
+  CHECK(sendOrder(leader(), "POST", "a/b") == 400);
+  CHECK(sendOrder((leader() + 1) % hosts.size(), "POST", "sur-a") == 307);
 }
 
 TEST_CASE_METHOD(Fixture, "a configuration leaves evacuated zones as they are") {
-  CHECK(order(leader(), "POST", "sur-a") == 200);
+  CHECK(sendOrder(leader(), "POST", "sur-a") == 200);
   const auto route = test::routeResource("r-1", "a.example", "/p/", "safe", "s-1");
   CHECK(putConfig(test::configBody(3, 0, {route, test::serviceResource("s-1")})) == 200);
   CHECK(zones() == std::vector<std::string>{"sur-a"});
 }
 
 TEST_CASE_METHOD(Fixture, "an order that was accepted is there after a loss of all controllers") {
-  CHECK(order(leader(), "POST", "sur-a") == 200);
+  CHECK(sendOrder(leader(), "POST", "sur-a") == 200);
   for (auto& host : hosts) host->losePower();
   for (auto& host : hosts) host->start(seeds, false);
   runFor(base::seconds(5));
--- a/test/platform/pages_fixture.h
+++ b/test/platform/pages_fixture.h
@@ -43,8 +43,8 @@
     return 0;
   }
 
-  transport::HttpResponse ask(size_t position, const std::string& method, const std::string& path,
-                              const std::string& body) {
+  transport::HttpResponse sendRequest(size_t position, const std::string& method, const std::string& path,
+                                      const std::string& body) {
     transport::HttpRequest request;
     request.method = method;
     request.path = path;
@@ -57,7 +57,7 @@
     return *response;
   }
 
-  int putConfig(const std::string& body) { return ask(leader(), "PUT", "/config", body).status; }
+  int putConfig(const std::string& body) { return sendRequest(leader(), "PUT", "/config", body).status; }
 
   void cutOff(size_t position, bool cut) {
     for (size_t i = 0; i < hosts.size(); ++i) {
--- a/test/platform/report_api_test.cc
+++ b/test/platform/report_api_test.cc
@@ -22,18 +22,19 @@
   Fixture()
       : process(queue, "node", {"zone", "region"}, {"10.0.0.1", 7000}),
         calls({"huvo11a", 4, 4}, process, network, backend, nullptr),
-        local(place(), process, calls, [this](const wire::EndpointState& state) { announced.push_back(state); }),
-        api(local) {
+        localBackend(endpointState(), process, calls,
+                     [this](const wire::EndpointState& state) { announced.push_back(state); }),
+        api(localBackend) {
     process.start();
   }
 
-  static wire::EndpointState place() {
-    wire::EndpointState place;
-    place.serviceName = "huvo11a";
-    return place;
+  static wire::EndpointState endpointState() {
+    wire::EndpointState endpointState;
+    endpointState.serviceName = "huvo11a";
+    return endpointState;
   }
 
-  int ask(const std::string& method, const std::string& path, const std::string& body) {
+  int sendRequest(const std::string& method, const std::string& path, const std::string& body) {
     transport::HttpRequest request;
     request.method = method;
     request.path = path;
@@ -43,7 +44,7 @@
     return status;
   }
 
-  static std::string beat(int sequence, const std::string& state) {
+  static std::string heartbeat(int sequence, const std::string& state) {
     return R"({"address":"10.0.0.1:8080","info":{"service":"huvo11a","version":"v1","zone":"hall-a","slots":9},)"
            R"("status":{"state":")" +
            state + R"(","sequence":)" + std::to_string(sequence) + R"(,"coldRemainingMs":250}})";
@@ -55,61 +56,61 @@
   NoBackend backend;
   node::EndpointCalls calls;
   std::vector<wire::EndpointState> announced;
-  node::LocalBackend local;
+  node::LocalBackend localBackend;
   ReportApi api;
 };
 
 }  // namespace
 
 TEST_CASE_METHOD(Fixture, "a heartbeat announces the back end, its state and its slots") {
-  CHECK(ask("PUT", "/instances/i-7f3a91c2", beat(4, "ready")) == 200);
+  CHECK(sendRequest("PUT", "/instances/i-7f3a91c2", heartbeat(4, "ready")) == 200);
   REQUIRE(announced.size() == 1);
   CHECK(announced[0].endpoint == "i-7f3a91c2");
   CHECK(announced[0].slots == 9);
   CHECK(announced[0].coldMs == 250);
   CHECK(announced[0].condition == wire::EndpointCondition::LIVE);
-  CHECK(ask("PUT", "/instances/i-7f3a91c2", beat(5, "draining")) == 200);
+  CHECK(sendRequest("PUT", "/instances/i-7f3a91c2", heartbeat(5, "draining")) == 200);
   CHECK(announced.back().condition == wire::EndpointCondition::DRAINING);
-  CHECK(ask("PUT", "/instances/i-7f3a91c2", beat(4, "ready")) == 200);
+  CHECK(sendRequest("PUT", "/instances/i-7f3a91c2", heartbeat(4, "ready")) == 200);
   CHECK(announced.back().condition == wire::EndpointCondition::DRAINING);
 }
 
 TEST_CASE_METHOD(Fixture, "a farewell ends the back end, with or without a word of draining before") {
-  CHECK(ask("PUT", "/instances/i-1", beat(1, "ready")) == 200);
-  CHECK(ask("DELETE", "/instances/i-1", "") == 200);
+  CHECK(sendRequest("PUT", "/instances/i-1", heartbeat(1, "ready")) == 200);
+  CHECK(sendRequest("DELETE", "/instances/i-1", "") == 200);
   CHECK(announced.back().condition == wire::EndpointCondition::GONE);
-  CHECK(ask("PUT", "/instances/i-1", beat(2, "ready")) == 200);
+  CHECK(sendRequest("PUT", "/instances/i-1", heartbeat(2, "ready")) == 200);
   CHECK(announced.back().condition == wire::EndpointCondition::GONE);
 }
 
 TEST_CASE_METHOD(Fixture, "a late heartbeat of a crashed incarnation is acknowledged and displaces none") {
-  local.setIdentityCheck([](const node::LocalBackend::IdentityCallback& done) { done({"i-2", false}); }, false);
-  CHECK(ask("PUT", "/instances/i-2", beat(2, "ready")) == 200);
-  CHECK(ask("PUT", "/instances/i-1", beat(77, "ready")) == 200);
-  CHECK(local.incarnation() == "i-2");
-  CHECK(ask("PUT", "/instances/i-2", beat(3, "draining")) == 200);
+  localBackend.setIdentityCheck([](const node::LocalBackend::IdentityCallback& done) { done({"i-2", false}); }, false);
+  CHECK(sendRequest("PUT", "/instances/i-2", heartbeat(2, "ready")) == 200);
+  CHECK(sendRequest("PUT", "/instances/i-1", heartbeat(77, "ready")) == 200);
+  CHECK(localBackend.incarnation() == "i-2");
+  CHECK(sendRequest("PUT", "/instances/i-2", heartbeat(3, "draining")) == 200);
   REQUIRE(announced.size() == 2);
   CHECK(announced.back().endpoint == "i-2");
   CHECK(announced.back().condition == wire::EndpointCondition::DRAINING);
 }
 
 TEST_CASE_METHOD(Fixture, "what is no heartbeat is refused") {
-  CHECK(ask("PUT", "/instances/i-1", "{") == 400);
-  CHECK(ask("PUT", "/instances/i-1", R"({"info":1,"status":2})") == 400);
-  CHECK(ask("GET", "/instances/i-1", "") == 405);
-  CHECK(ask("PUT", "/elsewhere", "{}") == 404);
+  CHECK(sendRequest("PUT", "/instances/i-1", "{") == 400);
+  CHECK(sendRequest("PUT", "/instances/i-1", R"({"info":1,"status":2})") == 400);
+  CHECK(sendRequest("GET", "/instances/i-1", "") == 405);
+  CHECK(sendRequest("PUT", "/elsewhere", "{}") == 404);
   CHECK(announced.empty());
 }
 
 namespace {
 
 /// A heartbeat with one member replaced, or taken out where the value is discarded.
-std::string beatWith(const std::string& part, const std::string& member, const nlohmann::json& value) {
-  auto beat = nlohmann::json::parse(Fixture::beat(9, "ready"));
-  auto& object = part.empty() ? beat : beat[part];
+std::string heartbeatWith(const std::string& part, const std::string& member, const nlohmann::json& value) {
+  auto heartbeat = nlohmann::json::parse(Fixture::heartbeat(9, "ready"));
+  auto& object = part.empty() ? heartbeat : heartbeat[part];
   object.erase(member);
   if (!value.is_discarded()) object[member] = value;
-  return beat.dump();
+  return heartbeat.dump();
 }
 
 const nlohmann::json kMissing(nlohmann::json::value_t::discarded);
@@ -117,9 +118,9 @@
 }  // namespace
 
 TEST_CASE_METHOD(Fixture, "a report that can't be read is refused, and changes nothing of what is known") {
-  REQUIRE(ask("PUT", "/instances/i-1", beat(4, "ready")) == 200);
+  REQUIRE(sendRequest("PUT", "/instances/i-1", heartbeat(4, "ready")) == 200);
   REQUIRE(announced.size() == 1);
-  const std::vector<std::tuple<const char*, const char*, nlohmann::json>> wrong = {
+  const std::vector<std::tuple<const char*, const char*, nlohmann::json>> invalidMembers = {
       {"status", "state", 7},
       {"status", "state", "resting"},
       {"status", "state", nullptr},
@@ -150,48 +151,48 @@
       {"", "born", 1.5},
       {"", "born", -3},
   };
-  for (const auto& [part, member, value] : wrong) {
+  for (const auto& [part, member, value] : invalidMembers) {
     INFO(part << "." << member);
-    CHECK(ask("PUT", "/instances/i-1", beatWith(part, member, value)) == 400);
-    CHECK(ask("PUT", "/instances/i-2", beatWith(part, member, value)) == 400);
+    CHECK(sendRequest("PUT", "/instances/i-1", heartbeatWith(part, member, value)) == 400);
+    CHECK(sendRequest("PUT", "/instances/i-2", heartbeatWith(part, member, value)) == 400);
   }
-  CHECK(ask("PUT", "/instances/i-1", "\xff\xfe{}") == 400);
-  CHECK(ask("PUT", "/instances/i-1", "") == 400);
-  CHECK(ask("PUT", "/instances/", beat(9, "ready")) == 400);
+  CHECK(sendRequest("PUT", "/instances/i-1", "\xff\xfe{}") == 400);
+  CHECK(sendRequest("PUT", "/instances/i-1", "") == 400);
+  CHECK(sendRequest("PUT", "/instances/", heartbeat(9, "ready")) == 400);
   CHECK(announced.size() == 1);
-  CHECK(local.incarnation() == "i-1");
+  CHECK(localBackend.incarnation() == "i-1");
   // The back end itself goes on as before.
-  CHECK(ask("PUT", "/instances/i-1", beat(5, "draining")) == 200);
+  CHECK(sendRequest("PUT", "/instances/i-1", heartbeat(5, "draining")) == 200);
   CHECK(announced.back().condition == wire::EndpointCondition::DRAINING);
 }
 
 TEST_CASE_METHOD(Fixture, "what a report has beyond what is known does not matter") {
-  auto beat = nlohmann::json::parse(Fixture::beat(4, "ready"));
-  beat["mood"] = "good";
-  beat["info"]["colour"] = nlohmann::json::array({1, 2});
-  beat["born"] = 1764720000000;
-  CHECK(ask("PUT", "/instances/i-1", beat.dump()) == 200);
+  auto heartbeat = nlohmann::json::parse(Fixture::heartbeat(4, "ready"));
+  heartbeat["mood"] = "good";
+  heartbeat["info"]["colour"] = nlohmann::json::array({1, 2});
+  heartbeat["born"] = 1764720000000;
+  CHECK(sendRequest("PUT", "/instances/i-1", heartbeat.dump()) == 200);
   CHECK(announced.size() == 1);
 }
 
 TEST_CASE_METHOD(Fixture, "a back end that starts again under its name is told from its life before by its start") {
-  const auto beatOf = [](int sequence, const char* state, int64_t start) {
-    auto beat = nlohmann::json::parse(Fixture::beat(sequence, state));
-    beat["born"] = start;
-    return beat.dump();
+  const auto heartbeatOf = [](int sequence, const char* state, int64_t start) {
+    auto heartbeat = nlohmann::json::parse(Fixture::heartbeat(sequence, state));
+    heartbeat["born"] = start;
+    return heartbeat.dump();
   };
   constexpr int64_t kFirst = 1764720000000;
-  CHECK(ask("PUT", "/instances/i-1", beatOf(90, "draining", kFirst)) == 200);
-  CHECK(ask("PUT", "/instances/i-1", beatOf(1, "ready", kFirst + 4000)) == 200);
+  CHECK(sendRequest("PUT", "/instances/i-1", heartbeatOf(90, "draining", kFirst)) == 200);
+  CHECK(sendRequest("PUT", "/instances/i-1", heartbeatOf(1, "ready", kFirst + 4000)) == 200);
   CHECK(announced.back().condition == wire::EndpointCondition::LIVE);
   const auto current = announced.back().endpoint;
-  CHECK(ask("PUT", "/instances/i-1", beatOf(91, "draining", kFirst)) == 200);
-  CHECK(ask("DELETE", "/instances/i-1", nlohmann::json{{"born", kFirst}}.dump()) == 200);
+  CHECK(sendRequest("PUT", "/instances/i-1", heartbeatOf(91, "draining", kFirst)) == 200);
+  CHECK(sendRequest("DELETE", "/instances/i-1", nlohmann::json{{"born", kFirst}}.dump()) == 200);
   CHECK(announced.back().endpoint == current);
   CHECK(announced.back().condition == wire::EndpointCondition::LIVE);
   // One that may be late and may not is not acknowledged, so that its sender says it again.
-  CHECK(ask("PUT", "/instances/i-1", beatOf(1, "ready", kFirst - 8000)) == 503);
-  CHECK(ask("DELETE", "/instances/i-1", nlohmann::json{{"born", kFirst + 4000}}.dump()) == 200);
+  CHECK(sendRequest("PUT", "/instances/i-1", heartbeatOf(1, "ready", kFirst - 8000)) == 503);
+  CHECK(sendRequest("DELETE", "/instances/i-1", nlohmann::json{{"born", kFirst + 4000}}.dump()) == 200);
   CHECK(announced.back().condition == wire::EndpointCondition::GONE);
 }
 
--- a/test/platform/rollout_api_test.cc
+++ b/test/platform/rollout_api_test.cc
@@ -31,15 +31,15 @@
     runFor(base::milliseconds(500));
   }
 
-  int post(const std::string& body) { return ask(leader(), "POST", kOrders, body).status; }
+  int post(const std::string& body) { return sendRequest(leader(), "POST", kOrders, body).status; }
 
-  nlohmann::json read() { return nlohmann::json::parse(ask(leader(), "GET", "/rollouts/s-1", "").body); }
+  nlohmann::json read() { return nlohmann::json::parse(sendRequest(leader(), "GET", "/rollouts/s-1", "").body); }
 };
 
 }  // namespace
 
 TEST_CASE_METHOD(Fixture, "an order is acknowledged, and read back as running") {
-  CHECK(ask(leader(), "GET", "/rollouts/s-1", "").status == 404);
+  CHECK(sendRequest(leader(), "GET", "/rollouts/s-1", "").status == 404);
   CHECK(post(orderBody()) == 200);
   CHECK(read()["state"] == "running");
   CHECK(read()["targetVersion"] == "v2");
@@ -50,7 +50,7 @@
   const auto row = hosts[leader()]->controller().rollouts().rowOf("s-1");
   CHECK(post(orderBody()) == 200);
   const auto other = (leader() + 1) % hosts.size();
-  const auto elsewhere = ask(other, "POST", kOrders, orderBody());
+  const auto elsewhere = sendRequest(other, "POST", kOrders, orderBody());
   CHECK(elsewhere.status == 307);
   CHECK(transport::findHeader(elsewhere.headers, "location") == "http://" + hosts[leader()]->ip() + ":8000" + kOrders);
   CHECK(hosts[leader()]->controller().rollouts().rowOf("s-1")->revision == row->revision);
@@ -71,7 +71,7 @@
   CHECK(post(orderBody(1e300)) == 400);
   CHECK(post("[]") == 400);
   CHECK(post("{ cut short") == 400);
-  CHECK(ask(leader(), "GET", "/rollouts/s-1", "").status == 404);
+  CHECK(sendRequest(leader(), "GET", "/rollouts/s-1", "").status == 404);
 }
 
 TEST_CASE_METHOD(Fixture, "an order without reports of the new version is rolled back at the end of its time") {
@@ -86,8 +86,8 @@
 TEST_CASE_METHOD(Fixture, "a leader that is cut off acknowledges and reads nothing") {
   const auto old = leader();
   cutOff(old, true);
-  CHECK(ask(old, "POST", kOrders, orderBody()).status == 503);
-  CHECK(ask(old, "GET", "/rollouts/s-1", "").status == 503);
+  CHECK(sendRequest(old, "POST", kOrders, orderBody()).status == 503);
+  CHECK(sendRequest(old, "GET", "/rollouts/s-1", "").status == 503);
 }
 
 TEST_CASE_METHOD(Fixture, "an order and a configuration don't touch each other") {
@@ -95,7 +95,7 @@
   const auto moved = test::routeResource("r-1", "a.example", "/p/", "safe", "s-2");
   CHECK(putConfig(test::configBody(5, 3, {moved, test::serviceResource("s-2")})) == 200);
   CHECK(read()["state"] == "running");
-  const auto config = nlohmann::json::parse(ask(leader(), "GET", "/config", "").body);
+  const auto config = nlohmann::json::parse(sendRequest(leader(), "GET", "/config", "").body);
   CHECK(config["resources"].size() == 2);
   const auto back = test::routeResource("r-1", "a.example", "/p/", "safe", "s-1");
   CHECK(putConfig(test::configBody(6, 5, {back, test::serviceResource("s-1")})) == 200);
--- a/test/platform/whole_config.h
+++ b/test/platform/whole_config.h
@@ -46,7 +46,7 @@
   ConfigKeys keys;
   for (const auto& row : document.rows) {
     keys.insert(row.key);
-    diff.take(row);
+    diff.add(row);
   }
   return diff.finish(document.version, keys);
 }
