--- a/apps/control_api_client.cc
+++ b/apps/control_api_client.cc
@@ -32,7 +32,7 @@
   return answer;
 }
 
-/// @return the address in an `http://host:port/…` location, or the fallback.
+/// @return the address in an `http://host:port/…` location, or the fallback if it has another form.
 base::Address locationAddress(std::string_view location, const base::Address& fallback) {
   constexpr std::string_view kScheme = "http://";
   if (location.substr(0, kScheme.size()) != kScheme) return fallback;
@@ -84,13 +84,14 @@
 }
 
 int64_t ControlApiClient::currentRevision() {
-  // Any controller's word will do: an older base only makes the window in which the edit can be resent shorter.
+  // The revision of any controller will do: an older base only shortens the time during which the edit can be resent.
   const auto answer = request("GET", "/v1/status", "");
   return answer.status == 200 ? answer.body.value("revision", int64_t{-1}) : -1;
 }
 
 ApiAnswer ControlApiClient::edit(nlohmann::json edit) {
-  // The base revision is fixed before the first try, so that the controllers can tell a resend from a new edit.
+  // The base revision is set before the first attempt, so that the controllers can distinguish a resend from a new
+  // edit.
   if (!edit.contains("base_revision")) {
     const auto revision = currentRevision();
     if (revision < 0) {
--- a/apps/control_api_client.h
+++ b/apps/control_api_client.h
@@ -1,4 +1,4 @@
-/// A client of the operators' interface: finds the leader and sends edits again safely.
+/// Client of the controllers' HTTP API: follows redirects to the leader and retries edits idempotently.
 #pragma once
 
 #include <string>
@@ -17,15 +17,16 @@
   base::ErrorCode error = base::ErrorCode::kNone;
 };
 
-/// Requests to whichever controller leads.
+/// Sends requests to the leading controller.
 class ControlApiClient {
  public:
   ControlApiClient(SyncHttp& http, std::vector<base::Address> controllers, base::Duration timeout);
 
-  /// Sends a request until a leader answered or the time is over. Requests must be safe to repeat.
+  /// Retries a request until a leader answers or the timeout expires. Requests must be safe to repeat.
   ApiAnswer request(const std::string& method, const std::string& path, const std::string& body);
 
-  /// Sends an edit under one request id until its outcome is known.
+  /// Sends an edit, retrying with the same request id until its outcome is known.
+  /// @return the answer; kOutcomeUnknown if none arrived in time, kNotAccepted if the edit was not sent
   ApiAnswer edit(nlohmann::json edit);
 
   /// @return the table's revision, or -1 when no leader answered.
@@ -40,7 +41,7 @@
   size_t nextIndex_ = 0;
 };
 
-/// @return a request id that no other call makes.
+/// @return a random 128-bit request id in hexadecimal.
 std::string makeRequestId();
 
 }  // namespace driftlug::apps
--- a/apps/controller_daemon.cc
+++ b/apps/controller_daemon.cc
@@ -76,7 +76,7 @@
     }
     std::printf("\n");
   }
-  std::printf("the data folder is sound\n");
+  std::printf("the data folder is consistent\n");
   return 0;
 }
 
@@ -118,7 +118,7 @@
   return listenAddressOrExit("http_listen", FLAGS_http_listen, FLAGS_listen_host, FLAGS_http_port);
 }
 
-/// Seeds are known by their hosts alone: all controllers of a fleet listen on the same ports.
+/// Seeds are given by host only: all controllers of a fleet listen on the same ports.
 std::vector<controller::ControllerAddress> seedControllers(const std::string& text) {
   std::vector<controller::ControllerAddress> seeds;
   for (const auto& frames : hostsAtPort(text, FLAGS_frame_port)) {
@@ -156,7 +156,7 @@
   return options;
 }
 
-/// The relay within a controller's process; it serves the table of that controller.
+/// A relay in the controller process. It shares the controller's table.
 class EmbeddedRelay {
  public:
   EmbeddedRelay(transport::EventLoop& loop, controller::Controller& controller)
@@ -190,7 +190,7 @@
     options.everyZone = true;
     options.nodeHeartbeat = base::milliseconds(FLAGS_relay_heartbeat_ms);
     options.listening = {FLAGS_listen_host, FLAGS_relay_port};
-    // Nodes see for themselves whether an endpoint is in reach; one that has lost its relay still takes calls.
+    // Nodes detect unreachable endpoints themselves, and an endpoint that lost its relay still accepts calls.
     options.endpointLease = kEndpointLease;
     options.peerLease = kEndpointLease;
     return options;
@@ -220,7 +220,7 @@
 
 int runController(int argc, char** argv, const ExtraPagesFactory& makeExtraPages) {
   declareSettings();
-  base::loadSettingsOrExit(argc, argv, "driftlug-controller: accepts edits and feeds relays", false);
+  base::loadSettingsOrExit(argc, argv, "driftlug-controller: accepts edits and sends the table to relays", false);
   configureLogsFromSettings(base::LogTarget::kOutput);
 
   transport::EventLoop loop;
--- a/apps/controller_daemon.h
+++ b/apps/controller_daemon.h
@@ -1,4 +1,4 @@
-/// The controller as a process: settings, sockets and wiring, with a relay beside it where one is asked for.
+/// The controller process: settings, sockets and wiring, optionally with an embedded relay.
 #pragma once
 
 #include <functional>
@@ -8,15 +8,15 @@
 
 namespace driftlug::apps {
 
-/// Answers pages beside the product's own.
-/// @return false for a request that is not its own
+/// Handles pages in addition to the built-in ones.
+/// @return false if the request is for another page
 using ExtraPages =
     std::function<bool(const transport::HttpRequest&, const std::function<void(transport::HttpResponse)>&)>;
 
-/// Makes the extra pages of a controller.
+/// Creates the additional pages of a controller.
 using ExtraPagesFactory = std::function<ExtraPages(controller::Controller&)>;
 
-/// Runs a controller until it is told to stop.
+/// Runs a controller until it receives a termination signal.
 /// @param makeExtraPages may be empty
 /// @return the exit status of the process
 int runController(int argc, char** argv, const ExtraPagesFactory& makeExtraPages);
--- a/apps/controller_main.cc
+++ b/apps/controller_main.cc
@@ -1,4 +1,4 @@
-/// driftlug-controller: accepts edits, replicates the table and feeds relays.
+/// driftlug-controller: accepts edits, replicates the table and sends it to relays.
 #include "controller_daemon.h"
 
 int main(int argc, char** argv) { return driftlug::apps::runController(argc, argv, {}); }
--- a/apps/ctl_main.cc
+++ b/apps/ctl_main.cc
@@ -1,4 +1,4 @@
-/// driftlugctl: the operators' command line.
+/// driftlugctl: command-line tool for operators.
 #include <absl/strings/numbers.h>
 #include <gflags/gflags.h>
 
@@ -59,10 +59,10 @@
 
 int printAnswer(const apps::ApiAnswer& answer) { return apps::printAnswer(answer, FLAGS_json); }
 
-/// An edit with this expected revision applies whatever the row is.
+/// Expected revision of an edit that applies to any state of the row.
 constexpr int64_t kAnyRevision = -1;
 
-/// Commands that talk to controllers.
+/// Commands that send requests to controllers or nodes.
 class Commands {
  public:
   explicit Commands(apps::SyncHttp& http, std::vector<base::Address> controllers)
@@ -118,7 +118,7 @@
     json edits;
     if (const int code = diffWithTable(arguments, &edits); code != kDone) return code;
     if (edits.empty()) {
-      std::printf("nothing differs\n");
+      std::printf("no differences\n");
       return kDone;
     }
     return sendEdit(edits);
@@ -219,6 +219,8 @@
   }
 
   /// Compares a file with the table.
+  /// @param edits set to the edits that apply the file
+  /// @return the exit code
   int diffWithTable(const Arguments& arguments, json* edits) {
     if (arguments.size() != 1) return usageError("a FILE is needed");
     const auto rows = apps::readTableFile(arguments[0]);
@@ -248,7 +250,8 @@
     return kDone;
   }
 
-  /// Asks a page of the node that --node names.
+  /// Sends a request to the administration listener of the node given by --node.
+  /// @return the exit code
   int requestNode(const std::string& method, const std::string& path) {
     if (FLAGS_node.empty()) return usageError("--node HOST:PORT is needed");
     transport::HttpRequest request;
@@ -265,7 +268,7 @@
   apps::ControlApiClient client_;
 };
 
-/// Validates a file by itself, with the controller's own validator.
+/// Validates a file offline, with the validator that the controllers use.
 int checkFile(const Arguments& arguments) {
   if (arguments.size() != 1) return usageError("check needs a FILE");
   const auto rows = apps::readTableFile(arguments[0]);
@@ -292,11 +295,11 @@
   }
   if (unreadable) return kBadInput;
   if (!problems.empty()) return kInvalid;
-  std::printf("%zu rows are good\n", rows->size());
+  std::printf("%zu rows are valid\n", rows->size());
   return kDone;
 }
 
-/// Prints what processes logged of one call.
+/// Prints the log lines of one call.
 int traceCall(Arguments arguments) {
   if (arguments.size() < 2) return usageError("trace needs an ID and at least one FILE");
   const auto callId = arguments[0];
--- a/apps/ctl_output.h
+++ b/apps/ctl_output.h
@@ -1,4 +1,4 @@
-/// What all commands of driftlugctl print, and the exit codes they end with.
+/// Output and exit codes shared by all commands of driftlugctl.
 #pragma once
 
 #include <string>
@@ -8,7 +8,7 @@
 
 namespace driftlug::apps {
 
-/// Exit codes by kind of answer.
+/// Exit codes of driftlugctl.
 enum ExitCode {
   kDone = 0,
   kFailed = 1,
@@ -25,11 +25,12 @@
 
 int exitCodeFor(const ApiAnswer& answer);
 
-/// Prints an answer's body, or why there is none.
-/// @return its exit code
+/// Prints the body of an answer, or an error line if no controller answered.
+/// @param compact prints the JSON on one line
+/// @return the exit code for the answer
 int printAnswer(const ApiAnswer& answer, bool compact);
 
-/// Prints what is wrong with the arguments.
+/// Prints a usage error.
 /// @return kBadInput
 int usageError(const std::string& message);
 
--- a/apps/daemon.h
+++ b/apps/daemon.h
@@ -1,4 +1,4 @@
-/// What all daemons share: settings, the event loop, health pages and planned stops.
+/// Code shared by all daemons: command-line settings, HTTP listeners, health and metrics pages.
 #pragma once
 
 #include <functional>
@@ -15,18 +15,18 @@
 
 namespace driftlug::apps {
 
-/// Answers a request that is none of the shared pages.
+/// Handles an HTTP request; calls the callback once with the response.
 using PageHandler = std::function<void(const transport::HttpRequest&, std::function<void(transport::HttpResponse)>)>;
 
-/// A listener all of whose requests one handler answers.
+/// HTTP listener that passes every request to one handler.
 class PageServer {
  public:
   PageServer(transport::EventLoop& loop, const std::string& name, PageHandler handler);
 
-  /// Listens, or prints a typed line and exits 2.
+  /// Starts listening; on failure prints an error line and exits with status 2.
   void listenOrExit(const std::string& host, int port);
 
-  /// @return the port listened on.
+  /// @return the listening port.
   int port() const { return server_.port(); }
 
  private:
@@ -34,22 +34,22 @@
   transport::HttpServer server_;
 };
 
-/// What a daemon reports of itself.
+/// Callbacks behind the administration pages of a daemon.
 struct DaemonPages {
   std::function<bool()> ready;
   std::function<void(base::MetricsPage*)> metrics;
-  PageHandler other;  ///< may be empty
+  PageHandler other;  ///< handles all other paths; may be empty
 };
 
-/// The administration listener of a daemon: /healthz, /readyz and /metrics.
+/// Administration listener of a daemon: serves /healthz, /readyz and /metrics.
 class AdminServer {
  public:
   AdminServer(transport::EventLoop& loop, DaemonPages pages);
 
-  /// Listens, or prints a typed line and exits 2.
+  /// Starts listening; on failure prints an error line and exits with status 2.
   void listenOrExit(const std::string& host, int port) { server_.listenOrExit(host, port); }
 
-  /// @return the port listened on.
+  /// @return the listening port.
   int port() const { return server_.port(); }
 
   /// Makes /readyz answer 503 from now on.
@@ -63,36 +63,40 @@
   PageServer server_;
 };
 
-/// Adds how often and for how long single events kept the loop from all others.
+/// Adds the number of events that blocked the event loop for 100 ms or longer, and the longest one.
 void addLoopMetrics(const transport::EventLoop& loop, base::MetricsPage* page);
 
-/// Adds the bytes of a frame transport by purpose, and its damaged frames.
+/// Adds the byte counters of a frame transport by purpose and its count of bad frames.
 void addFrameMetrics(const transport::FrameTransport& frames, base::MetricsPage* page);
 
-/// Prints one typed line and exits 2.
+/// Prints the error name and text on one line and exits with status 2.
 [[noreturn]] void exitWithError(const absl::Status& status);
 
-/// @return an address that is written as host:port, or kBadSetting
+/// Parses `host:port`.
+/// @return the address, or kBadSetting
 absl::StatusOr<base::Address> parseAddress(const std::string& setting, const std::string& text);
 
-/// @return addresses that are written as host:port, separated by commas, or kBadSetting
+/// Parses a comma-separated list of `host:port`.
+/// @return the addresses, or kBadSetting
 absl::StatusOr<std::vector<base::Address>> parseAddresses(const std::string& setting, const std::string& text);
 
-/// Parses `host:port`; exits 2 when it is malformed.
+/// Same as parseAddress() and parseAddresses(), but exit with status 2 on malformed text.
 base::Address parseAddressOrExit(const std::string& setting, const std::string& text);
 std::vector<base::Address> parseAddressesOrExit(const std::string& setting, const std::string& text);
 
-/// @return the address that a `host:port` setting names, or host and port where it is empty; exits 2 when malformed.
+/// @return the address in a `host:port` setting, or `host` and `port` if the setting is empty; exits with status 2 if
+/// it is malformed.
 base::Address listenAddressOrExit(const std::string& setting, const std::string& text, const std::string& host,
                                   int port);
 
-/// Parses hosts, each `host` or `host:port`, whose processes all listen on one port.
+/// Parses a comma-separated list of `host` or `host:port` and combines each host with `port`; ports in the text are
+/// ignored.
 std::vector<base::Address> hostsAtPort(const std::string& text, int port);
 
-/// @return a seed that differs between processes and starts.
+/// @return a random seed that differs between processes and between starts of one process.
 uint64_t processSeed();
 
-/// Sets logs up from --log_json and --log_level.
+/// Configures logging from --log_json and --log_level.
 void configureLogsFromSettings(base::LogTarget target = base::LogTarget::kErrors);
 
 }  // namespace driftlug::apps
--- a/apps/endpoint_health.h
+++ b/apps/endpoint_health.h
@@ -1,4 +1,4 @@
-/// Health checks of a back end that the table names.
+/// Health checks of a back end that is configured in the table.
 #pragma once
 
 #include <gflags/gflags.h>
@@ -15,7 +15,7 @@
 
 namespace driftlug::apps {
 
-/// Decides whether the endpoint takes new work, from the back end's health and the operator's wish.
+/// Decides whether the endpoint accepts new calls, from health checks of the back end and drain requests of operators.
 class EndpointHealth {
  public:
   EndpointHealth(transport::EventLoop& loop, node::ControlClient& control, node::EndpointCalls& calls,
@@ -37,7 +37,7 @@
     if (FLAGS_health_interval_ms > 0) timer_.start(base::milliseconds(FLAGS_health_interval_ms));
   }
 
-  /// Takes no new work, or takes it again.
+  /// Starts or ends draining on request of an operator.
   void setDrainRequested(bool requested) {
     drainRequested_ = requested;
     update();
@@ -50,7 +50,7 @@
     request.method = "GET";
     request.path = "/healthz";
     pool_.send(request, interval * 2, [this, interval](const transport::HttpResult& result) {
-      // Only a clear word of the back end counts; a lost health check says nothing of requests.
+      // Only an explicit 503 counts; a failed health check says nothing about how requests fare.
       const bool answered = result.outcome == transport::HttpOutcome::kCompleted;
       backendDraining_ = answered && result.response.status == 503;
       update();
--- a/apps/entry_server.cc
+++ b/apps/entry_server.cc
@@ -81,7 +81,7 @@
   return call;
 }
 
-/// Failures get a typed JSON body and, where it is known, Retry-After.
+/// Failures get a JSON body with error and outcome, and Retry-After if the time is known.
 transport::HttpResponse EntryServer::toHttp(node::CallAnswer answer) const {
   transport::HttpResponse response;
   response.status = answer.httpStatus;
--- a/apps/entry_server.h
+++ b/apps/entry_server.h
@@ -11,27 +11,27 @@
 
 namespace driftlug::apps {
 
-/// How callers and nodes speak of a call beside its own content. Header names are in lower case.
+/// Names of the headers that carry metadata of calls between callers and nodes, in lower case.
 struct EntryHeaders {
-  std::string deadline = "x-deadline-ms";  ///< milliseconds that the caller waits
-  std::string credential;                  ///< key of a tenant, not passed on; empty for none
-  std::string caller;                      ///< set by the entry node to the service beside it; empty for none
-  std::string callerService;               ///< the value of that header
-  std::vector<std::string> reserved;       ///< headers that only nodes may set; taken off what callers send
+  std::string deadline = "x-deadline-ms";  ///< milliseconds that the caller waits for an answer
+  std::string credential;                  ///< API key of a tenant, not forwarded; empty for none
+  std::string caller;                      ///< set by the entry node to its local service; empty for none
+  std::string callerService;               ///< value of the caller header
+  std::vector<std::string> reserved;       ///< headers that only nodes may set; removed from requests of callers
   bool fractionalRetryAfter = false;       ///< Retry-After in fractions of a second instead of whole ones
 };
 
-/// Takes calls over HTTP, hands them to the entry side and returns the answers.
+/// Accepts calls over HTTP, passes them to the entry side and returns the answers.
 class EntryServer {
  public:
-  /// @param maxConnections of callers, open at once
+  /// @param maxConnections limit of concurrent caller connections
   EntryServer(transport::EventLoop& loop, node::EntryCalls& entry, EntryHeaders headers,
               size_t maxConnections = SIZE_MAX);
 
   transport::HttpServer& server() { return server_; }
   const transport::HttpServer& server() const { return server_; }
 
-  /// Takes the limits of a new version of the table.
+  /// Applies the ingress limits of a new version of the table.
   void useTable(const routing::RoutingTable& table);
 
  private:
--- a/apps/http_backend.h
+++ b/apps/http_backend.h
@@ -1,4 +1,4 @@
-/// The back end beside a node, reached over HTTP.
+/// HTTP client for the local back end of a node.
 #pragma once
 
 #include <string>
@@ -9,19 +9,19 @@
 
 namespace driftlug::apps {
 
-/// Headers that a back end understands, in lower case; an empty one is not used.
+/// Names of the headers sent to a back end, in lower case; an empty name disables the header.
 struct BackendHeaders {
-  std::string deadline = "x-deadline-ms";  ///< milliseconds left
-  std::string correlation;                 ///< returned as it was sent
-  std::string incarnation;                 ///< the incarnation that the request is meant for
+  std::string deadline = "x-deadline-ms";  ///< milliseconds left until the deadline
+  std::string correlation;                 ///< request id that the back end echoes
+  std::string incarnation;                 ///< incarnation that the request is addressed to
 };
 
-/// node::BackendClient over a pool of HTTP connections.
+/// Implements node::BackendClient with a pool of HTTP connections.
 class HttpBackend : public node::BackendClient {
  public:
   HttpBackend(transport::EventLoop& loop, const base::Address& address, size_t maxConnections, BackendHeaders headers);
 
-  /// Changes how many connections there may be.
+  /// Sets the maximum number of connections.
   void setMaxConnections(size_t maxConnections) { pool_.setMaxConnections(maxConnections); }
 
   /// @return the pool of connections.
--- a/apps/node_daemon.cc
+++ b/apps/node_daemon.cc
@@ -51,16 +51,16 @@
 namespace {
 
 constexpr int kOkStatus = 200;
-/// Calls of tenants with a limit wait for permits. Calls that come within some milliseconds share a question; one that
-/// is not answered in the time of an election or two is refused.
+/// Calls of rate-limited tenants wait for permits. Calls that arrive within 5 ms share a request. A call without an
+/// answer after 700 ms, the time of one or two elections, is refused.
 constexpr quota::quota_queue_options kQuotaQueueOptions{base::milliseconds(5), base::milliseconds(700),
                                                         base::milliseconds(250)};
-/// For the back end to say which of two incarnations it is. It is on this machine: one that has just started answers
-/// within milliseconds, and calls to it wait no longer than this.
+/// Timeout for asking the back end which of two incarnations it is. The back end is on this machine and answers within
+/// milliseconds of its start; calls to it wait no longer than this.
 constexpr base::Duration kIdentityTimeout = base::milliseconds(200);
 
-/// @param well whether the back end is well; if so, and it names no time, it is not cold
-/// @return how much longer the back end is cold, if its answer tells
+/// @param well whether the back end is healthy; a healthy back end that sends no cold time is warm
+/// @return remaining cold-start time in milliseconds; nullopt if an unhealthy back end does not send it
 std::optional<int> remainingColdMs(const std::vector<wire::HttpHeader>& headers, bool well) {
   const std::string text(transport::findHeader(headers, FLAGS_cold_header));
   int coldMs = 0;
@@ -68,7 +68,7 @@
   return well ? std::optional(0) : std::nullopt;
 }
 
-/// Endpoint and entry sides of calls share one set of connections.
+/// Dispatches messages to the endpoint and the entry side of calls, which share connections.
 class CallHandler : public base::ConnectionHandler {
  public:
   CallHandler(node::EntryCalls& entry, node::EndpointCalls& endpoint) : entry_(entry), endpoint_(endpoint) {}
@@ -157,7 +157,7 @@
   page->gauge("endpoint_waiting", "requests waiting for a slot", static_cast<double>(endpoint.limiter().waiting()));
 }
 
-/// What opens descriptors, beside its bound.
+/// Users of file descriptors, and the limit of each.
 struct DescriptorUsers {
   const transport::EventLoop& loop;
   const transport::HttpServer& callers;
@@ -193,12 +193,12 @@
   count("backend_requests_waiting", "requests that wait for a connection to the back end", users.backend.waiting());
 }
 
-/// All parts of a node, wired up.
+/// Owns and connects all components of a node.
 class NodeDaemon : private lifecycle::stop_target {
  public:
   explicit NodeDaemon(const ReportPagesFactory& makeReportPages);
 
-  /// Opens all listeners, or prints a typed line and exits 2.
+  /// Opens all listeners; on failure prints an error line and exits with status 2.
   void listenOrExit();
 
   void run();
@@ -246,9 +246,9 @@
   quarantine::crash_watch crashWatch_;
   EntryServer entryServer_;
   AdminServer admin_;
-  PageHandler reportPages_;  // empty where the back end does not tell of itself
+  PageHandler reportPages_;  // empty if the back end does not report its state
   std::unique_ptr<PageServer> reportServer_;
-  std::unique_ptr<transport::HttpClientPool> identityPool_;  // once the back end was asked who it is
+  std::unique_ptr<transport::HttpClientPool> identityPool_;  // created by the first identity query
   std::unique_ptr<storage::PosixDisk> disk_;
   lifecycle::planned_stop stop_{stopTimesFromSettings(), loop_, *this};
 };
@@ -322,7 +322,7 @@
 
 DaemonPages NodeDaemon::pages() {
   DaemonPages pages;
-  // A node that is cut off from its relays serves what it has; one that takes no connection serves nobody new.
+  // A node that lost its relays serves its last table. A node at its connection limit can't serve new callers.
   pages.ready = [this] { return control_.slices().active() != nullptr && entryServer_.server().accepting(); };
   pages.metrics = [this](base::MetricsPage* page) {
     addMetrics(control_, entry_, endpoint_, controlFrames_, page);
@@ -351,8 +351,7 @@
 size_t NodeDaemon::backendConnections(int connections) const {
   const auto wanted = static_cast<size_t>(connections);
   if (wanted > shares_.backend) {
-    log_.info("connections to the back end: {} of {}, so that descriptors are left for others", shares_.backend,
-              wanted);
+    log_.info("connections to the back end limited to {} of {} by the descriptor limit", shares_.backend, wanted);
   }
   return std::min(wanted, shares_.backend);
 }
@@ -392,7 +391,8 @@
   control_.start(disk_.get());
   if (hasBackend() && !reportServer_) health_.start();
   if (reportServer_ && !FLAGS_identity_header.empty()) {
-    // A back end that starts with its node tells of itself soon; one that was there before may take a while.
+    // A back end that starts together with its node sends its first report soon; one that was already running may take
+    // longer and is queried instead.
     constexpr base::Duration kFirstReportDelay = base::milliseconds(30);
     loop_.schedule(kFirstReportDelay, [this] { queryIdentity(); });
   }
@@ -400,12 +400,13 @@
   loop_.onOverslept([this](base::Duration late) { onOverslept(late); });
   log_.info("{} started in zone {}", FLAGS_name, FLAGS_zone);
   loop_.run();
-  log_.info("{} ended, {} calls of callers and {} of nodes left", FLAGS_name, entry_.active(), endpoint_.active());
+  log_.info("{} exits with {} calls of callers and {} of nodes unfinished", FLAGS_name, entry_.active(),
+            endpoint_.active());
 }
 
 void NodeDaemon::onBackendCrash(uint64_t crash, const std::vector<quarantine::crashed_run>& runs) {
   const auto& endpoint = localBackend_.incarnation().empty() ? FLAGS_name : localBackend_.incarnation();
-  log_.warn("{} has crashed, crash {:016x}, {} requests at work", endpoint, crash, runs.size());
+  log_.warn("{} has crashed, crash {:016x}, {} requests in flight", endpoint, crash, runs.size());
   quarantine_.onCrash(crash, FLAGS_service, endpoint, runs);
   localBackend_.onCrash();
 }
@@ -421,18 +422,19 @@
 void NodeDaemon::queryColdState() {
   if (FLAGS_cold_header.empty()) return;
   queryBackend(kIdentityTimeout, [this](const node::BackendIdentity& identity) {
-    log_.info("{} was asked whether it is cold: well={} cold_ms={}", identity.incarnation, identity.well,
+    log_.info("cold state of {}: well={} cold_ms={}", identity.incarnation, identity.well,
               identity.coldMs.value_or(-1));
     if (identity.coldMs) endpoint_.onColdTold(base::milliseconds(*identity.coldMs), true);
   });
 }
 
-/// @param timeout after which it counts as not having said anything
+/// Queries identity and cold state of the back end.
+/// @param timeout after which the result is empty
 void NodeDaemon::queryBackend(base::Duration timeout, node::LocalBackend::IdentityCallback done) {
   if (!identityPool_) {
     transport::HttpPoolOptions options;
-    options.maxConnections = 2;  // the question at the start, and one about a report
-    // No connection is used twice: an idle one may lead to a process that has ended, or have gone silent.
+    options.maxConnections = 2;  // one query at startup and one about a report
+    // Connections are not reused: an idle one may lead to a process that has exited or hangs.
     options.maxIdle = base::Duration(0);
     options.idleMargin = base::seconds(24 * 60 * 60);
     identityPool_ = std::make_unique<transport::HttpClientPool>(loop_, "identity", backendAddress(), options);
@@ -442,7 +444,7 @@
   request.path = FLAGS_identity_path;
   identityPool_->send(request, timeout, [done = std::move(done)](const transport::HttpResult& result) {
     const auto& headers = result.response.headers;
-    // A refusal for want of a slot tells nothing of how the back end is.
+    // A refusal for lack of a free slot says nothing about the back end's health.
     const bool refused = !FLAGS_not_run_header.empty() && !transport::findHeader(headers, FLAGS_not_run_header).empty();
     node::BackendIdentity identity;
     if (result.outcome == transport::HttpOutcome::kCompleted) {
@@ -462,10 +464,10 @@
 }
 
 void NodeDaemon::onOverslept(base::Duration late) {
-  log_.warn("{} was away for {} ms", FLAGS_name, base::millisecondsOf(late));
+  log_.warn("{} was suspended for {} ms", FLAGS_name, base::millisecondsOf(late));
   control_.onAway();
   endpoint_.setStale(true);
-  loop_.schedule(base::Duration(0), [this] { endpoint_.setStale(false); });  // behind this turn's sockets
+  loop_.schedule(base::Duration(0), [this] { endpoint_.setStale(false); });  // after this turn's socket reads
 }
 
 void NodeDaemon::onTerminate() {
--- a/apps/node_daemon.h
+++ b/apps/node_daemon.h
@@ -1,4 +1,4 @@
-/// The node as a process: settings, sockets and wiring.
+/// The node process: settings, sockets and wiring.
 #pragma once
 
 #include <functional>
@@ -9,11 +9,11 @@
 
 namespace driftlug::apps {
 
-/// Makes the handler of the pages by which the back end beside the node tells of itself.
+/// Creates the handler of the pages on which the local back end reports its state.
 using ReportPagesFactory = std::function<PageHandler(node::LocalBackend&)>;
 
-/// Runs a node until it is told to stop.
-/// @param makeReportPages may be empty; then the back end is the one that the settings and the table name
+/// Runs a node until it receives a termination signal.
+/// @param makeReportPages may be empty; then the back end is the one given by the settings and the table
 /// @return the exit status of the process
 int runNode(int argc, char** argv, const ReportPagesFactory& makeReportPages);
 
--- a/apps/node_settings.cc
+++ b/apps/node_settings.cc
@@ -85,9 +85,10 @@
 namespace driftlug::apps {
 namespace {
 
-/// @return how long a planned stop may take.
+/// @return the time limit of a planned stop.
 base::Duration stopTimeoutFromSettings() {
-  /// From the last answer until the process is gone: its turn on a busy tenth of a core, and the close of connections.
+  /// Time from the last answer to process exit, on a busy tenth of a core: one scheduling delay and closing
+  /// connections.
   constexpr base::Duration kExitMargin = base::milliseconds(500);
   const base::Duration timeout = base::milliseconds(FLAGS_stop_timeout_ms);
   if (FLAGS_stop_grace_s <= 0) return timeout;
@@ -101,9 +102,9 @@
   return static_cast<int64_t>(FLAGS_link_mbps * kBytesPerMegabit);
 }
 
-/// To wait for a grant costs a round trip of some milliseconds, so a body that takes less than that on a link travels
-/// with its call. One that takes longer is worth the round trip: sent to a back end that then refuses it, it has held
-/// up all that waits for the link for nothing. Links are taken to be alike.
+/// Waiting for a grant costs a round trip of a few milliseconds, so a body whose transfer takes less is sent with its
+/// call. A larger body waits for the grant: if the back end refused the call, sending the body would have delayed all
+/// other traffic on the link in vain. All links are assumed to have the same bandwidth.
 size_t inlineBodyBytesFromSettings() {
   constexpr int64_t kMaxInlineBytes = 4096;
   constexpr double kMaxTransferSeconds = 0.004;
@@ -113,9 +114,9 @@
       std::min(kMaxInlineBytes, static_cast<int64_t>(kMaxTransferSeconds * static_cast<double>(link))));
 }
 
-/// Where links are narrow, four in ten requests of a loaded fleet can run beside the node that takes them: of 42,000
-/// requests on links of 1 Mbit/s those served in time rise by 0.03 (mean of six loaded days, one play each). On links
-/// of 1 Gbit/s it only makes the choice worse: 0.01 less on two fleets.
+/// On slow links, four in ten requests of a loaded fleet can run on the back end of the node that receives them. With
+/// 42,000 requests on 1 Mbit/s links this raises the share served in time by 0.03 (mean of six days under load, one run
+/// each). On 1 Gbit/s links it only degrades the choice of endpoints: 0.01 lower on two fleets.
 double localEndpointGainFromSettings() {
   constexpr double kNarrowLinkMbps = 20;
   constexpr double kNarrowLinkGain = 0.4;
--- a/apps/node_settings.h
+++ b/apps/node_settings.h
@@ -1,4 +1,4 @@
-/// The settings of a node, as options of its parts.
+/// Converts the settings of a node to the options of its components.
 #pragma once
 
 #include "base/network.h"
@@ -19,16 +19,16 @@
 node::EndpointOptions endpointOptionsFromSettings();
 EntryHeaders entryHeadersFromSettings();
 
-/// @return where this node takes calls of other nodes; port 0 when it takes none.
+/// @return the address on which this node accepts calls of other nodes; port 0 if it accepts none.
 base::Address frameAddressFromSettings();
 
-/// @return the times of a planned stop.
+/// @return the timeouts of a planned stop.
 lifecycle::stop_times stopTimesFromSettings();
 
-/// @return the bounds of what opens descriptors.
+/// @return the descriptor limits by use.
 descriptors::descriptor_shares descriptorSharesFromSettings();
 
-/// @return where others reach the endpoint beside this node.
+/// @return service, address and zone of this node's endpoint as other nodes reach it.
 wire::EndpointState endpointStateFromSettings();
 
 }  // namespace driftlug::apps
--- a/apps/quarantine_page.h
+++ b/apps/quarantine_page.h
@@ -1,4 +1,4 @@
-/// A node's page and figures of requests that crash back ends.
+/// Page and metrics of a node about requests that crash back ends.
 #pragma once
 
 #include "base/metrics.h"
@@ -7,12 +7,11 @@
 
 namespace driftlug::apps {
 
-/// @return whether a path belongs to this page.
+/// @return whether the path belongs to the quarantine page.
 bool isQuarantinePage(const std::string& path);
 
-/// `GET /quarantine` lists suspects and held requests; `DELETE /quarantine/FINGERPRINT` lets one run again, at all
-/// nodes.
-/// @return the answer; 404 for a fingerprint that nothing is known of, 405 for other methods
+/// `GET /quarantine` lists suspects and held requests; `DELETE /quarantine/FINGERPRINT` releases one on all nodes.
+/// @return the response; 404 for an unknown fingerprint, 405 for other methods
 transport::HttpResponse answerQuarantinePage(const transport::HttpRequest& request,
                                              quarantine::request_quarantine* quarantine);
 
--- a/apps/relay_main.cc
+++ b/apps/relay_main.cc
@@ -1,4 +1,4 @@
-/// driftlug-relay: reads the table from the leading controller and hands slices to nodes.
+/// driftlug-relay: receives the table from the leading controller and sends slices of it to nodes.
 #include <gflags/gflags.h>
 
 #include <absl/strings/str_split.h>
@@ -54,13 +54,14 @@
   return options;
 }
 
-/// SIGHUP: a relay that didn't take the signal ended with it, and its nodes lost their connections.
+/// Handles SIGHUP by rereading controllers and peers. Without a handler the signal terminates the relay, and its nodes
+/// lose their connections.
 void reload(relay::Relay& relay) {
   const auto controllers =
       apps::parseAddresses("controllers", base::rereadSetting("controllers").value_or(FLAGS_controllers));
   const auto peers = apps::parseAddresses("peers", base::rereadSetting("peers").value_or(FLAGS_peers));
   if (!controllers.ok() || !peers.ok() || controllers->empty()) {
-    base::Logger("relay").warn("{} keeps its settings, those of its file can't be used", FLAGS_name);
+    base::Logger("relay").warn("{} keeps its current settings: the settings file is invalid", FLAGS_name);
     return;
   }
   relay.useSettings(*controllers, *peers);
@@ -94,7 +95,7 @@
   base::declareRange("node_heartbeat_ms", 10, 60'000);
   base::declareRange("admissions_per_second", 1, 1'000'000);
   base::declareRange("emulated_zone_delay_us", 0, 10'000'000);
-  base::loadSettingsOrExit(argc, argv, "driftlug-relay: hands slices of the table to nodes", false);
+  base::loadSettingsOrExit(argc, argv, "driftlug-relay: sends slices of the table to nodes", false);
   apps::configureLogsFromSettings(base::LogTarget::kOutput);
 
   transport::EventLoop loop;
@@ -108,8 +109,8 @@
   pages.ready = [&relay] { return relay.recovered() && relay.fresh(base::seconds(3)); };
   pages.metrics = [&relay, &frames](base::MetricsPage* page) { addMetrics(relay, frames, page); };
   apps::AdminServer admin(loop, pages);
-  // Before anybody can see that this process is there: behind its first connection SIGHUP ended 199 of 480 starts
-  // beside load.
+  // The handlers are installed before the process listens or connects. When they were installed after its first
+  // connection, SIGHUP terminated 199 of 480 starts under load.
   loop.onSignals({[&] {
                     constexpr base::Duration kStopTime = base::milliseconds(500);
                     admin.setStopping();
--- a/apps/rollout_command.cc
+++ b/apps/rollout_command.cc
@@ -33,7 +33,7 @@
     line += absl::StrFormat(": %.1f%% of the requests, %d endpoints tried, evidence %.2f",
                             rollout.value("target_permille", 0) / kPermillePerPercent,
                             rollout.value("endpoints_tried", 0), rollout.value("evidence", 0.0));
-    line += rollout.value("retiring", false) ? ", the version before it is emptied" : "";
+    line += rollout.value("retiring", false) ? ", the previous version is draining" : "";
   }
   const auto reason = rollout.value("running" == state ? "against_it" : "reason", "");
   return reason.empty() ? line : line + " (" + reason + ")";
@@ -59,7 +59,7 @@
 
 int RolloutCommand::start(const std::string& service, const std::string& version) {
   if (0 >= settings_.finishByMs) {
-    return usageError("--finish_by_ms is needed: the time until the order must have ended");
+    return usageError("--finish_by_ms is needed: the time limit of the rollout");
   }
   const json order = {{"version", version}, {"finish_by_ms", settings_.finishByMs}};
   const auto answer = client_.request("POST", pathOf(service), order.dump());
--- a/apps/rollout_command.h
+++ b/apps/rollout_command.h
@@ -1,4 +1,4 @@
-/// `driftlugctl rollout`: starts, shows, follows and takes back orders to move a service to another version.
+/// `driftlugctl rollout`: starts, shows, watches and aborts rollouts of a service to another version.
 #pragma once
 
 #include <string>
@@ -7,10 +7,10 @@
 #include "sync_http.h"
 
 namespace driftlug::apps {
-/// How the command was called.
+/// Command-line options of `driftlugctl rollout`.
 struct RolloutSettings {
-  int finishByMs = 0;  ///< Time of an order, milliseconds.
-  bool wait = false;   ///< An order is followed until it ended.
+  int finishByMs = 0;  ///< Time limit of a rollout, milliseconds.
+  bool wait = false;   ///< Watch a started rollout until it ends.
   bool json = false;
 };
 
@@ -19,7 +19,7 @@
   RolloutCommand(SyncHttp& http, ControlApiClient& client, const RolloutSettings& settings)
       : http_(http), client_(client), settings_(settings) {}
 
-  /// @return The exit code: kDone also where an order ended as completed, kFailed where it was rolled back
+  /// @return The exit code: kFailed if a watched rollout was rolled back, kDone if it completed
   int run(const Arguments& arguments);
 
  private:
@@ -32,7 +32,7 @@
   RolloutSettings settings_;
 };
 
-/// @return One line of an order: where it stands, how far it is and what speaks against the version
+/// @return One line about a rollout: state, progress and the evidence against the new version
 std::string rolloutLine(const nlohmann::json& rollout);
 
 }  // namespace driftlug::apps
--- a/apps/sync_http.h
+++ b/apps/sync_http.h
@@ -10,18 +10,18 @@
 
 namespace driftlug::apps {
 
-/// Sends one request at a time and waits for its result.
+/// Sends one request at a time and blocks until its result is there.
 class SyncHttp {
  public:
   ~SyncHttp() { loop_.close(); }
 
-  /// @return the result; timedOut when no answer came in time
+  /// @return the result; timedOut if no response arrived in time
   transport::HttpResult call(const base::Address& address, transport::HttpRequest request, base::Duration timeout);
 
-  /// A GET request.
+  /// Sends a GET request; see call().
   transport::HttpResult get(const base::Address& address, const std::string& path, base::Duration timeout);
 
-  /// Runs the event loop for a while.
+  /// Runs the event loop for the given duration.
   void wait(base::Duration duration);
 
   transport::EventLoop& loop() { return loop_; }
--- a/apps/table_file.cc
+++ b/apps/table_file.cc
@@ -54,11 +54,11 @@
 absl::StatusOr<int> cellNumber(const std::string& location, const std::string& text) {
   int value = 0;
   if (absl::SimpleAtoi(text, &value)) return value;
-  return makeError(ErrorCode::kBadRequestBody, location + ": '" + text + "' is no whole number");
+  return makeError(ErrorCode::kBadRequestBody, location + ": '" + text + "' is not a whole number");
 }
 
-/// Header `route,service,weight`: the shares of each route named.
-/// Header `limit,max_concurrent,max_queued`: the fields of each limit named.
+/// With the header `route,service,weight`, each line sets the weight of one service of a route.
+/// With the header `limit,max_concurrent,max_queued`, each line sets the fields of one limit.
 absl::StatusOr<std::vector<FileRow>> readCsv(const std::string& path) {
   std::ifstream stream(path);
   if (!stream) return makeError(ErrorCode::kBadRequestBody, "can't read " + path);
@@ -76,7 +76,7 @@
     if (absl::StripAsciiWhitespace(line).empty()) continue;
     const auto location = path + ":" + std::to_string(number);
     const auto values = cells(line);
-    if (values.size() != 3) return makeError(ErrorCode::kBadRequestBody, location + ": three cells are needed");
+    if (values.size() != 3) return makeError(ErrorCode::kBadRequestBody, location + ": three cells are expected");
     const auto second = cellNumber(location, weights ? values[2] : values[1]);
     if (!second.ok()) return second.status();
     if (weights) {
--- a/apps/table_file.h
+++ b/apps/table_file.h
@@ -1,4 +1,4 @@
-/// Table files: TOML with all kinds of rows, or CSV with weights or limits as a spreadsheet writes them.
+/// Table files: TOML with rows of all kinds, or CSV with route weights or limits as exported from a spreadsheet.
 #pragma once
 
 #include <absl/status/statusor.h>
@@ -10,16 +10,16 @@
 
 namespace driftlug::apps {
 
-/// One row as a file states it.
+/// One row of a table file.
 struct FileRow {
   std::string kind;
   std::string name;
   nlohmann::json fields;
-  bool partial = false;  ///< only the given fields are to be changed
+  bool partial = false;  ///< fields that are absent keep their value
 };
 
-/// Reads a file by its ending, .toml or .csv.
-/// @return the rows, or kBadRequestBody with the place of the first mistake
+/// Reads a file as CSV if its name ends in .csv, else as TOML.
+/// @return the rows, or kBadRequestBody with the location of the first error
 absl::StatusOr<std::vector<FileRow>> readTableFile(const std::string& path);
 
 }  // namespace driftlug::apps
--- a/apps/tcp_presence_check.cc
+++ b/apps/tcp_presence_check.cc
@@ -5,8 +5,8 @@
 namespace driftlug::apps {
 namespace {
 
-/// The back end is on this machine: a connection is up, or refused, within a millisecond, and within some hundred where
-/// the machine is short of processor time. Calls that were cut wait for the answer.
+/// The back end is on this machine: a connection is established or refused within a millisecond, or within some hundred
+/// milliseconds if the machine is short of CPU time. Interrupted calls wait for the result.
 constexpr base::Duration kTimeout = base::milliseconds(500);
 
 }  // namespace
--- a/apps/tcp_presence_check.h
+++ b/apps/tcp_presence_check.h
@@ -1,4 +1,4 @@
-/// Asks whether something listens at a back end's address, by a connection that is closed at once.
+/// Checks whether a process listens at a back end's address, by opening a connection and closing it at once.
 #pragma once
 
 #include <functional>
@@ -25,7 +25,7 @@
 
   transport::EventLoop& loop_;
   base::Address address_;
-  std::shared_ptr<transport::TcpStream> stream_;  // null while nothing is asked
+  std::shared_ptr<transport::TcpStream> stream_;  // null while no check runs
   std::function<void(quarantine::presence)> done_;
 };
 
--- a/apps/trace_command.cc
+++ b/apps/trace_command.cc
@@ -8,7 +8,7 @@
 namespace driftlug::apps {
 namespace {
 
-/// @return whether a line names the call, not another one whose id only begins alike.
+/// @return whether a line mentions the call; another call whose id has this id as a prefix does not match.
 bool mentionsCall(const std::string& line, const std::string& callId) {
   const std::string field = "call=" + callId;
   for (auto at = line.find(field); at != std::string::npos; at = line.find(field, at + 1)) {
--- a/apps/trace_command.h
+++ b/apps/trace_command.h
@@ -1,4 +1,4 @@
-/// `driftlugctl trace`: all that processes logged of one call, in order.
+/// `driftlugctl trace`: prints the log lines of one call from several processes in order of time.
 #pragma once
 
 #include <string>
@@ -8,17 +8,17 @@
 
 /// One line of a log.
 struct TraceLine {
-  std::string time;  ///< as the process wrote it; sorts as text
+  std::string time;  ///< timestamp as logged; sorts lexicographically
   std::string file;
-  std::string text;  ///< behind the time
+  std::string text;  ///< rest of the line after the timestamp
 };
 
-/// Picks the lines that name a call as `call=ID`, or a call made on its behalf (`call=ID.`), ordered by time and,
-/// within a file, as they stand.
+/// Returns the lines that contain `call=ID`, or `call=ID.` for a call made on its behalf, sorted by time. Lines of one
+/// file with equal times keep their order.
 std::vector<TraceLine> traceLines(const std::string& callId, const std::vector<std::string>& files);
 
 /// Prints the lines of a call.
-/// @return false when no file names it
+/// @return false if no file mentions it
 bool printTrace(const std::string& callId, const std::vector<std::string>& files);
 
 }  // namespace driftlug::apps
