--- a/test/apps/node_readiness_test.cc
+++ b/test/apps/node_readiness_test.cc
@@ -16,7 +16,7 @@
 
 constexpr size_t kMaxCallers = 4;
 
-/// The listeners of a node for callers and for its health.
+/// The caller listener and the administration listener of a node.
 struct Fixture {
   Fixture()
       : frames(loop, "calls"),
@@ -35,14 +35,14 @@
     return pages;
   }
 
-  /// @return what a probe of the node's readiness is answered.
+  /// @return the status line of a readiness probe.
   std::string probe() {
     RawClient client(loop, admin.port());
     client.send("GET /readyz HTTP/1.1\r\nHost: h\r\n\r\n");
     return client.receive().substr(0, std::string("HTTP/1.1 200").size());
   }
 
-  /// Connects a caller that is about to send a request.
+  /// Connects a caller that has sent a part of a request.
   void connectCaller() {
     callers.push_back(std::make_unique<RawClient>(loop, server.server().port()));
     callers.back()->send("GET / HTTP/1.1\r\nHost:");
@@ -58,7 +58,7 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(Fixture, "a node that can't take a connection is not ready, and says so") {
+TEST_CASE_METHOD(Fixture, "a node at its limit of caller connections is not ready") {
   for (size_t i = 0; i + 1 < kMaxCallers; ++i) connectCaller();
   CHECK(probe() == "HTTP/1.1 200");
   connectCaller();
@@ -72,13 +72,13 @@
   for (size_t i = 0; i < 2 * descriptors::kPageConnections; ++i) {
     probes.push_back(std::make_unique<RawClient>(loop, admin.port()));
   }
-  // Those that were open for a second and sent nothing make room.
+  // Connections that sent nothing for a second may be closed in favor of new ones.
   const auto until = loop.now() + base::milliseconds(1500);
   while (loop.now() < until) transport::settle(loop);
   CHECK(probe() == "HTTP/1.1 200");
 }
 
-TEST_CASE_METHOD(Fixture, "limits of a new version leave the bound of callers as it is") {
+TEST_CASE_METHOD(Fixture, "a new table version does not change the limit of caller connections") {
   server.useTable(routing::RoutingTable(table::Table{}, 1));
   CHECK(server.server().options().maxConnections == kMaxCallers);
 }
--- a/test/apps/quarantine_page_test.cc
+++ b/test/apps/quarantine_page_test.cc
@@ -62,7 +62,7 @@
   CHECK(crashReports[0].requests[0].cleared);
 }
 
-TEST_CASE_METHOD(Fixture, "what the page does not know is refused") {
+TEST_CASE_METHOD(Fixture, "unknown fingerprints and methods are refused") {
   hold();
   CHECK(sendRequest("DELETE", "/quarantine/00000000000000000000000000000009").status == 404);
   CHECK(sendRequest("DELETE", "/quarantine/nonsense").status == 404);
@@ -71,7 +71,7 @@
   CHECK(requestQuarantine->standingOf(kCrashingRequest, "tiles") == quarantine::standing::held);
 }
 
-TEST_CASE("a back end's address is found listening, and gone once its process has ended") {
+TEST_CASE("a connection check finds a listening back end") {
   transport::EventLoop loop;
   std::optional<quarantine::presence> found;
   const auto findPresence = [&](TcpPresenceCheck* presence) {
@@ -88,7 +88,7 @@
   loop.close();
 }
 
-TEST_CASE("an address at which nobody listens is found gone") {
+TEST_CASE("a connection check reports a closed port as gone") {
   transport::EventLoop loop;
   int port = 0;
   {
--- a/test/apps/relay_signals_test.cc
+++ b/test/apps/relay_signals_test.cc
@@ -16,10 +16,10 @@
 namespace {
 
 constexpr int kTimeoutMs = 10'000;
-constexpr int kSuspendMs = 2'500;  // longer than the relay's timers by more than a second
-constexpr int kSettleMs = 300;     // in which a process would end that doesn't take a signal
+constexpr int kSuspendMs = 2'500;  // exceeds the relay's timers by more than a second
+constexpr int kSettleMs = 300;     // time in which an unhandled signal would end the process
 
-/// What listens at a controller's address, and knows nothing else of one.
+/// Listens at a controller's address without accepting connections.
 class Listener {
  public:
   Listener() : socket_(::socket(AF_INET, SOCK_STREAM, 0)) {
@@ -36,7 +36,7 @@
 
   const std::string& address() const { return address_; }
 
-  /// @return whether somebody connected in time.
+  /// @return whether a connection arrived in time.
   bool waitForConnection() const {
     pollfd wait{socket_, POLLIN, 0};
     return ::poll(&wait, 1, kTimeoutMs) == 1;
@@ -68,7 +68,7 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(Fixture, "a relay that is told to reload goes on, with the controllers that its settings name now") {
+TEST_CASE_METHOD(Fixture, "SIGHUP makes a relay reread its controllers, and invalid settings do not stop it") {
   const Listener first;
   const Listener second;
   ProcessGroup processes(folder);
@@ -87,8 +87,8 @@
   CHECK(processes.waitFor("relay", kTimeoutMs) == 0);
 }
 
-TEST_CASE_METHOD(Fixture, "a relay takes signals from the moment on at which others can see it") {
-  constexpr int kStarts = 10;  // two of five ended before
+TEST_CASE_METHOD(Fixture, "a relay handles SIGHUP as soon as it opens its first connection") {
+  constexpr int kStarts = 10;  // two of five starts were terminated before the fix
   for (int i = 0; i < kStarts; ++i) {
     const Listener controller;
     ProcessGroup processes(folder);
@@ -102,7 +102,7 @@
   }
 }
 
-TEST_CASE_METHOD(Fixture, "a relay that stood still for a while asks its controllers anew") {
+TEST_CASE_METHOD(Fixture, "a relay detects that it was suspended") {
   const Listener controller;
   ProcessGroup processes(folder);
   writeSettings(controller.address());
@@ -116,7 +116,7 @@
        waited += kSettleMs) {
     ::usleep(kSettleMs * 1000);
   }
-  INFO(processes.output("relay"));  // it may be stopped before its loop has run
+  INFO(processes.output("relay"));  // the process may be stopped before its loop has run
   CHECK(processes.output("relay").find(expected) != std::string::npos);
 }
 
--- a/test/apps/trace_command_test.cc
+++ b/test/apps/trace_command_test.cc
@@ -6,7 +6,7 @@
 
 namespace driftlug::apps {
 
-TEST_CASE("the lines of a call and of calls made for it come in order, and those of others don't") {
+TEST_CASE("a trace contains the lines of a call and of its nested calls in order of time, and no others") {
   const std::string entry = std::tmpnam(nullptr);
   const std::string endpoint = std::tmpnam(nullptr);
   std::ofstream(entry) << "2026-12-02T10:00:00.300 warning entry: outcome call=9c41 status=503\n"
--- a/test/platform/config_api_test.cc
+++ b/test/platform/config_api_test.cc
@@ -13,7 +13,7 @@
 using test::routeResource;
 using test::serviceResource;
 
-/// Asks for configurations only.
+/// Sends requests to the configuration page only.
 struct Fixture : PagesFixture {
   transport::HttpResponse sendRequest(size_t position, const std::string& method, const std::string& body) {
     return PagesFixture::sendRequest(position, method, "/config", body);
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(Fixture, "versions climb by uneven steps, each on top of the one in place") {
+TEST_CASE_METHOD(Fixture, "version numbers may skip values but must increase and build on the current version") {
   CHECK(put(config(3, 0)) == 200);
   CHECK(put(config(7, 3)) == 200);
   CHECK(currentVersion() == 7);
@@ -40,7 +40,7 @@
   CHECK(currentVersion() == 7);
 }
 
-TEST_CASE_METHOD(Fixture, "what was taken is acknowledged again, also when later versions are in place") {
+TEST_CASE_METHOD(Fixture, "an applied configuration is acknowledged again, also after later versions") {
   CHECK(put(config(3, 0)) == 200);
   CHECK(put(config(3, 0)) == 200);
   CHECK(put(config(7, 3)) == 200);
@@ -110,7 +110,7 @@
   CHECK(sendRequest(leader(), "GET", "").status == 404);
 }
 
-TEST_CASE_METHOD(Fixture, "a controller that does not lead sends a change on without reading it") {
+TEST_CASE_METHOD(Fixture, "a follower redirects a configuration without parsing it") {
   const size_t follower = leader() == 0 ? 1 : 0;
   const auto response = sendRequest(follower, "PUT", "{ cut short");
   CHECK(response.status == 307);
--- a/test/platform/config_document_test.cc
+++ b/test/platform/config_document_test.cc
@@ -52,7 +52,7 @@
   CHECK(read["resources"][1]["spec"]["routeType"] == "upload");
 }
 
-TEST_CASE("changes are those rows only that differ, and the version") {
+TEST_CASE("a diff contains the changed rows and the version row only") {
   table::Table rows;
   const auto first =
       parseConfig(configBody(1, 0,
@@ -76,7 +76,7 @@
   CHECK(changes[2].row.deleted);
 }
 
-TEST_CASE("what can't be read whole is refused with a reason") {
+TEST_CASE("incomplete or invalid configurations are refused with an error message") {
   const auto whole =
       configBody(7, 5, {routeResource("r-1", "a.example", "/p/", "safe", "s-1"), serviceResource("s-1")});
   const auto bad = GENERATE_COPY(
@@ -93,7 +93,7 @@
   CHECK(!base::errorText(document.status()).empty());
 }
 
-TEST_CASE("bodies that are no JSON are refused, however they fail") {
+TEST_CASE("malformed JSON bodies are refused") {
   const auto good = configBody(1, 0, {routeResource("r-1", "a.example", "/p/", "safe", "s-1"), serviceResource("s-1")});
   REQUIRE(parseConfig(good).ok());
   constexpr size_t kNestingDepth = 2'000'000;
@@ -116,7 +116,7 @@
   return {{"resourceType", "tenants"}, {"metadata", {{"name", name}}}, {"spec", spec}};
 }
 
-/// @return the problems that the table finds in a configuration with these tenants
+/// @return the problems that the table validator finds in a configuration with these tenants
 std::vector<table::Problem> problemsOf(const std::vector<nlohmann::json>& tenants) {
   const auto document = parseConfig(test::configBody(1, 0, tenants));
   REQUIRE(document.ok());
@@ -127,7 +127,7 @@
 
 }  // namespace
 
-TEST_CASE("tenants, downloads, routes without keys, homes and cold back ends read back as they were sent") {
+TEST_CASE("tenants, downloads, keyless routes, regions and cold-start fields are written back as they were sent") {
   auto route = routeResource("r-1", "a.example", "/p/", "download", "s-1");
   route["spec"]["noAuth"] = false;
   route["spec"]["allowedRegions"] = {"east", "west"};
@@ -168,7 +168,7 @@
   CHECK_FALSE(parseConfig(configBody(1, 0, {tenant({{"ratePerS", "many"}})})).ok());
 }
 
-TEST_CASE("a name that stands twice is refused") {
+TEST_CASE("duplicate names are refused") {
   const auto route = routeResource("r-1", "a.example", "/p/", "safe", "s-1");
   const auto other = routeResource("r-1", "a.example", "/q/", "safe", "s-1");
   CHECK_FALSE(parseConfig(configBody(1, 0, {route, other, serviceResource("s-1")})).ok());
--- a/test/platform/config_steps_test.cc
+++ b/test/platform/config_steps_test.cc
@@ -60,7 +60,7 @@
   }
 }
 
-TEST_CASE("a configuration that is written in steps is what the table held when that began") {
+TEST_CASE("a configuration written in steps is the state of the table when writing began") {
   table::Table table;
   const auto document = parseConfig(configOf(1, 0, 50));
   REQUIRE(document.ok());
@@ -78,7 +78,7 @@
   CHECK(writer.text() == whole);
 }
 
-TEST_CASE_METHOD(PagesFixture, "a large configuration leaves the loop to others while it is read and written") {
+TEST_CASE_METHOD(PagesFixture, "a large configuration is parsed and written in steps that yield to the event loop") {
   constexpr int kSmall = 100;
   constexpr int kLarge = 10'000;
   constexpr uint64_t kMaxResourcesPerStep = 250;
--- a/test/platform/evacuation_api_test.cc
+++ b/test/platform/evacuation_api_test.cc
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(Fixture, "a zone is emptied and taken back, and an order that comes again changes nothing") {
+TEST_CASE_METHOD(Fixture, "evacuating and restoring a zone is idempotent") {
   CHECK(sendOrder(leader(), "POST", "sur-a") == 200);
   const auto revision = hosts[leader()]->controller().state().table().revision();
   CHECK(sendOrder(leader(), "POST", "sur-a") == 200);
@@ -37,7 +37,7 @@
   CHECK(zones().empty());
 }
 
-TEST_CASE_METHOD(Fixture, "a zone can be emptied, taken back and emptied again") {
+TEST_CASE_METHOD(Fixture, "a restored zone can be evacuated again") {
   for (int i = 0; i < 3; ++i) {
     CHECK(sendOrder(leader(), "POST", "sur-a") == 200);
     CHECK(zones().size() == 1);
@@ -46,7 +46,7 @@
   }
 }
 
-TEST_CASE_METHOD(Fixture, "what is no zone's name is refused, and other controllers send to the leader") {
+TEST_CASE_METHOD(Fixture, "invalid zone names are refused, and followers redirect to the leader") {
   CHECK(sendOrder(leader(), "POST", "a/b") == 400);
   CHECK(sendOrder((leader() + 1) % hosts.size(), "POST", "sur-a") == 307);
 }
@@ -58,7 +58,7 @@
   CHECK(zones() == std::vector<std::string>{"sur-a"});
 }
 
-TEST_CASE_METHOD(Fixture, "an order that was accepted is there after a loss of all controllers") {
+TEST_CASE_METHOD(Fixture, "an accepted evacuation survives a power loss of all controllers") {
   CHECK(sendOrder(leader(), "POST", "sur-a") == 200);
   for (auto& host : hosts) host->losePower();
   for (auto& host : hosts) host->start(seeds, false);
--- a/test/platform/pages_fixture.h
+++ b/test/platform/pages_fixture.h
@@ -1,4 +1,4 @@
-/// Controllers with the platform's pages for operators.
+/// Test fixture: simulated controllers with the platform's pages for operators.
 #pragma once
 
 #include <catch2/catch.hpp>
@@ -14,7 +14,7 @@
 
 namespace driftlug::platform {
 
-/// Three controllers, each with the pages.
+/// Three simulated controllers, each with configuration and rollout pages.
 struct PagesFixture {
   PagesFixture() : network(queue, base::RandomSource(7), {}) {
     for (int i = 1; i <= 3; ++i) {
--- a/test/platform/platform_messages.h
+++ b/test/platform/platform_messages.h
@@ -1,4 +1,4 @@
-/// Messages of the platform, written here by hand after its pages.
+/// Messages in the platform's format, written independently of the code under test.
 #pragma once
 
 #include <absl/strings/str_format.h>
--- a/test/platform/report_api_test.cc
+++ b/test/platform/report_api_test.cc
@@ -75,7 +75,7 @@
   CHECK(announced.back().condition == wire::EndpointCondition::DRAINING);
 }
 
-TEST_CASE_METHOD(Fixture, "a farewell ends the back end, with or without a word of draining before") {
+TEST_CASE_METHOD(Fixture, "a deregistered back end stays gone, also if it was not draining") {
   CHECK(sendRequest("PUT", "/instances/i-1", heartbeat(1, "ready")) == 200);
   CHECK(sendRequest("DELETE", "/instances/i-1", "") == 200);
   CHECK(announced.back().condition == wire::EndpointCondition::GONE);
@@ -104,7 +104,7 @@
 
 namespace {
 
-/// A heartbeat with one member replaced, or taken out where the value is discarded.
+/// @return a heartbeat with one member replaced, or removed if the value is discarded.
 std::string heartbeatWith(const std::string& part, const std::string& member, const nlohmann::json& value) {
   auto heartbeat = nlohmann::json::parse(Fixture::heartbeat(9, "ready"));
   auto& object = part.empty() ? heartbeat : heartbeat[part];
@@ -161,12 +161,12 @@
   CHECK(sendRequest("PUT", "/instances/", heartbeat(9, "ready")) == 400);
   CHECK(announced.size() == 1);
   CHECK(localBackend.incarnation() == "i-1");
-  // The back end itself goes on as before.
+  // Valid reports of the back end are still applied.
   CHECK(sendRequest("PUT", "/instances/i-1", heartbeat(5, "draining")) == 200);
   CHECK(announced.back().condition == wire::EndpointCondition::DRAINING);
 }
 
-TEST_CASE_METHOD(Fixture, "what a report has beyond what is known does not matter") {
+TEST_CASE_METHOD(Fixture, "unknown members of a report are ignored") {
   auto heartbeat = nlohmann::json::parse(Fixture::heartbeat(4, "ready"));
   heartbeat["mood"] = "good";
   heartbeat["info"]["colour"] = nlohmann::json::array({1, 2});
@@ -175,7 +175,8 @@
   CHECK(announced.size() == 1);
 }
 
-TEST_CASE_METHOD(Fixture, "a back end that starts again under its name is told from its life before by its start") {
+TEST_CASE_METHOD(
+    Fixture, "a back end restarted under the same name is distinguished from its previous start by its start time") {
   const auto heartbeatOf = [](int sequence, const char* state, int64_t start) {
     auto heartbeat = nlohmann::json::parse(Fixture::heartbeat(sequence, state));
     heartbeat["born"] = start;
@@ -190,7 +191,7 @@
   CHECK(sendRequest("DELETE", "/instances/i-1", nlohmann::json{{"born", kFirst}}.dump()) == 200);
   CHECK(announced.back().endpoint == current);
   CHECK(announced.back().condition == wire::EndpointCondition::LIVE);
-  // One that may be late and may not is not acknowledged, so that its sender says it again.
+  // A report that may or may not be late is not acknowledged, so that its sender repeats it.
   CHECK(sendRequest("PUT", "/instances/i-1", heartbeatOf(1, "ready", kFirst - 8000)) == 503);
   CHECK(sendRequest("DELETE", "/instances/i-1", nlohmann::json{{"born", kFirst + 4000}}.dump()) == 200);
   CHECK(announced.back().condition == wire::EndpointCondition::GONE);
--- a/test/platform/rollout_api_test.cc
+++ b/test/platform/rollout_api_test.cc
@@ -16,7 +16,7 @@
   return nlohmann::json{{"service", service}, {"targetVersion", version}, {"finishByS", finishBy}}.dump();
 }
 
-/// A configuration is in place, and version v1 of its service stands.
+/// A configuration is applied, and v1 is the standing version of its service.
 struct Fixture : PagesFixture {
   Fixture() {
     const auto route = test::routeResource("r-1", "a.example", "/p/", "safe", "s-1");
@@ -45,7 +45,8 @@
   CHECK(read()["targetVersion"] == "v2");
 }
 
-TEST_CASE_METHOD(Fixture, "an order that comes again is acknowledged again, at any controller, and is no second one") {
+TEST_CASE_METHOD(Fixture,
+                 "a repeated order is acknowledged and starts no second rollout; followers redirect to the leader") {
   CHECK(post(orderBody()) == 200);
   const auto row = hosts[leader()]->controller().rollouts().rowOf("s-1");
   CHECK(post(orderBody()) == 200);
@@ -62,7 +63,7 @@
   CHECK(read()["targetVersion"] == "v2");
 }
 
-TEST_CASE_METHOD(Fixture, "an order that can't be is refused") {
+TEST_CASE_METHOD(Fixture, "invalid rollout orders are refused") {
   CHECK(post(orderBody(12, "v2", "s-9")) == 400);
   CHECK(post(orderBody(12, "")) == 400);
   CHECK(post(orderBody(0)) == 400);
@@ -78,7 +79,7 @@
   CHECK(post(orderBody(2)) == 200);
   runFor(base::seconds(3));
   CHECK(read()["state"] == "rolled_back");
-  // It comes again, since its answer was lost: still the same.
+  // A repeated order, as sent after a lost response, does not change the outcome.
   CHECK(post(orderBody(2)) == 200);
   CHECK(read()["state"] == "rolled_back");
 }
@@ -90,7 +91,7 @@
   CHECK(sendRequest(old, "GET", "/rollouts/s-1", "").status == 503);
 }
 
-TEST_CASE_METHOD(Fixture, "an order and a configuration don't touch each other") {
+TEST_CASE_METHOD(Fixture, "rollout orders and configurations don't affect each other") {
   CHECK(post(orderBody()) == 200);
   const auto moved = test::routeResource("r-1", "a.example", "/p/", "safe", "s-2");
   CHECK(putConfig(test::configBody(5, 3, {moved, test::serviceResource("s-2")})) == 200);
--- a/test/platform/whole_config.h
+++ b/test/platform/whole_config.h
@@ -1,4 +1,4 @@
-/// Configurations read, compared and written in one step.
+/// Helpers that parse, compare and write a configuration in one step.
 #pragma once
 
 #include <absl/status/statusor.h>
@@ -15,14 +15,14 @@
 
 namespace driftlug::platform {
 
-/// A whole configuration as an operator sends it.
+/// A parsed configuration.
 struct ConfigDocument {
   ConfigVersion version;
   int64_t baseNumber = 0;       ///< number of the version that it builds on
   std::vector<wire::Row> rows;  ///< without revisions
 };
 
-/// @return the document, or kBadRequestBody with what is wrong
+/// @return the document, or kBadRequestBody with the error
 inline absl::StatusOr<ConfigDocument> parseConfig(std::string_view body) {
   ConfigDocument document;
   ConfigReader reader{std::string(body)};
@@ -33,14 +33,14 @@
   return document;
 }
 
-/// @return the whole configuration that a table holds.
+/// @return the configuration in a table, as JSON text.
 inline std::string renderConfig(const table::Table& table) {
   ConfigWriter writer(table);
   (void)writer.write(SIZE_MAX);
   return writer.text();
 }
 
-/// @return the changes that turn a table's rows into those of a document, guarded by the version that they build on.
+/// @return the changes that turn a table's rows into those of a document, conditional on the current version.
 inline std::vector<wire::Mutation> changesFor(const ConfigDocument& document, const table::Table& table) {
   ConfigDiff diff(table);
   ConfigKeys keys;
