--- a/apps/control_api_client.cc
+++ b/apps/control_api_client.cc
@@ -10,8 +10,8 @@
 namespace driftlug::apps {
 namespace {
 
-constexpr base::Duration kTryTimeout = base::seconds(2);
-constexpr base::Duration kPause = base::milliseconds(50);
+constexpr base::Duration kAttemptTimeout = base::seconds(2);
+constexpr base::Duration kRetryDelay = base::milliseconds(50);
 constexpr int kRedirect = 307;
 constexpr int kUnavailable = 503;
 constexpr int kGatewayTimeout = 504;
@@ -32,7 +32,7 @@
   return answer;
 }
 
-/// @return the address in an `http://host:port/…` location, or the fallback.
+/// @return the address in an `http://host:port/…` location, or the fallback if it has another form.
 base::Address locationAddress(std::string_view location, const base::Address& fallback) {
   constexpr std::string_view kScheme = "http://";
   if (location.substr(0, kScheme.size()) != kScheme) return fallback;
@@ -52,7 +52,7 @@
 ControlApiClient::ControlApiClient(SyncHttp& http, std::vector<base::Address> controllers, base::Duration timeout)
     : http_(http), controllers_(std::move(controllers)), timeout_(timeout) {}
 
-base::Address ControlApiClient::nextController() { return controllers_[position_++ % controllers_.size()]; }
+base::Address ControlApiClient::nextController() { return controllers_[nextIndex_++ % controllers_.size()]; }
 
 ApiAnswer ControlApiClient::request(const std::string& method, const std::string& path, const std::string& body) {
   const auto until = http_.loop().now() + timeout_;
@@ -67,30 +67,31 @@
     request.body = body;
     const auto left = std::chrono::duration_cast<base::Duration>(until - http_.loop().now());
     const bool waits = path.find("wait_ms=") != std::string::npos;
-    const auto result = http_.call(address, std::move(request), waits ? left : std::min(kTryTimeout, left));
+    const auto result = http_.call(address, std::move(request), waits ? left : std::min(kAttemptTimeout, left));
     if (result.outcome == transport::HttpOutcome::kCompleted) {
       last = toAnswer(result.response);
       if (last.status == kRedirect) {
         address = locationAddress(transport::findHeader(result.response.headers, "location"), address);
         continue;
       }
-      const bool undecided = last.status == kUnavailable || last.status == kGatewayTimeout;
-      if (!undecided) return last;
+      const bool retryable = last.status == kUnavailable || last.status == kGatewayTimeout;
+      if (!retryable) return last;
     }
-    http_.wait(kPause);
+    http_.wait(kRetryDelay);
     address = nextController();
   }
   return last;
 }
 
 int64_t ControlApiClient::currentRevision() {
-  // Any controller's word will do: an older base only makes the window in which the edit can be resent shorter.
+  // The revision of any controller will do: an older base only shortens the time during which the edit can be resent.
   const auto answer = request("GET", "/v1/status", "");
   return answer.status == 200 ? answer.body.value("revision", int64_t{-1}) : -1;
 }
 
 ApiAnswer ControlApiClient::edit(nlohmann::json edit) {
-  // The base revision is fixed before the first try, so that the controllers can tell a resend from a new edit.
+  // The base revision is set before the first attempt, so that the controllers can distinguish a resend from a new
+  // edit.
   if (!edit.contains("base_revision")) {
     const auto revision = currentRevision();
     if (revision < 0) {
--- a/apps/controller_daemon.cc
+++ b/apps/controller_daemon.cc
@@ -76,7 +76,7 @@
     }
     std::printf("\n");
   }
-  std::printf("the data folder is sound\n");
+  std::printf("the data folder is consistent\n");
   return 0;
 }
 
@@ -118,7 +118,7 @@
   return listenAddressOrExit("http_listen", FLAGS_http_listen, FLAGS_listen_host, FLAGS_http_port);
 }
 
-/// Seeds are known by their hosts alone: all controllers of a fleet listen on the same ports.
+/// Seeds are given by host only: all controllers of a fleet listen on the same ports.
 std::vector<controller::ControllerAddress> seedControllers(const std::string& text) {
   std::vector<controller::ControllerAddress> seeds;
   for (const auto& frames : hostsAtPort(text, FLAGS_frame_port)) {
@@ -156,10 +156,10 @@
   return options;
 }
 
-/// The relay within a controller's process; it serves the table of that controller.
-class InnerRelay {
+/// A relay in the controller process. It shares the controller's table.
+class EmbeddedRelay {
  public:
-  InnerRelay(transport::EventLoop& loop, controller::Controller& controller)
+  EmbeddedRelay(transport::EventLoop& loop, controller::Controller& controller)
       : controller_(controller),
         frames_(loop, "relay"),
         relay_(options(), loop, base::RandomSource(processSeed()), frames_) {
@@ -169,9 +169,9 @@
     controller.observeTable(&relay_);
   }
 
-  ~InnerRelay() { controller_.observeTable(nullptr); }
-  InnerRelay(const InnerRelay&) = delete;
-  InnerRelay& operator=(const InnerRelay&) = delete;
+  ~EmbeddedRelay() { controller_.observeTable(nullptr); }
+  EmbeddedRelay(const EmbeddedRelay&) = delete;
+  EmbeddedRelay& operator=(const EmbeddedRelay&) = delete;
 
   void startOrExit() {
     if (const auto status = frames_.listen(FLAGS_listen_host, FLAGS_relay_port); !status.ok()) exitWithError(status);
@@ -182,7 +182,7 @@
 
  private:
   static relay::RelayOptions options() {
-    constexpr base::Duration kLongLease = base::seconds(30);
+    constexpr base::Duration kEndpointLease = base::seconds(30);
     relay::RelayOptions options;
     options.id = FLAGS_name + "-relay";
     options.zone = FLAGS_zone;
@@ -190,9 +190,9 @@
     options.everyZone = true;
     options.nodeHeartbeat = base::milliseconds(FLAGS_relay_heartbeat_ms);
     options.listening = {FLAGS_listen_host, FLAGS_relay_port};
-    // Nodes see for themselves whether an endpoint is in reach; one that has lost its relay still takes calls.
-    options.endpointLease = kLongLease;
-    options.peerLease = kLongLease;
+    // Nodes detect unreachable endpoints themselves, and an endpoint that lost its relay still accepts calls.
+    options.endpointLease = kEndpointLease;
+    options.peerLease = kEndpointLease;
     return options;
   }
 
@@ -220,7 +220,7 @@
 
 int runController(int argc, char** argv, const ExtraPagesFactory& makeExtraPages) {
   declareSettings();
-  base::loadSettingsOrExit(argc, argv, "driftlug-controller: accepts edits and feeds relays", false);
+  base::loadSettingsOrExit(argc, argv, "driftlug-controller: accepts edits and sends the table to relays", false);
   configureLogsFromSettings(base::LogTarget::kOutput);
 
   transport::EventLoop loop;
@@ -235,8 +235,8 @@
   controller::HttpApi api(controller, loop);
   controller.onConvergenceReport([&api] { api.onConvergenceChanged(); });
   frames.setHandler(&controller);
-  std::unique_ptr<InnerRelay> innerRelay;
-  if (FLAGS_relay_port > 0) innerRelay = std::make_unique<InnerRelay>(loop, controller);
+  std::unique_ptr<EmbeddedRelay> embeddedRelay;
+  if (FLAGS_relay_port > 0) embeddedRelay = std::make_unique<EmbeddedRelay>(loop, controller);
   ExtraPages extraPages;
   if (makeExtraPages) extraPages = makeExtraPages(controller);
 
@@ -256,7 +256,7 @@
     constexpr base::Duration kStopTime = base::milliseconds(300);
     admin.setStopping();
     controller.prepareStop();
-    if (innerRelay) innerRelay->relay().prepareStop();
+    if (embeddedRelay) embeddedRelay->relay().prepareStop();
     loop.schedule(kStopTime, [&loop] { loop.stop(); });
   };
   const auto reload = [&] {
@@ -271,9 +271,9 @@
     }
     const auto http = httpAddress();
     admin.listenOrExit(http.host, http.port);
-    if (innerRelay) innerRelay->startOrExit();
+    if (embeddedRelay) embeddedRelay->startOrExit();
   });
-  if (innerRelay) loop.onOverslept([&innerRelay](base::Duration) { innerRelay->relay().onAway(); });
+  if (embeddedRelay) loop.onOverslept([&embeddedRelay](base::Duration) { embeddedRelay->relay().onAway(); });
   loop.run();
   return 0;
 }
--- a/apps/ctl_main.cc
+++ b/apps/ctl_main.cc
@@ -1,4 +1,4 @@
-/// driftlugctl: the operators' command line.
+/// driftlugctl: command-line tool for operators.
 #include <absl/strings/numbers.h>
 #include <gflags/gflags.h>
 
@@ -59,10 +59,10 @@
 
 int printAnswer(const apps::ApiAnswer& answer) { return apps::printAnswer(answer, FLAGS_json); }
 
-/// An edit with this expected revision applies whatever the row is.
+/// Expected revision of an edit that applies to any state of the row.
 constexpr int64_t kAnyRevision = -1;
 
-/// Commands that talk to controllers.
+/// Commands that send requests to controllers or nodes.
 class Commands {
  public:
   explicit Commands(apps::SyncHttp& http, std::vector<base::Address> controllers)
@@ -116,9 +116,9 @@
 
   int apply(const Arguments& arguments) {
     json edits;
-    if (const int code = changesOf(arguments, &edits); code != kDone) return code;
+    if (const int code = diffWithTable(arguments, &edits); code != kDone) return code;
     if (edits.empty()) {
-      std::printf("nothing differs\n");
+      std::printf("no differences\n");
       return kDone;
     }
     return sendEdit(edits);
@@ -126,7 +126,7 @@
 
   int diff(const Arguments& arguments) {
     json edits;
-    if (const int code = changesOf(arguments, &edits); code != kDone) return code;
+    if (const int code = diffWithTable(arguments, &edits); code != kDone) return code;
     for (const auto& item : edits) {
       std::printf("%s %s/%s %s\n", item["expected_revision"] == 0 ? "+" : "~", item["kind"].get<std::string>().c_str(),
                   item["name"].get<std::string>().c_str(), item["row"].dump().c_str());
@@ -143,13 +143,13 @@
     return waitFor(revision);
   }
 
-  int drain(const Arguments&) { return askNode(FLAGS_undo ? "DELETE" : "POST", "/drain"); }
+  int drain(const Arguments&) { return requestNode(FLAGS_undo ? "DELETE" : "POST", "/drain"); }
 
-  int held(const Arguments&) { return askNode("GET", "/quarantine"); }
+  int held(const Arguments&) { return requestNode("GET", "/quarantine"); }
 
   int release(const Arguments& arguments) {
     if (arguments.size() != 1) return usageError("release needs a REQUEST, as held lists it");
-    return askNode("DELETE", "/quarantine/" + arguments[0]);
+    return requestNode("DELETE", "/quarantine/" + arguments[0]);
   }
 
   int evacuate(const Arguments& arguments) {
@@ -199,10 +199,11 @@
   }
 
   int waitFor(int64_t revision) {
-    constexpr int kStepMs = 500;
+    constexpr int kLongPollMs = 500;
     const auto until = http_.loop().now() + base::milliseconds(FLAGS_timeout_ms);
     while (true) {
-      const auto path = "/v1/revisions/" + std::to_string(revision) + "/convergence?wait_ms=" + std::to_string(kStepMs);
+      const auto path =
+          "/v1/revisions/" + std::to_string(revision) + "/convergence?wait_ms=" + std::to_string(kLongPollMs);
       const auto answer = client_.request("GET", path, "");
       if (answer.status != 200) return printAnswer(answer);
       const bool everywhere = answer.body.value("everywhere", false);
@@ -218,7 +219,9 @@
   }
 
   /// Compares a file with the table.
-  int changesOf(const Arguments& arguments, json* edits) {
+  /// @param edits set to the edits that apply the file
+  /// @return the exit code
+  int diffWithTable(const Arguments& arguments, json* edits) {
     if (arguments.size() != 1) return usageError("a FILE is needed");
     const auto rows = apps::readTableFile(arguments[0]);
     if (!rows.ok()) {
@@ -247,8 +250,9 @@
     return kDone;
   }
 
-  /// Asks a page of the node that --node names.
-  int askNode(const std::string& method, const std::string& path) {
+  /// Sends a request to the administration listener of the node given by --node.
+  /// @return the exit code
+  int requestNode(const std::string& method, const std::string& path) {
     if (FLAGS_node.empty()) return usageError("--node HOST:PORT is needed");
     transport::HttpRequest request;
     request.method = method;
@@ -264,7 +268,7 @@
   apps::ControlApiClient client_;
 };
 
-/// Validates a file by itself, with the controller's own validator.
+/// Validates a file offline, with the validator that the controllers use.
 int checkFile(const Arguments& arguments) {
   if (arguments.size() != 1) return usageError("check needs a FILE");
   const auto rows = apps::readTableFile(arguments[0]);
@@ -291,11 +295,11 @@
   }
   if (unreadable) return kBadInput;
   if (!problems.empty()) return kInvalid;
-  std::printf("%zu rows are good\n", rows->size());
+  std::printf("%zu rows are valid\n", rows->size());
   return kDone;
 }
 
-/// Prints what processes logged of one call.
+/// Prints the log lines of one call.
 int traceCall(Arguments arguments) {
   if (arguments.size() < 2) return usageError("trace needs an ID and at least one FILE");
   const auto callId = arguments[0];
--- a/apps/connect_presence.cc
+++ b/apps/tcp_presence_check.cc
@@ -1,32 +1,32 @@
-#include "connect_presence.h"
+#include "tcp_presence_check.h"
 
 #include <utility>
 
 namespace driftlug::apps {
 namespace {
 
-/// The back end is on this machine: a connection is up, or refused, within a millisecond, and within some hundred where
-/// the machine is short of processor time. Calls that were cut wait for the answer.
+/// The back end is on this machine: a connection is established or refused within a millisecond, or within some hundred
+/// milliseconds if the machine is short of CPU time. Interrupted calls wait for the result.
 constexpr base::Duration kTimeout = base::milliseconds(500);
 
 }  // namespace
 
-ConnectPresence::~ConnectPresence() {
+TcpPresenceCheck::~TcpPresenceCheck() {
   if (stream_) stream_->close();
 }
 
-void ConnectPresence::check(std::function<void(quarantine::presence)> done) {
+void TcpPresenceCheck::check(std::function<void(quarantine::presence)> done) {
   done_ = std::move(done);
   transport::StreamOptions options;
   options.connectTimeout = kTimeout;
   stream_ = transport::TcpStream::connect(loop_, address_, this, options);
 }
 
-void ConnectPresence::onClosed(bool) {
+void TcpPresenceCheck::onClosed(bool) {
   finish(stream_->refused() ? quarantine::presence::gone : quarantine::presence::unknown);
 }
 
-void ConnectPresence::finish(quarantine::presence found) {
+void TcpPresenceCheck::finish(quarantine::presence found) {
   std::exchange(stream_, nullptr)->close();
   std::exchange(done_, nullptr)(found);
 }
--- a/test/platform/config_steps_test.cc
+++ b/test/platform/config_steps_test.cc
@@ -60,7 +60,7 @@
   }
 }
 
-TEST_CASE("a configuration that is written in steps is what the table held when that began") {
+TEST_CASE("a configuration written in steps is the state of the table when writing began") {
   table::Table table;
   const auto document = parseConfig(configOf(1, 0, 50));
   REQUIRE(document.ok());
@@ -78,17 +78,17 @@
   CHECK(writer.text() == whole);
 }
 
-TEST_CASE_METHOD(PagesFixture, "a large configuration leaves the loop to others while it is read and written") {
+TEST_CASE_METHOD(PagesFixture, "a large configuration is parsed and written in steps that yield to the event loop") {
   constexpr int kSmall = 100;
   constexpr int kLarge = 10'000;
-  constexpr uint64_t kMostInStep = 250;
-  constexpr uint64_t kSteps = kLarge / kMostInStep;
+  constexpr uint64_t kMaxResourcesPerStep = 250;
+  constexpr uint64_t kSteps = kLarge / kMaxResourcesPerStep;
   const auto eventsOf = [this](const auto& action) {
     const auto before = queue.executed();
     action();
     return queue.executed() - before;
   };
-  const auto read = [this] { CHECK(ask(leader(), "GET", "/config", "").status == kOk); };
+  const auto read = [this] { CHECK(sendRequest(leader(), "GET", "/config", "").status == kOk); };
   const auto small = eventsOf([this] { CHECK(putConfig(configOf(1, 0, kSmall)) == kOk); });
   const auto smallRead = eventsOf(read);
   CHECK(eventsOf([this] { CHECK(putConfig(configOf(2, 1, kLarge)) == kOk); }) >= small + kSteps);
--- a/test/platform/pages_fixture.h
+++ b/test/platform/pages_fixture.h
@@ -1,4 +1,4 @@
-/// Controllers with the platform's pages for operators.
+/// Test fixture: simulated controllers with the platform's pages for operators.
 #pragma once
 
 #include <catch2/catch.hpp>
@@ -14,7 +14,7 @@
 
 namespace driftlug::platform {
 
-/// Three controllers, each with the pages.
+/// Three simulated controllers, each with configuration and rollout pages.
 struct PagesFixture {
   PagesFixture() : network(queue, base::RandomSource(7), {}) {
     for (int i = 1; i <= 3; ++i) {
@@ -43,8 +43,8 @@
     return 0;
   }
 
-  transport::HttpResponse ask(size_t position, const std::string& method, const std::string& path,
-                              const std::string& body) {
+  transport::HttpResponse sendRequest(size_t position, const std::string& method, const std::string& path,
+                                      const std::string& body) {
     transport::HttpRequest request;
     request.method = method;
     request.path = path;
@@ -57,7 +57,7 @@
     return *response;
   }
 
-  int putConfig(const std::string& body) { return ask(leader(), "PUT", "/config", body).status; }
+  int putConfig(const std::string& body) { return sendRequest(leader(), "PUT", "/config", body).status; }
 
   void cutOff(size_t position, bool cut) {
     for (size_t i = 0; i < hosts.size(); ++i) {
