--- a/apps/controller_daemon.cc
+++ b/apps/controller_daemon.cc
@@ -19,20 +19,20 @@
 DEFINE_int32(frame_port, 0, "port for relays and other controllers");
 DEFINE_int32(http_port, 0, "port for operators, health and metrics");
 DEFINE_string(http_listen, "", "host:port for operators, health and metrics, instead of listen_host and http_port");
-DEFINE_int32(relay_port, 0, "port of a relay within this process, which serves nodes of all zones; 0 for none");
+DEFINE_int32(relay_port, 0, "port of the embedded relay, which serves nodes of all zones; 0 for none");
 DEFINE_string(controllers, "", "initial controllers as name@host:frame_port:http_port, separated by commas");
 DEFINE_string(
     seeds, "",
     "hosts of controllers to find the others through, instead of controllers; all listen on the ports of this "
     "one, and a port behind a host is ignored");
-DEFINE_bool(first_start, false, "whether the seeds may found the cluster, being all new");
+DEFINE_bool(first_start, false, "whether the seeds may bootstrap the cluster, since all of them are new");
 DEFINE_int32(fault_tolerance, 1,
              "controllers that may be lost at once; twice as many and one vote at the least, with seeds");
 DEFINE_string(data_folder, "", "folder for the log and snapshots");
 DEFINE_int32(heartbeat_ms, 50, "interval of heartbeats between controllers");
-DEFINE_int32(election_timeout_ms, 300, "lowest time without a leader before an election");
-DEFINE_int32(relay_heartbeat_ms, 1000, "interval of heartbeats to relays, and of the inner relay to nodes");
-DEFINE_int32(replace_after_ms, 8000, "silence after which another controller votes in the place of one, with seeds");
+DEFINE_int32(election_timeout_ms, 300, "minimum time without a leader before an election");
+DEFINE_int32(relay_heartbeat_ms, 1000, "interval of heartbeats to relays, and of the embedded relay to nodes");
+DEFINE_int32(replace_after_ms, 8000, "silence after which a voter is replaced by another controller, with seeds");
 DEFINE_int32(snapshot_entries, 4096, "log entries between snapshots");
 DEFINE_int32(emulated_zone_delay_us, 0, "delay of frames to other zones; for tests only");
 DEFINE_double(exposure_share, 0.1,
--- a/apps/node_settings.cc
+++ b/apps/node_settings.cc
@@ -8,7 +8,7 @@
 #include "base/settings.h"
 #include "daemon.h"
 
-DEFINE_string(name, "", "name of this node; the name of its endpoint row when it runs beside a back end");
+DEFINE_string(name, "", "name of this node; with a local back end also the name of its endpoint row");
 DEFINE_string(zone, "", "zone that this process runs in");
 DEFINE_string(listen_host, "127.0.0.1", "IP number to listen on");
 DEFINE_int32(frame_port, 0, "port for calls of other nodes; 0 on a node without a back end");
@@ -17,49 +17,51 @@
 DEFINE_string(entry_listen, "", "host:port for HTTP calls of callers, instead of listen_host and entry_port");
 DEFINE_int32(http_port, 0, "port for health, metrics and drain");
 DEFINE_string(http_listen, "", "host:port for health, metrics and drain, instead of listen_host and http_port");
-DEFINE_string(report_listen, "", "host:port on which the back end beside the node tells of itself");
+DEFINE_string(report_listen, "", "host:port on which the local back end reports its state");
 DEFINE_string(relays, "", "relays of the zone's release group as host:port, nearest first");
-DEFINE_string(seeds, "", "hosts of controllers to ask for relays, instead of relays; a port behind a host is ignored");
-DEFINE_int32(seed_relay_port, 0, "port on which the relays beside the seeds listen");
+DEFINE_string(seeds, "", "hosts of controllers to discover relays through, instead of relays; ports are ignored");
+DEFINE_int32(seed_relay_port, 0, "port of the relays embedded in the seed controllers");
 DEFINE_string(hosts, "", "hosts that this node accepts calls for, separated by commas; * for all");
-DEFINE_string(service, "", "service of the back end beside this node; empty for none");
+DEFINE_string(service, "", "service of the local back end; empty for none");
 DEFINE_string(backend, "", "address of the back end as host:port");
-DEFINE_int32(backend_connections, 130, "connections to the back end at most, where the table does not say");
-DEFINE_int32(backend_slots, 20, "requests in the back end at once, where the table has no limit");
-DEFINE_int32(backend_queue, 64, "requests waiting at once, where the table has no limit");
-DEFINE_double(link_mbps, 0, "what the link of this machine carries, in Mbit/s; 0 where it is not known");
-DEFINE_int32(max_descriptors, 0, "descriptors that this process may have open; 0 for the limit that the system states");
-DEFINE_string(data_folder, "", "folder for the last version; empty on a machine without a disk");
-DEFINE_int32(stop_linger_ms, 300, "time that a planned stop goes on taking calls, so that others hear of it");
-DEFINE_int32(stop_timeout_ms, 10000, "longest time that a planned stop waits for calls in progress");
+DEFINE_int32(backend_connections, 130, "maximum number of connections to the back end, if the table sets none");
+DEFINE_int32(backend_slots, 20, "maximum number of concurrent requests to the back end, if the table sets no limit");
+DEFINE_int32(backend_queue, 64, "maximum number of queued requests, if the table sets no limit");
+DEFINE_double(link_mbps, 0, "bandwidth of this machine's link in Mbit/s; 0 if unknown");
+DEFINE_int32(max_descriptors, 0, "maximum number of open descriptors; 0 for the limit of the system");
+DEFINE_string(data_folder, "", "folder for the last table version; empty on a machine without a disk");
+DEFINE_int32(stop_linger_ms, 300,
+             "time for which a planned stop still accepts calls while it is announced to other nodes");
+DEFINE_int32(stop_timeout_ms, 10000, "maximum time that a planned stop waits for calls in progress");
 DEFINE_double(stop_grace_s, 0,
-              "time in seconds after which a process that was told to stop is killed, if that cuts stop_timeout_ms "
-              "short; 0 where it isn't");
-DEFINE_bool(first_start, false, "whether the back end starts with this process, and need not be asked who it is");
-DEFINE_bool(ledger, true, "claim requests that may not be repeated in the ledger before they run");
+              "time in seconds after which a stopping process is killed, if that is shorter than stop_timeout_ms; "
+              "0 for never");
+DEFINE_bool(first_start, false,
+            "whether the back end starts together with this process, so that its identity need not be queried");
+DEFINE_bool(ledger, true, "claim non-repeatable requests in the ledger before they run");
 DEFINE_int32(health_interval_ms, 250, "interval of health checks of the back end; 0 for none");
 DEFINE_int32(emulated_zone_delay_us, 0, "delay of frames to other zones; for tests only");
 DEFINE_string(deadline_header, "x-deadline-ms", "header with the milliseconds that a caller waits");
-DEFINE_string(caller_header, "", "header set to the service beside the node where a call began; empty for none");
+DEFINE_string(caller_header, "", "header set to the local service of the node where a call began; empty for none");
 DEFINE_string(credential_header, "", "header with the key of a tenant; empty for none");
-DEFINE_string(tenant_header, "", "header that names the tenant to back ends; empty for none");
-DEFINE_string(correlation_header, "", "header that back ends return as it was sent; empty for none");
-DEFINE_string(incarnation_header, "", "header that names the back end's incarnation a call is meant for");
-DEFINE_string(identity_header, "", "header in which the back end names its incarnation when it is asked");
-DEFINE_string(cold_header, "", "header in which the back end tells the milliseconds for which it stays cold");
-DEFINE_double(cold_overage, 1, "what a cold back end is handed, as a multiple of what it bears by the table");
-DEFINE_string(identity_path, "/healthz", "page at which the back end is asked for its incarnation");
-DEFINE_string(not_run_header, "x-shed", "header by which a back end says that it did not run a request");
+DEFINE_string(tenant_header, "", "header with the tenant's name, sent to back ends; empty for none");
+DEFINE_string(correlation_header, "", "header with the request id, which back ends echo; empty for none");
+DEFINE_string(incarnation_header, "", "header with the back-end incarnation that a call is addressed to");
+DEFINE_string(identity_header, "", "response header in which the back end states its incarnation");
+DEFINE_string(cold_header, "", "response header with the remaining cold-start time of the back end in milliseconds");
+DEFINE_double(cold_overage, 1, "request rate sent to a cold back end, as a multiple of its rate in the table");
+DEFINE_string(identity_path, "/healthz", "path at which the back end is queried for its incarnation");
+DEFINE_string(not_run_header, "x-shed", "response header that marks a request as not run by the back end");
 DEFINE_bool(fractional_retry_after, false, "Retry-After in fractions of a second");
 DEFINE_bool(prefer_zone, false, "choose endpoints of the own zone while they have slots to spare");
-DEFINE_int32(retry_attempts, 1, "attempts of a call, where neither route nor service says");
+DEFINE_int32(retry_attempts, 1, "attempts of a call, if neither route nor service sets them");
 DEFINE_int32(retry_budget_percent, 0, "retries as a share of calls, where the service has no retry policy");
 DEFINE_int32(retry_burst, 10, "retries to one service that may be made at once");
 DEFINE_double(
     retry_slack, 0,
     "retries to one service that all nodes together may make beyond their shares of calls; 0 leaves each node "
     "at retry_burst");
-DEFINE_int32(stale_after_ms, 4000, "time without word of a controllers' quorum after which another relay is tried");
+DEFINE_int32(stale_after_ms, 4000, "time without contact to a controller quorum after which another relay is tried");
 DEFINE_int32(late_percent, 200,
              "share of its target latency after which a repeatable call without an answer is sent to a second, idle "
              "endpoint also without hedging, as its connection to the back end may be silent; 0 for never");
@@ -75,12 +77,13 @@
 DEFINE_int32(body_kib_per_zone_penalty, 0,
              "with prefer_zone: KiB of a call's body that count as much as another zone does; 0 when its size is no "
              "matter");
-DEFINE_bool(quarantine, true, "tell requests that crash back ends from others, and keep them from back ends");
-DEFINE_bool(nested_first, true, "calls that back ends make for calls of their own go before all others");
+DEFINE_bool(quarantine, true, "identify requests that crash back ends and quarantine them");
+DEFINE_bool(nested_first, true,
+            "give nested calls, made by back ends on behalf of other calls, priority over all others");
 DEFINE_bool(in_time_first, true,
-            "calls whose callers have waited beyond the target latency give way to those that can still make it");
-DEFINE_int32(overload_retry_after_ms, 200, "least time after which callers refused for want of slots are to come back");
-DEFINE_int32(full_for_ms, 0, "time for which an endpoint that refused for want of slots is not asked again");
+            "give calls that can still meet their target latency priority over calls that have missed it");
+DEFINE_int32(overload_retry_after_ms, 200, "minimum Retry-After for callers refused for lack of slots");
+DEFINE_int32(full_for_ms, 0, "time for which an endpoint that refused a call for lack of slots gets no calls");
 
 namespace driftlug::apps {
 namespace {
