--- a/apps/controller_daemon.cc
+++ b/apps/controller_daemon.cc
@@ -164,7 +164,7 @@
         frames_(loop, "relay"),
         relay_(options(), loop, base::RandomSource(processSeed()), frames_) {
     frames_.setHandler(&relay_);
-    frames_.useKeepAlives();
+    frames_.enableKeepAlives();
     relay_.shareTable(controller.state().table());
     controller.observeTable(&relay_);
   }
@@ -225,11 +225,11 @@
 
   transport::EventLoop loop;
   storage::PosixDisk disk(FLAGS_data_folder, loop);
-  if (const auto status = disk.prepare(); !status.ok()) exitWithError(status);
+  if (const auto status = disk.createFolder(); !status.ok()) exitWithError(status);
   if (FLAGS_inspect_data) return inspectData(disk);
 
   transport::FrameTransport frames(loop, "frames");
-  frames.useKeepAlives();
+  frames.enableKeepAlives();
   frames.setEmulatedZoneDelay(base::microseconds(FLAGS_emulated_zone_delay_us));
   controller::Controller controller(optionsFromSettings(), loop, base::RandomSource(processSeed()), frames, disk);
   controller::HttpApi api(controller, loop);
@@ -260,7 +260,7 @@
     loop.schedule(kStopTime, [&loop] { loop.stop(); });
   };
   const auto reload = [&] {
-    const auto seeds = base::rereadSetting("seeds");
+    const auto seeds = base::reloadSetting("seeds");
     if (seeds && !seeds->empty()) controller.useSeeds(seedControllers(*seeds));
   };
   loop.onSignals({terminate, reload});
@@ -273,7 +273,7 @@
     admin.listenOrExit(http.host, http.port);
     if (innerRelay) innerRelay->startOrExit();
   });
-  if (innerRelay) loop.onOverslept([&innerRelay](base::Duration) { innerRelay->relay().onAway(); });
+  if (innerRelay) loop.onStall([&innerRelay](base::Duration) { innerRelay->relay().onAway(); });
   loop.run();
   return 0;
 }
--- a/apps/http_backend.h
+++ b/apps/http_backend.h
@@ -32,7 +32,7 @@
   uint64_t send(const wire::CallRequest& request, base::Duration timeout,
                 std::function<void(node::BackendAnswer)> done) override;
   void cancel(uint64_t id) override;
-  void forgetConnections() override { pool_.dropIdle(); }
+  void forgetConnections() override { pool_.closeIdleConnections(); }
 
  private:
   BackendHeaders headers_;
--- a/apps/node_daemon.cc
+++ b/apps/node_daemon.cc
@@ -176,11 +176,11 @@
   count("entry_connections_max", "bound of connections of callers", users.shares.callers);
   count("entry_accepting", "1 while connections of callers are taken", users.callers.accepting() ? 1 : 0);
   page->counter("entry_connections_closed_for_room_total", "idle connections of callers closed for new ones",
-                users.callers.counters().closedForRoom);
+                users.callers.counters().idleConnectionsEvicted);
   page->counter("entry_connections_held_total", "times that callers began to wait at the bound of connections",
-                users.callers.counters().held);
+                users.callers.counters().acceptPauses);
   page->counter("entry_no_descriptor_total", "tries to accept a caller that found no descriptor",
-                users.callers.starved());
+                users.callers.descriptorShortages());
   count("node_connections_accepted", "open connections that other nodes opened", users.nodes.accepted());
   count("node_connections_accepted_max", "bound of connections that other nodes open", users.shares.accepted);
   page->counter("node_connections_refused_total", "connections of other nodes refused at the bound",
@@ -211,10 +211,10 @@
   void onDrainPage(const transport::HttpRequest& request, const std::function<void(transport::HttpResponse)>& respond);
   void onTerminate();
   void onReload();
-  void onOverslept(base::Duration late);
+  void onStall(base::Duration late);
   void refuseNew() override { entry_.refuseNew(); }
   void refuseWaiting() override { entry_.refuseWaiting(); }
-  void readNoMore() override { entryServer_.server().readNoMore(); }
+  void stopReadingRequests() override { entryServer_.server().stopReadingRequests(); }
   bool idle() const override;
   size_t unsentBytes() const override { return entryServer_.server().unsentBytes() + callFrames_.unsentBytes(); }
   void end() override { loop_.stop(); }
@@ -280,8 +280,8 @@
   loop_.onSignals({[this] { onTerminate(); }, [this] { onReload(); }});
   controlFrames_.setEmulatedZoneDelay(base::microseconds(FLAGS_emulated_zone_delay_us));
   callFrames_.setEmulatedZoneDelay(base::microseconds(FLAGS_emulated_zone_delay_us));
-  if (FLAGS_compress) callFrames_.compressBetweenZones();
-  callFrames_.setMaxAccepted(shares_.accepted);
+  if (FLAGS_compress) callFrames_.enableCrossZoneCompression();
+  callFrames_.setMaxAcceptedConnections(shares_.accepted);
   callFrames_.setHandler(&callHandler_);
   controlFrames_.setHandler(&control_);
   wire::Hello hello;
@@ -385,7 +385,7 @@
 void NodeDaemon::run() {
   if (!FLAGS_data_folder.empty()) {
     disk_ = std::make_unique<storage::PosixDisk>(FLAGS_data_folder, loop_);
-    if (const auto status = disk_->prepare(); !status.ok()) exitWithError(status);
+    if (const auto status = disk_->createFolder(); !status.ok()) exitWithError(status);
   }
   control_.start(disk_.get());
   if (hasBackend() && !reportServer_) health_.start();
@@ -395,7 +395,7 @@
     loop_.schedule(kPatience, [this] { askForIdentity(); });
   }
   if (!FLAGS_first_start) endpoint_.doubtWarmth();
-  loop_.onOverslept([this](base::Duration late) { onOverslept(late); });
+  loop_.onStall([this](base::Duration late) { onStall(late); });
   log_.info("{} started in zone {}", FLAGS_name, FLAGS_zone);
   loop_.run();
   log_.info("{} ended, {} calls of callers and {} of nodes left", FLAGS_name, entry_.active(), endpoint_.active());
@@ -454,12 +454,12 @@
 }
 
 void NodeDaemon::onReload() {
-  const auto seeds = base::rereadSetting("seeds");
+  const auto seeds = base::reloadSetting("seeds");
   log_.info("{} reloads its settings, seeds {}", FLAGS_name, seeds.value_or("unchanged"));
   if (seeds && !seeds->empty()) control_.useSeeds(hostsAtPort(*seeds, FLAGS_seed_relay_port));
 }
 
-void NodeDaemon::onOverslept(base::Duration late) {
+void NodeDaemon::onStall(base::Duration late) {
   log_.warn("{} was away for {} ms", FLAGS_name, base::millisecondsOf(late));
   control_.onAway();
   endpoint_.setStale(true);
--- a/apps/relay_main.cc
+++ b/apps/relay_main.cc
@@ -57,8 +57,8 @@
 /// SIGHUP: a relay that didn't take the signal ended with it, and its nodes lost their connections.
 void reload(relay::Relay& relay) {
   const auto controllers =
-      apps::parseAddresses("controllers", base::rereadSetting("controllers").value_or(FLAGS_controllers));
-  const auto peers = apps::parseAddresses("peers", base::rereadSetting("peers").value_or(FLAGS_peers));
+      apps::parseAddresses("controllers", base::reloadSetting("controllers").value_or(FLAGS_controllers));
+  const auto peers = apps::parseAddresses("peers", base::reloadSetting("peers").value_or(FLAGS_peers));
   if (!controllers.ok() || !peers.ok() || controllers->empty()) {
     base::Logger("relay").warn("{} keeps its settings, those of its file can't be used", FLAGS_name);
     return;
@@ -99,7 +99,7 @@
 
   transport::EventLoop loop;
   transport::FrameTransport frames(loop, "frames");
-  frames.useKeepAlives();
+  frames.enableKeepAlives();
   frames.setEmulatedZoneDelay(base::microseconds(FLAGS_emulated_zone_delay_us));
   relay::Relay relay(optionsFromSettings(), loop, base::RandomSource(apps::processSeed()), frames);
   frames.setHandler(&relay);
@@ -120,7 +120,7 @@
   admin.listenOrExit(FLAGS_listen_host, FLAGS_http_port);
   if (const auto status = frames.listen(FLAGS_listen_host, FLAGS_frame_port); !status.ok()) apps::exitWithError(status);
   relay.start();
-  loop.onOverslept([&relay](base::Duration) { relay.onAway(); });
+  loop.onStall([&relay](base::Duration) { relay.onAway(); });
   loop.run();
   return 0;
 }
--- a/src/base/decision_log.h
+++ b/src/base/decision_log.h
@@ -11,7 +11,7 @@
 namespace driftlug::base {
 
 /// How much a line is worth when not all can be written.
-enum class LineWorth : size_t {
+enum class LinePriority : size_t {
   kFailure = 0,  ///< something was refused, given up or is unknown
   kRoutine = 1,  ///< all went as it should
 };
@@ -24,7 +24,7 @@
 };
 
 /// For what may happen with each connection, such as a bound that is reached.
-inline constexpr DecisionLogLimits kOneLineASecond{1, 1, 1};
+inline constexpr DecisionLogLimits kOneLinePerSecond{1, 1, 1};
 
 /// Writes lines of `key=value` fields behind a prefix, each kind of worth with a token bucket of its own. What was
 /// dropped is counted and said with the next line of its kind.
@@ -34,30 +34,30 @@
 
   /// Writes a line unless its bucket is empty; the line is made only if it is written.
   template <typename MakeLine>
-  void write(LineWorth worth, MakeLine makeLine) {
-    if (!admit(worth)) return;
-    emit(worth, makeLine());
+  void write(LinePriority priority, MakeLine makeLine) {
+    if (!admit(priority)) return;
+    emit(priority, makeLine());
   }
 
   /// @return lines that were not written.
-  int64_t dropped() const { return droppedInAll_; }
+  int64_t dropped() const { return totalDropped_; }
 
  private:
   struct Bucket {
     double perSecond = 0;
     double tokens = 0;
-    TimePoint at{};
+    TimePoint refilledAt{};
     int64_t dropped = 0;  // since the last line of this kind
   };
 
-  bool admit(LineWorth worth);
-  void emit(LineWorth worth, const std::string& line);
+  bool admit(LinePriority priority);
+  void emit(LinePriority priority, const std::string& line);
 
   Logger log_;
   const TimeSource& time_;
   double burstSeconds_;
   std::array<Bucket, 2> buckets_;
-  int64_t droppedInAll_ = 0;
+  int64_t totalDropped_ = 0;
 };
 
 }  // namespace driftlug::base
--- a/src/base/log.cc
+++ b/src/base/log.cc
@@ -31,7 +31,7 @@
   }
   void flush_() override {}
 };
-thread_local const TimeSource* shownClock = nullptr;
+thread_local const TimeSource* logClock = nullptr;
 
 }  // namespace
 
@@ -52,14 +52,14 @@
   spdlog::set_default_logger(logger);
 }
 
-void showLogTime(const TimeSource* clock) { shownClock = clock; }
+void setLogClock(const TimeSource* clock) { logClock = clock; }
 
 Logger::Logger(std::string_view prefix) : prefix_(prefix) {}
 
 void Logger::write(spdlog::level::level_enum level, const std::string& sentence) const {
   auto* logger = spdlog::default_logger_raw();
-  if (shownClock != nullptr) {
-    const auto virtualSeconds = std::chrono::duration<double>(shownClock->now().time_since_epoch()).count();
+  if (logClock != nullptr) {
+    const auto virtualSeconds = std::chrono::duration<double>(logClock->now().time_since_epoch()).count();
     logger->log(level, "[{:.6f}] {}: {}", virtualSeconds, prefix_, sentence);
     return;
   }
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -26,7 +26,7 @@
 int64_t droppedLogLines();
 
 /// Shows this clock's time in the lines of the current thread; null for none. For simulations.
-void showLogTime(const TimeSource* clock);
+void setLogClock(const TimeSource* clock);
 
 /// Writes log lines behind one fixed prefix, such as `control:`.
 class Logger {
--- a/src/base/network.h
+++ b/src/base/network.h
@@ -40,7 +40,7 @@
 
 /// How often a connection that may be idle carries a keep-alive, so that a peer whose machine lost the connection
 /// in silence resets it.
-constexpr Duration kConnectionKeepAlive = seconds(1);
+constexpr Duration kKeepAliveInterval = seconds(1);
 
 /// Opens connections and sends frames on them, in order for each connection.
 class Network {
@@ -67,7 +67,7 @@
 
   /// @return when bytes last came of a message that has begun to arrive and is not whole yet; nullopt when there is
   /// none.
-  virtual std::optional<TimePoint> partArrivedAt(ConnectionId /*connection*/) const { return std::nullopt; }
+  virtual std::optional<TimePoint> partialMessageReceivedAt(ConnectionId /*connection*/) const { return std::nullopt; }
 };
 
 }  // namespace driftlug::base
--- a/src/base/settings.cc
+++ b/src/base/settings.cc
@@ -94,11 +94,11 @@
     }
     auto parsed = splitArgument(argument);
     if (parsed.name == "help" || parsed.name == "h") {
-      result_->helpAsked = true;
+      result_->helpRequested = true;
       return;
     }
     if (parsed.name == "version") {
-      result_->versionAsked = true;
+      result_->versionRequested = true;
       return;
     }
     gflags::CommandLineFlagInfo info;
@@ -216,7 +216,7 @@
 SettingsResult loadSettings(int argc, char** argv, bool allowPositional) {
   SettingsResult result;
   const auto given = CommandLine(argc, argv, allowPositional, &result).read();
-  if (result.helpAsked || result.versionAsked) return result;
+  if (result.helpRequested || result.versionRequested) return result;
   if (!FLAGS_config.empty()) readFile(FLAGS_config, given, &result.problems);
   for (const auto& name : requiredNames()) {
     std::string value;
@@ -229,11 +229,11 @@
 
 std::vector<std::string> loadSettingsOrExit(int argc, char** argv, const std::string& summary, bool allowPositional) {
   auto result = loadSettings(argc, argv, allowPositional);
-  if (result.helpAsked) {
+  if (result.helpRequested) {
     printHelp(summary);
     std::exit(0);
   }
-  if (result.versionAsked) {
+  if (result.versionRequested) {
     std::printf("driftlug 0.1.0\n");
     std::exit(0);
   }
@@ -248,7 +248,7 @@
   return result.positional;
 }
 
-std::optional<std::string> rereadSetting(const std::string& name) {
+std::optional<std::string> reloadSetting(const std::string& name) {
   if (FLAGS_config.empty()) return std::nullopt;
   try {
     const toml::table table = toml::parse_file(FLAGS_config);
--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -27,8 +27,8 @@
 struct SettingsResult {
   std::vector<SettingProblem> problems;  ///< empty when everything was taken
   std::vector<std::string> positional;   ///< arguments that are not flags
-  bool helpAsked = false;
-  bool versionAsked = false;
+  bool helpRequested = false;
+  bool versionRequested = false;
 };
 
 /// Reads the command line, then the file named by --config, into the program's gflags.
@@ -42,7 +42,7 @@
 
 /// Reads one setting from the file named by --config again, as after a change of the file.
 /// @return its text, or nothing when there is no file, no such key, or the file can't be read
-std::optional<std::string> rereadSetting(const std::string& name);
+std::optional<std::string> reloadSetting(const std::string& name);
 
 /// Splits a comma-separated setting; blanks around items are dropped.
 std::vector<std::string> splitList(const std::string& text);
--- a/src/base/time.h
+++ b/src/base/time.h
@@ -33,7 +33,7 @@
 
 /// A process that wakes so long after it was to was away: longer than one waits for a processor once it is to wake;
 /// peers hold a silent connection for lost by then.
-constexpr Duration kOverslept = seconds(1);
+constexpr Duration kStallThreshold = seconds(1);
 
 /// A point on the process's (or the simulation's) clock.
 using TimePoint = BootClock::time_point;
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -46,7 +46,7 @@
 void Controller::start(std::function<void(absl::Status)> ready) {
   auto recovered = store_.open();
   if (!recovered.ok()) return ready(recovered.status());
-  store_.settle([this, alive = alive_, state = *recovered, ready](absl::Status status) mutable {
+  store_.syncRecovered([this, alive = alive_, state = *recovered, ready](absl::Status status) mutable {
     if (!*alive) return;
     if (!status.ok()) return ready(status);
     if (state.hardState.identity.empty()) {
--- a/src/lifecycle/planned_stop.cc
+++ b/src/lifecycle/planned_stop.cc
@@ -52,18 +52,18 @@
 
 void planned_stop::giveUp()
 {
-	readNoMore();
+	stopReadingRequests();
 	m_target.refuseWaiting();
 }
 
-void planned_stop::readNoMore()
+void planned_stop::stopReadingRequests()
 {
 	if (stage::closing == m_stage)
 	{
 		return;
 	}
 	m_stage = stage::closing;
-	m_target.readNoMore();
+	m_target.stopReadingRequests();
 }
 
 bool planned_stop::allAnswered() const
@@ -86,7 +86,7 @@
 			return m_target.end();
 		}
 		// What was read in this turn shows in the next poll.
-		readNoMore();
+		stopReadingRequests();
 	}
 	m_scheduler.schedule(kPoll,
 						 [this]
--- a/src/lifecycle/planned_stop.h
+++ b/src/lifecycle/planned_stop.h
@@ -21,7 +21,7 @@
 	virtual void refuseWaiting() = 0;
 
 	/// No request is read from now on; connections without one end, and what was read is answered.
-	virtual void readNoMore() = 0;
+	virtual void stopReadingRequests() = 0;
 
 	/// @returns Whether no request is in progress.
 	virtual bool idle() const = 0;
@@ -63,7 +63,7 @@
 
 	void refuse();
 	void giveUp();
-	void readNoMore();
+	void stopReadingRequests();
 	void poll();
 	bool allAnswered() const;
 
--- a/src/membership/peer_links.cc
+++ b/src/membership/peer_links.cc
@@ -16,11 +16,11 @@
       random_(random),
       openings_(network, scheduler),
       keepAliveTimer_(scheduler, [this] { sendKeepAlive(); }) {
-  keepAliveTimer_.start(base::kConnectionKeepAlive);
+  keepAliveTimer_.start(base::kKeepAliveInterval);
 }
 
 void PeerLinks::sendKeepAlive() {
-  keepAliveTimer_.start(base::kConnectionKeepAlive);
+  keepAliveTimer_.start(base::kKeepAliveInterval);
   sendToAll(wire::KeepAlive());
 }
 
--- a/src/node/control_client.cc
+++ b/src/node/control_client.cc
@@ -378,7 +378,7 @@
   if (connection_ == 0) return;
   const auto heardUntil = scheduler_.inputReadUntil();
   // Heartbeats queue behind a large version on a slow link; starting over elsewhere would take longer.
-  const auto part = network_.partArrivedAt(connection_);
+  const auto part = network_.partialMessageReceivedAt(connection_);
   if (open_ && part && heardUntil - *part <= options_.relayTimeout) return;
   const bool silent = open_ && heardUntil - lastHeard_ > options_.relayTimeout;
   const bool noSlice = open_ && !sliceSeen_ && heardUntil - openedAt_ > firstSlicePatience();
--- a/src/node/endpoint_calls.cc
+++ b/src/node/endpoint_calls.cc
@@ -393,7 +393,7 @@
 }
 
 void EndpointCalls::logRefusal(const Call& call, ErrorCode error, base::Duration retryAfter) {
-  decisions_.write(base::LineWorth::kFailure, [&] {
+  decisions_.write(base::LinePriority::kFailure, [&] {
     const auto waited = std::chrono::duration_cast<base::milliseconds>(scheduler_.now() - call.arrivedAt);
     return fmt::format(
         "refused call={} nested={} service={} endpoint={} current={} error={} running={} waiting={} waited_ms={} "
@@ -408,7 +408,7 @@
 std::string EndpointCalls::fingerprintText(const CallKey& key) { return quarantine::toText(fingerprintOfCall(key)); }
 
 void EndpointCalls::logUnknown(const CallKey& key, ErrorCode error) {
-  decisions_.write(base::LineWorth::kFailure, [&] {
+  decisions_.write(base::LinePriority::kFailure, [&] {
     const auto& call = calls_.at(key);
     const auto ran = std::chrono::duration_cast<base::milliseconds>(scheduler_.now() - call.startedAt);
     return fmt::format("unknown call={} request={} {} {} service={} endpoint={} error={} ran_ms={} run_once={}",
--- a/src/node/endpoint_links.cc
+++ b/src/node/endpoint_links.cc
@@ -68,7 +68,7 @@
       subsetEndpoints_(options_.subset.endpoints),
       chooseTimer_(scheduler, [this] { takeNews(); }),
       watchTimer_(scheduler, [this] { watch(); }),
-      boundLog_("entry", scheduler, base::kOneLineASecond) {}
+      boundLog_("entry", scheduler, base::kOneLinePerSecond) {}
 
 EndpointLinks::~EndpointLinks() { alive_.reset(); }
 
@@ -276,7 +276,7 @@
   }
   if (leftOut == 0) return;
   leftOut_ += static_cast<int64_t>(leftOut);
-  boundLog_.write(base::LineWorth::kFailure, [&] {
+  boundLog_.write(base::LinePriority::kFailure, [&] {
     return fmt::format("no room for links to {} endpoints, links={} max_links={}", leftOut, links_.size(),
                        options_.maxLinks);
   });
--- a/src/node/entry_calls.cc
+++ b/src/node/entry_calls.cc
@@ -426,7 +426,7 @@
 std::string EntryCalls::fingerprintText(Call* call) { return quarantine::toText(fingerprintOfCall(call)); }
 
 void EntryCalls::logAttemptFailed(Call* failed, Reach reach, bool again, const char* because) {
-  decisions_.write(base::LineWorth::kFailure, [&] {
+  decisions_.write(base::LinePriority::kFailure, [&] {
     const auto& call = *failed;
     const char* reached = reach == Reach::kNode ? "node" : reach == Reach::kMayHaveRun ? "may_have_run" : "refused";
     return fmt::format(
@@ -440,7 +440,7 @@
 
 void EntryCalls::logOutcome(Call* finished, const CallAnswer& answer) {
   const bool completed = answer.outcome == CallOutcome::COMPLETED;
-  const auto worth = completed ? base::LineWorth::kRoutine : base::LineWorth::kFailure;
+  const auto worth = completed ? base::LinePriority::kRoutine : base::LinePriority::kFailure;
   decisions_.write(worth, [&] {
     const auto& call = *finished;
     const char* outcome = completed ? "completed" : answer.outcome == CallOutcome::NOT_RUN ? "not_run" : "unknown";
@@ -491,7 +491,7 @@
   }
   if (!call.done) {
     ++counters_.abandoned;
-    decisions_.write(base::LineWorth::kRoutine, [&] {
+    decisions_.write(base::LinePriority::kRoutine, [&] {
       return fmt::format("abandoned call={} route={} service={} endpoint={} elapsed_ms={}", requestIdOf(call),
                          call.route, call.service, call.endpoint, remainingMs(scheduler_.now(), call.begunAt));
     });
--- a/src/node/entry_calls_beside.cc
+++ b/src/node/entry_calls_beside.cc
@@ -22,7 +22,7 @@
   const auto* target = pickEndpoint(call);
   if (target == nullptr || !budgets_[call.service].spend()) return;
   ++counters_.hedges;
-  decisions_.write(base::LineWorth::kRoutine, [&] {
+  decisions_.write(base::LinePriority::kRoutine, [&] {
     return fmt::format("second call={} route={} service={} first={} second={} elapsed_ms={} because={}",
                        requestIdOf(call), call.route, call.service, call.endpoint, target->name,
                        base::millisecondsOf(scheduler_.now() - call.begunAt), because);
--- a/src/node/local_backend.cc
+++ b/src/node/local_backend.cc
@@ -19,7 +19,7 @@
 
 LocalBackend::LocalBackend(wire::EndpointState place, base::Scheduler& scheduler, EndpointCalls& calls,
                            AnnounceFunction announce, const LocalBackendOptions& options)
-    : unreadable_("backend", scheduler, base::kOneLineASecond),
+    : unreadable_("backend", scheduler, base::kOneLinePerSecond),
       place_(std::move(place)),
       calls_(calls),
       announce_(std::move(announce)),
@@ -44,7 +44,7 @@
 
 void LocalBackend::onUnreadableReport(const std::string& what) {
   ++unreadableReports_;
-  unreadable_.write(base::LineWorth::kFailure, [&] { return fmt::format("a report is refused: {}", what); });
+  unreadable_.write(base::LinePriority::kFailure, [&] { return fmt::format("a report is refused: {}", what); });
 }
 
 ReportVerdict LocalBackend::onReport(const BackendReport& report) {
--- a/src/quarantine/request_quarantine.cc
+++ b/src/quarantine/request_quarantine.cc
@@ -170,7 +170,7 @@
 	}
 	++(held ? m_counters.held : m_counters.released);
 	m_decisions.write(
-		base::LineWorth::kFailure,
+		base::LinePriority::kFailure,
 		[&]
 		{
 			const auto probe = std::chrono::duration_cast<base::milliseconds>(m_history.untilProbe(_request));
--- a/src/quota/quota_grantor.cc
+++ b/src/quota/quota_grantor.cc
@@ -59,7 +59,7 @@
 	if (0 < decision.denied)
 	{
 		const auto wait = bucket.untilNext(now) * decision.denied;
-		m_decisions.write(base::LineWorth::kFailure,
+		m_decisions.write(base::LinePriority::kFailure,
 						  [&]
 						  {
 							  return fmt::format("denied tenant={} granted={} denied={} rate_per_s={} burst={}",
--- a/src/relay/source.cc
+++ b/src/relay/source.cc
@@ -26,7 +26,7 @@
 void ControllerLinks::start() {
   started_ = true;
   freshSince_ = scheduler_.now();
-  keepAliveTimer_.start(base::kConnectionKeepAlive);
+  keepAliveTimer_.start(base::kKeepAliveInterval);
   for (const auto& address : configured_) connect(address);
 }
 
@@ -122,7 +122,7 @@
 }
 
 void ControllerLinks::sendKeepAlive() {
-  keepAliveTimer_.start(base::kConnectionKeepAlive);
+  keepAliveTimer_.start(base::kKeepAliveInterval);
   sendToAll(wire::KeepAlive());
 }
 
--- a/src/simulation/cluster.cc
+++ b/src/simulation/cluster.cc
@@ -191,10 +191,10 @@
 }
 
 void Cluster::runUntil(base::TimePoint time) {
-  base::showLogTime(&queue_);
+  base::setLogClock(&queue_);
   while (queue_.runNext(time)) {
   }
-  base::showLogTime(nullptr);
+  base::setLogClock(nullptr);
 }
 
 ControllerMachine* Cluster::leader() {
--- a/src/simulation/process.cc
+++ b/src/simulation/process.cc
@@ -63,7 +63,7 @@
     dueTimers_.pop_front();
     runTimer(timer);
   }
-  if (onAway_ && !clockStands_ && away >= base::kOverslept) runNow(onAway_);
+  if (onAway_ && !clockStands_ && away >= base::kStallThreshold) runNow(onAway_);
   readUntil_.reset();
   while (!waiting_.empty()) {
     const auto action = std::move(waiting_.front());
--- a/src/storage/log_store.cc
+++ b/src/storage/log_store.cc
@@ -89,8 +89,8 @@
 struct LogStore::Segment {
   std::string name;
   RecordScan scan;
-  bool carries = false;  // takes the place of all before it
-  bool carried = false;  // all that it takes over is there
+  bool hasCarryOver = false;  // takes the place of all before it
+  bool carried = false;       // all that it takes over is there
 };
 
 /// Reads segments, the newest first, as far back as they count.
@@ -107,14 +107,14 @@
     if (!scan.ok()) return corrupt(segment.name, std::string(scan.status().message()));
     segment.scan = std::move(*scan);
     const auto& records = segment.scan.records;
-    segment.carries = !records.empty() && records.front().type == RecordType::kCarryBegins;
-    segment.carried = segment.carries && std::any_of(records.begin(), records.end(), [](const Record& record) {
+    segment.hasCarryOver = !records.empty() && records.front().type == RecordType::kCarryBegins;
+    segment.carried = segment.hasCarryOver && std::any_of(records.begin(), records.end(), [](const Record& record) {
                         return record.type == RecordType::kCarryEnds;
                       });
-    const bool onlyBegun = segment.carries && !segment.carried;
-    if (onlyBegun && !mayBeTorn) return corrupt(segment.name, "ends before what it takes over");
+    const bool carryOverIncomplete = segment.hasCarryOver && !segment.carried;
+    if (carryOverIncomplete && !mayBeTorn) return corrupt(segment.name, "ends before what it takes over");
     // Nothing in it was ever acknowledged: what counts is in the one before.
-    if (onlyBegun) segment.scan = {{}, 0, true};
+    if (carryOverIncomplete) segment.scan = {{}, 0, true};
     mayBeTorn = mayBeTorn && records.empty();
     const bool complete = segment.carried;
     segments.push_back(std::move(segment));
@@ -136,14 +136,14 @@
   segment_ = numbers.empty() ? 0 : numbers.back();
   const auto segments = scanSegments(numbers);
   if (!segments.ok()) return segments.status();
-  settling_.clear();
+  unsyncedSegments_.clear();
   for (const auto& segment : *segments) {
-    settling_.push_back(segment.name);
+    unsyncedSegments_.push_back(segment.name);
     for (const auto& record : segment.scan.records) {
       if (auto status = applyRecord(segment.name, record, &state); !status.ok()) return status;
     }
     if (segment.scan.tornTail && repair) {
-      if (auto status = disk_.truncate(segment.name, segment.scan.goodBytes); !status.ok()) return status;
+      if (auto status = disk_.truncate(segment.name, segment.scan.validBytes); !status.ok()) return status;
     }
   }
   return state;
@@ -188,16 +188,16 @@
   return write(encodeRecord(RecordType::kHardState, wire::encodeStruct(state), durable_));
 }
 
-absl::Status LogStore::mark(RecordType type) { return write(encodeRecord(type, "", durable_)); }
+absl::Status LogStore::writeMarker(RecordType type) { return write(encodeRecord(type, "", durable_)); }
 
 void LogStore::sync(SyncCallback done) {
-  waiting_.push_back(std::move(done));
+  queuedCallbacks_.push_back(std::move(done));
   if (!syncing_) startSync();
 }
 
 void LogStore::startSync() {
   syncing_ = true;
-  inSync_.swap(waiting_);
+  syncingCallbacks_.swap(queuedCallbacks_);
   syncTarget_ = written_;
   syncSegment_ = segment_;
   disk_.sync(segmentName(segment_), [this](const absl::Status& status) { finishSync(status); });
@@ -208,24 +208,24 @@
   if (!status.ok()) failed_ = true;
   if (status.ok() && syncSegment_ == segment_) durable_ = std::max(durable_, syncTarget_);
   std::vector<SyncCallback> served;
-  served.swap(inSync_);
+  served.swap(syncingCallbacks_);
   for (const auto& done : served) done(status);
-  if (!waiting_.empty() && !syncing_) startSync();
+  if (!queuedCallbacks_.empty() && !syncing_) startSync();
 }
 
-void LogStore::settle(SyncCallback done) {
+void LogStore::syncRecovered(SyncCallback done) {
   // Where there is no segment, the sync covers the names.
-  if (settling_.empty()) settling_.push_back(segmentName(segment_));
-  settleNext(std::move(done));
+  if (unsyncedSegments_.empty()) unsyncedSegments_.push_back(segmentName(segment_));
+  syncNextRecovered(std::move(done));
 }
 
-void LogStore::settleNext(SyncCallback done) {
+void LogStore::syncNextRecovered(SyncCallback done) {
   // All of them: a process that died while it began the newest left its entries in the one before.
-  const auto name = settling_.back();
-  settling_.pop_back();
+  const auto name = unsyncedSegments_.back();
+  unsyncedSegments_.pop_back();
   disk_.sync(name, [this, done = std::move(done)](const absl::Status& status) {
-    if (!status.ok() || settling_.empty()) return done(status);
-    settleNext(done);
+    if (!status.ok() || unsyncedSegments_.empty()) return done(status);
+    syncNextRecovered(done);
   });
 }
 
@@ -254,10 +254,10 @@
   ++segment_;
   written_ = 0;
   durable_ = 0;
-  auto status = mark(RecordType::kCarryBegins);
+  auto status = writeMarker(RecordType::kCarryBegins);
   if (status.ok()) status = saveHardState(carried.hardState);
   if (status.ok()) status = append(carried.entries);
-  if (status.ok()) status = mark(RecordType::kCarryEnds);
+  if (status.ok()) status = writeMarker(RecordType::kCarryEnds);
   if (!status.ok()) {
     (void)disk_.remove(segmentName(segment_));
     segment_ = previousSegment;
--- a/src/storage/log_store.h
+++ b/src/storage/log_store.h
@@ -48,7 +48,7 @@
   absl::StatusOr<RecoveredState> inspect();
 
   /// Makes all that open() read durable; nothing may be written before the callback.
-  void settle(SyncCallback done);
+  void syncRecovered(SyncCallback done);
 
   /// Writes entries without syncing. On kStorageFull nothing of them remains.
   absl::Status append(const std::vector<wire::LogEntry>& entries);
@@ -76,8 +76,8 @@
   struct Segment;
   absl::StatusOr<RecoveredState> load(bool repair);
   absl::StatusOr<std::vector<Segment>> scanSegments(const std::vector<int64_t>& numbers);
-  absl::Status mark(RecordType type);
-  void settleNext(SyncCallback done);
+  absl::Status writeMarker(RecordType type);
+  void syncNextRecovered(SyncCallback done);
   absl::Status write(const std::string& bytes);
   void startSync();
   void finishSync(const absl::Status& status);
@@ -85,16 +85,16 @@
   void removeOlderThan(int64_t segment, int64_t snapshotIndex);
 
   Disk& disk_;
-  std::vector<std::string> settling_;  // segments read by open() that may not be durable yet
-  int64_t segment_ = 0;                // number of the segment being written
-  size_t written_ = 0;                 // bytes of the segment written
-  size_t durable_ = 0;                 // bytes of the segment known to be durable
-  size_t syncTarget_ = 0;              // bytes that the sync in progress covers
-  int64_t syncSegment_ = 0;            // segment that the sync in progress covers
+  std::vector<std::string> unsyncedSegments_;  // segments read by open() that may not be durable yet
+  int64_t segment_ = 0;                        // number of the segment being written
+  size_t written_ = 0;                         // bytes of the segment written
+  size_t durable_ = 0;                         // bytes of the segment known to be durable
+  size_t syncTarget_ = 0;                      // bytes that the sync in progress covers
+  int64_t syncSegment_ = 0;                    // segment that the sync in progress covers
   bool syncing_ = false;
   bool failed_ = false;
-  std::vector<SyncCallback> inSync_;   // served by the sync in progress
-  std::vector<SyncCallback> waiting_;  // served by the next sync
+  std::vector<SyncCallback> syncingCallbacks_;  // served by the sync in progress
+  std::vector<SyncCallback> queuedCallbacks_;   // served by the next sync
 };
 
 }  // namespace driftlug::storage
--- a/src/storage/posix_disk.cc
+++ b/src/storage/posix_disk.cc
@@ -34,7 +34,7 @@
   for (const auto& [name, descriptor] : open_) ::close(descriptor);
 }
 
-absl::Status PosixDisk::prepare() {
+absl::Status PosixDisk::createFolder() {
   std::error_code error;
   fs::create_directories(folder_, error);
   if (error) return makeError(ErrorCode::kStorageFailed, "can't create " + folder_ + ": " + error.message());
@@ -71,11 +71,11 @@
   return opened;
 }
 
-bool PosixDisk::missing(const std::string& name) const {
+bool PosixDisk::isKnownMissing(const std::string& name) const {
   return open_.count(name) == 0 && ::access(path(name).c_str(), F_OK) != 0 && errno == ENOENT;
 }
 
-void PosixDisk::forget(const std::string& name) {
+void PosixDisk::closeDescriptor(const std::string& name) {
   const auto found = open_.find(name);
   if (found == open_.end()) return;
   ::close(found->second);
@@ -100,15 +100,15 @@
 }
 
 absl::Status PosixDisk::rename(const std::string& from, const std::string& to) {
-  forget(from);
-  forget(to);
+  closeDescriptor(from);
+  closeDescriptor(to);
   if (::rename(path(from).c_str(), path(to).c_str()) != 0) return systemError("can't rename " + from, errno);
   folderDirty_ = true;
   return syncFolder();
 }
 
 absl::Status PosixDisk::remove(const std::string& name) {
-  forget(name);
+  closeDescriptor(name);
   if (::unlink(path(name).c_str()) != 0) return systemError("can't remove " + name, errno);
   folderDirty_ = true;
   return absl::OkStatus();
@@ -127,7 +127,7 @@
 
 absl::Status PosixDisk::syncNow(const std::string& name) {
   // After a removal only the names count; a full disk has no room for a file created here.
-  if (missing(name)) return folderDirty_ ? syncFolder() : absl::OkStatus();
+  if (isKnownMissing(name)) return folderDirty_ ? syncFolder() : absl::OkStatus();
   const auto file = descriptor(name);
   if (!file.ok()) return file.status();
   if (::fdatasync(*file) != 0) return systemError("can't sync " + name, errno);
--- a/src/storage/posix_disk.h
+++ b/src/storage/posix_disk.h
@@ -17,7 +17,7 @@
   ~PosixDisk() override;
 
   /// Creates the folder when it is missing.
-  absl::Status prepare();
+  absl::Status createFolder();
 
   absl::StatusOr<std::vector<std::string>> list() override;
   absl::StatusOr<std::string> read(const std::string& name) override;
@@ -31,8 +31,8 @@
   std::string path(const std::string& name) const { return folder_ + "/" + name; }
   absl::StatusOr<int> descriptor(const std::string& name);
   /// @return whether the file is known not to be there; an error that hides it does not count.
-  bool missing(const std::string& name) const;
-  void forget(const std::string& name);
+  bool isKnownMissing(const std::string& name) const;
+  void closeDescriptor(const std::string& name);
   absl::Status syncNow(const std::string& name);
   absl::Status syncFolder();
 
--- a/src/storage/record_file.cc
+++ b/src/storage/record_file.cc
@@ -76,17 +76,17 @@
 
 absl::StatusOr<RecordScan> scanRecords(std::string_view bytes, bool tailMayBeTorn) {
   RecordScan scan;
-  while (scan.goodBytes < bytes.size()) {
-    const auto header = validRecordAt(bytes, scan.goodBytes);
+  while (scan.validBytes < bytes.size()) {
+    const auto header = validRecordAt(bytes, scan.validBytes);
     if (!header) break;
-    const auto payload = bytes.substr(scan.goodBytes + kHeaderBytes, header->payloadBytes);
+    const auto payload = bytes.substr(scan.validBytes + kHeaderBytes, header->payloadBytes);
     scan.records.push_back({static_cast<RecordType>(header->type), std::string(payload)});
-    scan.goodBytes += kHeaderBytes + header->payloadBytes;
+    scan.validBytes += kHeaderBytes + header->payloadBytes;
   }
-  if (scan.goodBytes == bytes.size()) return scan;
-  if (!tailMayBeTorn || damageWasDurable(bytes, scan.goodBytes)) {
+  if (scan.validBytes == bytes.size()) return scan;
+  if (!tailMayBeTorn || damageWasDurable(bytes, scan.validBytes)) {
     return base::makeError(base::ErrorCode::kStorageCorrupt,
-                           "damaged record at offset " + std::to_string(scan.goodBytes));
+                           "damaged record at offset " + std::to_string(scan.validBytes));
   }
   scan.tornTail = true;
   return scan;
--- a/src/storage/record_file.h
+++ b/src/storage/record_file.h
@@ -31,8 +31,8 @@
 /// Records read from a file.
 struct RecordScan {
   std::vector<Record> records;
-  size_t goodBytes = 0;   ///< length of the valid beginning
-  bool tornTail = false;  ///< whether bytes behind goodBytes were never synced and may be cut
+  size_t validBytes = 0;  ///< length of the valid beginning
+  bool tornTail = false;  ///< whether bytes behind validBytes were never synced and may be cut
 };
 
 /// @param durableBytes bytes of the file known to be durable
--- a/src/transport/event_loop.cc
+++ b/src/transport/event_loop.cc
@@ -93,8 +93,8 @@
 base::TimerId EventLoop::schedule(base::Duration delay, std::function<void()> callback) {
   const auto id = nextId_++;
   const auto at = now() + std::max(delay, base::Duration(0));
-  due_[{at, id}] = std::move(callback);
-  timeOf_[id] = at;
+  timers_[{at, id}] = std::move(callback);
+  dueTimes_[id] = at;
   return id;
 }
 
@@ -103,15 +103,15 @@
 }
 
 void EventLoop::cancel(base::TimerId id) {
-  const auto found = timeOf_.find(id);
-  if (found == timeOf_.end()) return;
-  due_.erase({found->second, id});
-  timeOf_.erase(found);
+  const auto found = dueTimes_.find(id);
+  if (found == dueTimes_.end()) return;
+  timers_.erase({found->second, id});
+  dueTimes_.erase(found);
 }
 
 void EventLoop::armTimer() {
-  if (due_.empty()) return;
-  const auto first = due_.begin()->first.at;
+  if (timers_.empty()) return;
+  const auto first = timers_.begin()->first.at;
   // A timer that is armed for an earlier moment wakes the loop once too often, which costs less than arming anew.
   if (armedFor_ != base::TimePoint{} && armedFor_ <= first) return;
   armedFor_ = first;
@@ -122,7 +122,7 @@
   timerfd_settime(timerFile_, 0, &spec, nullptr);
 }
 
-void EventLoop::runDue() {
+void EventLoop::runDueTimers() {
   // What callbacks schedule for now runs too, but a chain without end, or long work in steps, must not keep sockets
   // waiting.
   constexpr int kMaxRounds = 16;
@@ -130,58 +130,58 @@
   const auto begun = now();
   for (int round = 0; round < kMaxRounds; ++round) {
     const auto until = now();
-    if (due_.empty() || due_.begin()->first.at > until || (round > 0 && until - begun > kMaxTime)) return;
-    while (!due_.empty() && due_.begin()->first.at <= until) {
-      watchClock();
-      auto node = due_.extract(due_.begin());
-      timeOf_.erase(node.key().id);
+    if (timers_.empty() || timers_.begin()->first.at > until || (round > 0 && until - begun > kMaxTime)) return;
+    while (!timers_.empty() && timers_.begin()->first.at <= until) {
+      updateClock();
+      auto node = timers_.extract(timers_.begin());
+      dueTimes_.erase(node.key().id);
       node.mapped()();
     }
   }
 }
 
 /// Called at each event and timer: whoever is stopped in the middle of a turn is so under load above all.
-void EventLoop::watchClock() {
+void EventLoop::updateClock() {
   /// Longer than one event takes: 59 ms of processor time by a leader's log, 0.9 s where it has 0.065 of a core.
-  constexpr base::Duration kStoodStill = base::seconds(2);
+  constexpr base::Duration kEventStallThreshold = base::seconds(2);
   const auto time = now();
-  const auto late = time - std::exchange(expectedBy_, time);
+  const auto late = time - std::exchange(expectedWakeup_, time);
   const bool waited = std::exchange(waiting_, false);
   if (waited) {
-    wokeAt_ = time;
+    lastWakeupAt_ = time;
   } else {
-    noteEvent(late);
+    recordEvent(late);
   }
-  if (late >= (waited ? base::kOverslept : kStoodStill)) away_ = std::max(away_, late);
+  if (late >= (waited ? base::kStallThreshold : kEventStallThreshold)) pendingStall_ = std::max(pendingStall_, late);
 }
 
 /// Nothing is read or sent while an event is dealt with: a long one delays heartbeats and all that waits.
-void EventLoop::noteEvent(base::Duration took) {
-  constexpr base::Duration kLong = base::milliseconds(100);
-  const auto work = std::exchange(work_, {});
-  if (took < kLong) return;
+void EventLoop::recordEvent(base::Duration took) {
+  constexpr base::Duration kLongEventThreshold = base::milliseconds(100);
+  const auto description = std::exchange(eventDescription_, {});
+  if (took < kLongEventThreshold) return;
   ++longEvents_.count;
   longEvents_.longest = std::max(longEvents_.longest, took);
-  log_.warn("{} ms in one event: {}", base::millisecondsOf(took), work.empty() ? "a timer" : work);
+  log_.warn("{} ms in one event: {}", base::millisecondsOf(took), description.empty() ? "a timer" : description);
 }
 
 /// What is due runs, and the process hears of it, before more is read.
-void EventLoop::tellAway() {
-  if (away_ == base::Duration(0)) return;
-  const auto late = std::exchange(away_, base::Duration(0));
-  runDue();
-  if (onOverslept_) onOverslept_(late);
+void EventLoop::notifyStall() {
+  if (pendingStall_ == base::Duration(0)) return;
+  const auto late = std::exchange(pendingStall_, base::Duration(0));
+  runDueTimers();
+  if (onStall_) onStall_(late);
 }
 
 void EventLoop::beginEvent() {
-  watchClock();
-  tellAway();
+  updateClock();
+  notifyStall();
 }
 
 void EventLoop::flushStreams() {
-  while (!dirty_.empty()) {
+  while (!pendingFlushes_.empty()) {
     std::vector<std::weak_ptr<TcpStream>> streams;
-    streams.swap(dirty_);
+    streams.swap(pendingFlushes_);
     for (const auto& weak : streams) {
       if (const auto stream = weak.lock()) stream->flush();
     }
@@ -194,11 +194,11 @@
   flushStreams();
   armTimer();
   waiting_ = true;
-  expectedBy_ = armedFor_ == base::TimePoint{} ? base::TimePoint::max() : std::max(armedFor_, expectedBy_);
+  expectedWakeup_ = armedFor_ == base::TimePoint{} ? base::TimePoint::max() : std::max(armedFor_, expectedWakeup_);
   if (lws_service(context_, 0) < 0) stopped_ = true;
-  watchClock();
-  inputReadUntil_ = wokeAt_;
-  runDue();
+  updateClock();
+  inputReadUntil_ = lastWakeupAt_;
+  runDueTimers();
   flushStreams();
 }
 
--- a/src/transport/event_loop.h
+++ b/src/transport/event_loop.h
@@ -27,7 +27,7 @@
 };
 
 /// Events and timers that kept the loop from all others for long.
-struct LongEvents {
+struct LongEventStats {
   int64_t count = 0;
   base::Duration longest{0};
 };
@@ -65,17 +65,17 @@
   /// Calls back when the loop woke more than a second later than it was to, or stood still for two within a turn: the
   /// process was stopped, or its machine suspended. What was due meanwhile has run by then, and what waits in sockets
   /// has not been read: it is as old.
-  void onOverslept(std::function<void(base::Duration)> handler) { onOverslept_ = std::move(handler); }
+  void onStall(std::function<void(base::Duration)> handler) { onStall_ = std::move(handler); }
 
   /// Says what the event or timer in progress is about, for the log line of one that takes long.
   /// @param what text that lives as long as the loop
-  void describe(std::string_view what) {
-    watchClock();
-    work_ = what;
+  void setEventDescription(std::string_view what) {
+    updateClock();
+    eventDescription_ = what;
   }
 
   /// @return events and timers that took 100 ms or longer.
-  const LongEvents& longEvents() const { return longEvents_; }
+  const LongEventStats& longEvents() const { return longEvents_; }
 
   /// Calls back on the loop when the process gets a signal; other signals keep their meaning, SIGPIPE is ignored.
   void onSignals(SignalHandlers handlers);
@@ -95,13 +95,13 @@
   size_t openSockets() const { return openSockets_; }
 
   /// Writes what a stream has buffered at the end of this turn.
-  void flushLater(std::weak_ptr<TcpStream> stream) { dirty_.push_back(std::move(stream)); }
+  void scheduleFlush(std::weak_ptr<TcpStream> stream) { pendingFlushes_.push_back(std::move(stream)); }
 
  private:
-  struct Due {
+  struct TimerKey {
     base::TimePoint at;
     base::TimerId id;
-    auto operator<=>(const Due&) const = default;
+    auto operator<=>(const TimerKey&) const = default;
   };
 
   struct FileWatch {
@@ -115,11 +115,11 @@
   struct Library;
 
   void armTimer();
-  void watchClock();
-  void noteEvent(base::Duration took);
-  void tellAway();
+  void updateClock();
+  void recordEvent(base::Duration took);
+  void notifyStall();
   void beginEvent();
-  void runDue();
+  void runDueTimers();
   void flushStreams();
   void onSignalPipe();
 
@@ -132,19 +132,19 @@
   SignalHandlers signalHandlers_;
   bool stopped_ = false;
   base::TimerId nextId_ = 1;
-  std::map<Due, std::function<void()>> due_;                   // by time, then by order of scheduling
-  std::unordered_map<base::TimerId, base::TimePoint> timeOf_;  // of timers in due_
+  std::map<TimerKey, std::function<void()>> timers_;             // by time, then by order of scheduling
+  std::unordered_map<base::TimerId, base::TimePoint> dueTimes_;  // of timers in due_
   base::TimePoint armedFor_{};
-  base::TimePoint expectedBy_ = now();  // when the clock was to be looked at again at the latest
-  bool waiting_ = false;                // for an event or a timer
-  base::TimePoint wokeAt_ = now();      // when the last wait ended
+  base::TimePoint expectedWakeup_ = now();  // when the clock was to be looked at again at the latest
+  bool waiting_ = false;                    // for an event or a timer
+  base::TimePoint lastWakeupAt_ = now();    // when the last wait ended
   base::TimePoint inputReadUntil_ = now();
-  std::string_view work_;  // what the event in progress is about; empty for a timer
-  LongEvents longEvents_;
+  std::string_view eventDescription_;  // what the event in progress is about; empty for a timer
+  LongEventStats longEvents_;
   base::Logger log_{"loop"};
-  base::Duration away_{0};                           // not told yet
-  std::function<void(base::Duration)> onOverslept_;  // may be empty
-  std::vector<std::weak_ptr<TcpStream>> dirty_;      // streams with bytes to write at the end of the turn
+  base::Duration pendingStall_{0};                        // not told yet
+  std::function<void(base::Duration)> onStall_;           // may be empty
+  std::vector<std::weak_ptr<TcpStream>> pendingFlushes_;  // streams with bytes to write at the end of the turn
 };
 
 }  // namespace driftlug::transport
--- a/src/transport/frame_transport.cc
+++ b/src/transport/frame_transport.cc
@@ -11,12 +11,12 @@
 
 /// A peer that does not read is closed when this much is queued for it.
 constexpr size_t kMaxQueuedBytes = 64U << 20;
-constexpr base::Duration kGreetingTimeout = base::seconds(2);
+constexpr base::Duration kHelloTimeout = base::seconds(2);
 /// How often in the time that a silent peer is given connections are looked at.
-constexpr int kWatchesPerLimit = 8;
+constexpr int kChecksPerKeepAliveTimeout = 8;
 /// A connection that a peer opened is held for so many times that limit without a keep-alive: the peer notices first
 /// and opens another, and this end is only to be freed.
-constexpr int kAbandonedLimits = 5;
+constexpr int kAbandonedTimeoutFactor = 5;
 
 }  // namespace
 
@@ -24,43 +24,44 @@
     : loop_(loop),
       name_(std::move(name)),
       listener_(loop, [this](std::shared_ptr<TcpStream> stream) { onAccepted(std::move(stream)); }),
-      watchTimer_(loop, [this] { watch(); }),
-      boundLog_("frames", loop, base::kOneLineASecond) {}
+      keepAliveTimer_(loop, [this] { checkKeepAlives(); }),
+      limitLog_("frames", loop, base::kOneLinePerSecond) {}
 
 FrameTransport::~FrameTransport() { *alive_ = false; }
 
 void FrameTransport::setHello(const wire::Hello& hello) {
   hello_ = hello;
-  hello_.compresses = compresses_;
-  if (silenceLimit_.count() > 0) hello_.acknowledgesCalls = true;  // which says that keep-alives are returned
+  hello_.compresses = compressionEnabled_;
+  if (keepAliveTimeout_.count() > 0) hello_.acknowledgesCalls = true;  // which says that keep-alives are returned
 }
 
-void FrameTransport::useKeepAlives(base::Duration limit) {
-  silenceLimit_ = limit;
+void FrameTransport::enableKeepAlives(base::Duration limit) {
+  keepAliveTimeout_ = limit;
   hello_.acknowledgesCalls = true;
-  watchLater();
+  scheduleKeepAliveCheck();
 }
 
-void FrameTransport::watchLater() { watchTimer_.start(silenceLimit_ / kWatchesPerLimit); }
+void FrameTransport::scheduleKeepAliveCheck() { keepAliveTimer_.start(keepAliveTimeout_ / kChecksPerKeepAliveTimeout); }
 
-bool FrameTransport::isSilent(const Connection& connection, base::TimePoint heardUntil) const {
-  if (connection.awaitedSince) return heardUntil - *connection.awaitedSince > silenceLimit_;
-  return connection.keptAlive && heardUntil - connection.heardAt > silenceLimit_ * kAbandonedLimits;
+bool FrameTransport::isKeepAliveOverdue(const Connection& connection, base::TimePoint readUntil) const {
+  if (connection.unansweredSince) return readUntil - *connection.unansweredSince > keepAliveTimeout_;
+  return connection.peerSendsKeepAlives &&
+         readUntil - connection.lastReceivedAt > keepAliveTimeout_ * kAbandonedTimeoutFactor;
 }
 
-void FrameTransport::watch() {
-  const auto heardUntil = loop_.inputReadUntil();
+void FrameTransport::checkKeepAlives() {
+  const auto readUntil = loop_.inputReadUntil();
   std::vector<base::ConnectionId> silent;
   for (auto& [id, connection] : connections_) {
-    if (isSilent(*connection, heardUntil)) silent.push_back(id);
+    if (isKeepAliveOverdue(*connection, readUntil)) silent.push_back(id);
   }
-  watchLater();
+  scheduleKeepAliveCheck();
   for (const auto id : silent) {
     const auto* connection = find(id);
     if (connection == nullptr) continue;
-    ++counters_.silentClosed;
+    ++counters_.keepAliveTimeouts;
     log_.warn("{} closes connection {} with {}: it is silent", name_, id, connection->peer.id);
-    onGone(id);
+    closeAndNotify(id);
   }
 }
 
@@ -87,36 +88,36 @@
 }
 
 base::ConnectionId FrameTransport::connectWithTimeout(const base::Address& address, base::Duration timeout) {
-  if (listening_.port != 0 && address == listening_) return connectWithin();
+  if (listening_.port != 0 && address == listening_) return connectInProcess();
   auto* connection = add();
-  connection->greeting = wire::encodeFrame(hello_);
+  connection->helloFrame = wire::encodeFrame(hello_);
   StreamOptions options;
   options.connectTimeout = timeout;
   connection->stream = TcpStream::connect(loop_, address, connection, options);
   return connection->id;
 }
 
-base::ConnectionId FrameTransport::connectWithin() {
-  const auto near = add()->id;
-  const auto far = add()->id;
+base::ConnectionId FrameTransport::connectInProcess() {
+  const auto localId = add()->id;
+  const auto remoteId = add()->id;
   const auto open = [this](base::ConnectionId id, base::ConnectionId other) {
     auto* connection = find(id);
-    connection->otherEnd = other;
-    connection->greeted = true;
+    connection->inProcessPeer = other;
+    connection->helloReceived = true;
     connection->peer = hello_;
     loop_.schedule(base::Duration(0), [this, alive = alive_, id] {
       if (*alive && find(id) != nullptr && handler_ != nullptr) handler_->onOpen(id, find(id)->peer);
     });
   };
-  open(far, near);
-  open(near, far);
-  return near;
+  open(remoteId, localId);
+  open(localId, remoteId);
+  return localId;
 }
 
 void FrameTransport::onAccepted(std::shared_ptr<TcpStream> stream) {
   if (accepted_ >= maxAccepted_) {
     ++counters_.refused;
-    boundLog_.write(base::LineWorth::kFailure,
+    limitLog_.write(base::LinePriority::kFailure,
                     [this] { return fmt::format("{} refuses a connection, accepted={}", name_, accepted_); });
     return stream->close();
   }
@@ -131,7 +132,7 @@
 void FrameTransport::send(base::ConnectionId id, const wire::FramePtr& frame) {
   const auto* connection = find(id);
   if (connection == nullptr) return;
-  const bool remote = zoneDelay_.count() > 0 && connection->greeted && connection->peer.zone != hello_.zone;
+  const bool remote = zoneDelay_.count() > 0 && connection->helloReceived && connection->peer.zone != hello_.zone;
   if (!remote) return enqueue(id, frame);
   loop_.schedule(zoneDelay_, [this, alive = alive_, id, frame] {
     if (*alive) enqueue(id, frame);
@@ -141,11 +142,11 @@
 void FrameTransport::enqueue(base::ConnectionId id, const wire::FramePtr& frame) {
   auto* connection = find(id);
   if (connection == nullptr) return;
-  if (connection->otherEnd != 0) return deliverWithin(connection->otherEnd, frame);
+  if (connection->inProcessPeer != 0) return deliverInProcess(connection->inProcessPeer, frame);
   if (connection->stream->queuedBytes() > kMaxQueuedBytes) {
-    ++counters_.slowClosed;
+    ++counters_.slowPeersClosed;
     log_.warn("{} closes connection {}, the peer does not read", name_, id);
-    return closeLater(id);
+    return scheduleClose(id);
   }
   const std::string packed = connection->deflater ? connection->deflater->add(*frame) : std::string();
   const std::string& bytes = connection->deflater ? packed : *frame;
@@ -155,16 +156,16 @@
   counters_.bytesByPurpose[static_cast<size_t>(purpose)] += static_cast<int64_t>(bytes.size());
   connection->stream->write(bytes);
   const bool isKeepAlive = wire::kindOf(*frame) == kKeepAliveKind;
-  const bool returned = !connection->accepted && connection->greeted && connection->peer.acknowledgesCalls;
-  if (silenceLimit_.count() > 0 && isKeepAlive && returned && !connection->awaitedSince) {
-    connection->awaitedSince = loop_.now();
+  const bool returned = !connection->accepted && connection->helloReceived && connection->peer.acknowledgesCalls;
+  if (keepAliveTimeout_.count() > 0 && isKeepAlive && returned && !connection->unansweredSince) {
+    connection->unansweredSince = loop_.now();
   }
 }
 
-void FrameTransport::deliverWithin(base::ConnectionId to, const wire::FramePtr& frame) {
+void FrameTransport::deliverInProcess(base::ConnectionId to, const wire::FramePtr& frame) {
   loop_.schedule(base::Duration(0), [this, alive = alive_, to, frame] {
     if (!*alive || find(to) == nullptr || handler_ == nullptr) return;
-    loop_.describe(wire::messageName(wire::kindOf(*frame)));
+    loop_.setEventDescription(wire::messageName(wire::kindOf(*frame)));
     auto message = wire::decodeFrame(std::string_view(*frame).substr(wire::kLengthBytes));
     if (message.ok()) handler_->onMessage(to, std::move(*message));
   });
@@ -173,11 +174,11 @@
 void FrameTransport::close(base::ConnectionId id) {
   const auto found = connections_.find(id);
   if (found == connections_.end()) return;
-  loop_.cancel(found->second->greetingTimer);
-  const auto otherEnd = found->second->otherEnd;
+  loop_.cancel(found->second->helloTimer);
+  const auto inProcessPeer = found->second->inProcessPeer;
   if (found->second->accepted) --accepted_;
   connections_.erase(found);
-  if (otherEnd != 0) closeLater(otherEnd);
+  if (inProcessPeer != 0) scheduleClose(inProcessPeer);
 }
 
 size_t FrameTransport::opened() const {
@@ -186,9 +187,9 @@
   return count;
 }
 
-void FrameTransport::closeLater(base::ConnectionId id) {
+void FrameTransport::scheduleClose(base::ConnectionId id) {
   loop_.schedule(base::Duration(0), [this, alive = alive_, id] {
-    if (*alive) onGone(id);
+    if (*alive) closeAndNotify(id);
   });
 }
 
@@ -198,27 +199,27 @@
   return queues ? found->second->stream->queuedBytes() : 0;
 }
 
-std::optional<base::TimePoint> FrameTransport::partArrivedAt(base::ConnectionId id) const {
+std::optional<base::TimePoint> FrameTransport::partialMessageReceivedAt(base::ConnectionId id) const {
   const auto found = connections_.find(id);
   if (found == connections_.end() || !found->second->reader.midFrame()) return std::nullopt;
-  return found->second->heardAt;
+  return found->second->lastReceivedAt;
 }
 
 size_t FrameTransport::unsentBytes() const {
   size_t bytes = 0;
   for (const auto& [id, connection] : connections_) {
-    if (connection->greeted && connection->stream) bytes += connection->stream->queuedBytes();
+    if (connection->helloReceived && connection->stream) bytes += connection->stream->queuedBytes();
   }
   return bytes;
 }
 
 void FrameTransport::onEstablished(Connection* connection) {
-  if (!connection->greeting) connection->greeting = wire::encodeFrame(hello_);
-  enqueue(connection->id, connection->greeting);
-  connection->greetingTimer = loop_.schedule(kGreetingTimeout, [this, alive = alive_, id = connection->id] {
-    if (!*alive || find(id) == nullptr || find(id)->greeted) return;
+  if (!connection->helloFrame) connection->helloFrame = wire::encodeFrame(hello_);
+  enqueue(connection->id, connection->helloFrame);
+  connection->helloTimer = loop_.schedule(kHelloTimeout, [this, alive = alive_, id = connection->id] {
+    if (!*alive || find(id) == nullptr || find(id)->helloReceived) return;
     log_.warn("{} closes connection {}, no greeting came", name_, id);
-    onGone(id);
+    closeAndNotify(id);
   });
 }
 
@@ -235,8 +236,8 @@
 
 void FrameTransport::onReceived(base::ConnectionId id, std::string_view bytes) {
   counters_.bytesReceived += static_cast<int64_t>(bytes.size());
-  find(id)->heardAt = loop_.now();
-  find(id)->awaitedSince.reset();
+  find(id)->lastReceivedAt = loop_.now();
+  find(id)->unansweredSince.reset();
   auto status = read(find(id), bytes);
   while (auto* connection = find(id)) {
     wire::Message message;
@@ -244,7 +245,7 @@
     if (!complete.ok()) {
       ++counters_.badFrames;
       log_.warn("{} closes connection {}: {}", name_, id, base::errorText(complete.status()));
-      return onGone(id);
+      return closeAndNotify(id);
     }
     if (!*complete) return;
     ++counters_.framesReceived;
@@ -259,11 +260,11 @@
 
 void FrameTransport::onFrame(base::ConnectionId id, wire::Message message) {
   auto* connection = find(id);
-  loop_.describe(wire::messageName(message.index()));
-  if (connection->greeted) {
+  loop_.setEventDescription(wire::messageName(message.index()));
+  if (connection->helloReceived) {
     const bool keepAlive = std::holds_alternative<wire::KeepAlive>(message);
-    if (silenceLimit_.count() > 0 && keepAlive && connection->accepted) {
-      connection->keptAlive = true;
+    if (keepAliveTimeout_.count() > 0 && keepAlive && connection->accepted) {
+      connection->peerSendsKeepAlives = true;
       enqueue(id, wire::encodeFrame(wire::KeepAlive()));
     }
     if (handler_ != nullptr) handler_->onMessage(id, std::move(message));
@@ -272,22 +273,22 @@
   if (const auto* hello = std::get_if<wire::Hello>(&message)) return onHello(connection, *hello);
   ++counters_.badFrames;
   log_.warn("{} closes connection {}: the first frame is no greeting", name_, id);
-  onGone(id);
+  closeAndNotify(id);
 }
 
 void FrameTransport::onHello(Connection* connection, const wire::Hello& hello) {
   const auto id = connection->id;
-  connection->greeted = true;
+  connection->helloReceived = true;
   connection->peer = hello;
-  loop_.cancel(connection->greetingTimer);
-  if (compresses_ && hello.compresses && hello.zone != hello_.zone) {
+  loop_.cancel(connection->helloTimer);
+  if (compressionEnabled_ && hello.compresses && hello.zone != hello_.zone) {
     enqueue(id, wire::encodeFrame(wire::StartCompression()));
     connection->deflater = std::make_unique<wire::Deflater>();
   }
   if (handler_ != nullptr) handler_->onOpen(id, hello);
 }
 
-void FrameTransport::onGone(base::ConnectionId id) {
+void FrameTransport::closeAndNotify(base::ConnectionId id) {
   if (find(id) == nullptr) return;
   close(id);
   if (handler_ != nullptr) handler_->onClose(id);
--- a/src/transport/frame_transport.h
+++ b/src/transport/frame_transport.h
@@ -25,9 +25,9 @@
   int64_t framesSent = 0;
   int64_t framesReceived = 0;
   int64_t badFrames = 0;
-  int64_t slowClosed = 0;
+  int64_t slowPeersClosed = 0;
   int64_t refused = 0;                                    ///< connections of others closed at the bound, ungreeted
-  int64_t silentClosed = 0;                               ///< connections on which keep-alives were not returned
+  int64_t keepAliveTimeouts = 0;                          ///< connections on which keep-alives were not returned
   std::array<int64_t, wire::kPurposes> bytesByPurpose{};  ///< sent, by wire::Purpose
 
   int64_t sentFor(wire::Purpose purpose) const { return bytesByPurpose[static_cast<size_t>(purpose)]; }
@@ -52,16 +52,16 @@
   void setEmulatedZoneDelay(base::Duration delay) { zoneDelay_ = delay; }
 
   /// Compresses what is sent to peers in other zones that can take it. Set before the first connection.
-  void compressBetweenZones() { compresses_ = true; }
+  void enableCrossZoneCompression() { compressionEnabled_ = true; }
 
   /// Changes how many connections that others opened there may be. One more is closed before its greeting, so that its
   /// peer knows that nothing it would send there was taken, and turns to others.
-  void setMaxAccepted(size_t most) { maxAccepted_ = most; }
+  void setMaxAcceptedConnections(size_t limit) { maxAccepted_ = limit; }
 
   /// Returns the keep-alives of others, and closes a connection on which one's own are not returned: one that lost its
   /// way for good ends by itself only if nothing on the way acknowledges its bytes. Set before the first connection.
   /// @param limit how long a keep-alive may go without anything being heard
-  void useKeepAlives(base::Duration limit = base::seconds(2));
+  void enableKeepAlives(base::Duration limit = base::seconds(2));
 
   const FrameCounters& counters() const { return counters_; }
 
@@ -77,7 +77,7 @@
   void send(base::ConnectionId connection, const wire::FramePtr& frame) override;
   void close(base::ConnectionId connection) override;
   size_t queuedBytes(base::ConnectionId connection) const override;
-  std::optional<base::TimePoint> partArrivedAt(base::ConnectionId connection) const override;
+  std::optional<base::TimePoint> partialMessageReceivedAt(base::ConnectionId connection) const override;
 
   /// @return bytes queued on all connections that are up.
   size_t unsentBytes() const;
@@ -91,41 +91,41 @@
     }
     void onConnected() override { transport.onEstablished(this); }
     void onBytes(std::string_view bytes) override { transport.onReceived(id, bytes); }
-    void onClosed(bool /*orderly*/) override { transport.onGone(id); }
+    void onClosed(bool /*orderly*/) override { transport.closeAndNotify(id); }
 
     FrameTransport& transport;
     base::ConnectionId id;
-    std::shared_ptr<TcpStream> stream;  // null on a connection within the process
-    base::ConnectionId otherEnd = 0;    // of a connection within the process
-    bool accepted = false;              // the peer opened it
-    bool greeted = false;               // the peer's Hello arrived
+    std::shared_ptr<TcpStream> stream;     // null on a connection within the process
+    base::ConnectionId inProcessPeer = 0;  // of a connection within the process
+    bool accepted = false;                 // the peer opened it
+    bool helloReceived = false;            // the peer's Hello arrived
     wire::Hello peer;
-    wire::FramePtr greeting;  // what this side said of itself when the connection began
+    wire::FramePtr helloFrame;  // what this side said of itself when the connection began
     wire::FrameReader reader;
     std::unique_ptr<wire::Deflater> deflater;  // of what is sent, once compression began
     std::unique_ptr<wire::Inflater> inflater;  // of what is received, once the peer began
-    base::TimerId greetingTimer = 0;
-    base::TimePoint heardAt{};
-    std::optional<base::TimePoint> awaitedSince;  // when the first keep-alive since heardAt was sent
-    bool keptAlive = false;                       // the peer sends keep-alives on it
+    base::TimerId helloTimer = 0;
+    base::TimePoint lastReceivedAt{};
+    std::optional<base::TimePoint> unansweredSince;  // when the first keep-alive since lastReceivedAt was sent
+    bool peerSendsKeepAlives = false;                // the peer sends keep-alives on it
   };
 
   Connection* find(base::ConnectionId id);
   Connection* add();
-  base::ConnectionId connectWithin();
+  base::ConnectionId connectInProcess();
   void onAccepted(std::shared_ptr<TcpStream> stream);
   void onEstablished(Connection* connection);
   void onReceived(base::ConnectionId id, std::string_view bytes);
   absl::Status read(Connection* connection, std::string_view bytes);
   void onFrame(base::ConnectionId id, wire::Message message);
   void onHello(Connection* connection, const wire::Hello& hello);
-  void onGone(base::ConnectionId id);
-  void closeLater(base::ConnectionId id);
-  void watchLater();
-  void watch();
-  bool isSilent(const Connection& connection, base::TimePoint heardUntil) const;
+  void closeAndNotify(base::ConnectionId id);
+  void scheduleClose(base::ConnectionId id);
+  void scheduleKeepAliveCheck();
+  void checkKeepAlives();
+  bool isKeepAliveOverdue(const Connection& connection, base::TimePoint readUntil) const;
   void enqueue(base::ConnectionId id, const wire::FramePtr& frame);
-  void deliverWithin(base::ConnectionId to, const wire::FramePtr& frame);
+  void deliverInProcess(base::ConnectionId to, const wire::FramePtr& frame);
 
   EventLoop& loop_;
   std::string name_;
@@ -134,15 +134,15 @@
   TcpListener listener_;
   base::Address listening_;  // port 0 while not listening
   wire::Hello hello_;
-  bool compresses_ = false;
+  bool compressionEnabled_ = false;
   base::Duration zoneDelay_{0};
-  base::Duration silenceLimit_{0};  // 0 without keep-alives
-  base::Timer watchTimer_;          // runs with keep-alives
+  base::Duration keepAliveTimeout_{0};  // 0 without keep-alives
+  base::Timer keepAliveTimer_;          // runs with keep-alives
   base::ConnectionId nextId_ = 1;
   std::map<base::ConnectionId, std::unique_ptr<Connection>> connections_;
   size_t maxAccepted_ = SIZE_MAX;
   size_t accepted_ = 0;  // of connections_
-  base::DecisionLog boundLog_;
+  base::DecisionLog limitLog_;
   FrameCounters counters_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/transport/http_client.cc
+++ b/src/transport/http_client.cc
@@ -15,10 +15,10 @@
 /// may all have fallen silent at one moment, and each would cost another request its time. Shorter than TCP's own
 /// time-out of 800 ms, behind which this holds as well; a caller that gives up sooner tells nothing of connections. It
 /// costs a new connection for each idle one that nothing was heard on since.
-constexpr base::Duration kQuietAfter = base::milliseconds(700);
+constexpr base::Duration kUnresponsiveThreshold = base::milliseconds(700);
 
 /// @return the time in which a server says that it keeps an idle connection, or 0 when it says nothing.
-base::Duration statedIdleTime(const std::vector<wire::HttpHeader>& headers) {
+base::Duration advertisedIdleTimeout(const std::vector<wire::HttpHeader>& headers) {
   for (const auto& part : absl::StrSplit(std::string(findHeader(headers, "keep-alive")), ',')) {
     auto text = absl::StripAsciiWhitespace(part);
     int seconds = 0;
@@ -41,16 +41,16 @@
 
 HttpClientPool::~HttpClientPool() {
   *alive_ = false;
-  for (const auto& [id, active] : active_) loop_.cancel(active.timer);
+  for (const auto& [id, pending] : pending_) loop_.cancel(pending.timer);
 }
 
 HttpRequestId HttpClientPool::send(HttpRequest request, base::Duration timeout, Callback done) {
   const auto id = nextId_++;
   ++counters_.requests;
-  auto& active = active_[id];
-  active.request = std::move(request);
-  active.done = std::move(done);
-  active.timer = loop_.schedule(timeout, [this, alive = alive_, id] {
+  auto& pending = pending_[id];
+  pending.request = std::move(request);
+  pending.done = std::move(done);
+  pending.timer = loop_.schedule(timeout, [this, alive = alive_, id] {
     if (*alive) onTimeout(id);
   });
   start(id);
@@ -82,25 +82,25 @@
 void HttpClientPool::start(HttpRequestId id) {
   auto* connection = takeIdle();
   if (connection == nullptr && connections_.size() >= options_.maxConnections) {
-    waiting_.push_back(id);
+    queue_.push_back(id);
     return;
   }
   if (connection == nullptr) connection = open();
-  auto& active = active_[id];
-  active.connection = connection->id;
+  auto& pending = pending_[id];
+  pending.connection = connection->id;
   connection->request = id;
-  connection->sentBefore = connection->stream->sentBytes();
+  connection->sentBytesAtStart = connection->stream->sentBytes();
   connection->startedAt = loop_.now();
-  connection->heard = false;
-  write(connection, active.request);
+  connection->receivedSinceStart = false;
+  write(connection, pending.request);
 }
 
-void HttpClientPool::startWaiting() {
-  while (!waiting_.empty()) {
+void HttpClientPool::startQueued() {
+  while (!queue_.empty()) {
     if (idle_.empty() && connections_.size() >= options_.maxConnections) return;
-    const auto id = waiting_.front();
-    waiting_.pop_front();
-    if (active_.count(id) > 0) start(id);
+    const auto id = queue_.front();
+    queue_.pop_front();
+    if (pending_.count(id) > 0) start(id);
   }
 }
 
@@ -126,8 +126,8 @@
 
 void HttpClientPool::onBytes(Connection* connection, std::string_view bytes) {
   const auto id = connection->id;
-  connection->heard = true;
-  connection->heardAt = loop_.now();
+  connection->receivedSinceStart = true;
+  connection->lastReceivedAt = loop_.now();
   while (!bytes.empty()) {
     if (connection->request == 0) {
       // Nothing was asked for: whatever this is, it belongs to nobody.
@@ -142,18 +142,18 @@
   }
 }
 
-bool HttpClientPool::belongs(const Connection& connection, const HttpHead& head) const {
+bool HttpClientPool::matchesRequest(const Connection& connection, const HttpHead& head) const {
   if (options_.correlationHeader.empty()) return true;
-  const auto asked = active_.at(connection.request).request.header(options_.correlationHeader);
-  const auto got = findHeader(head.headers, options_.correlationHeader);
-  return asked.empty() || got.empty() || asked == got;
+  const auto expected = pending_.at(connection.request).request.header(options_.correlationHeader);
+  const auto received = findHeader(head.headers, options_.correlationHeader);
+  return expected.empty() || received.empty() || expected == received;
 }
 
 bool HttpClientPool::onResponse(Connection* connection, bool moreBytes) {
   auto head = connection->reader.takeHead();
   auto body = connection->reader.takeBody();
   if (head.status < kFirstFinalStatus) return true;
-  if (!belongs(*connection, head)) {
+  if (!matchesRequest(*connection, head)) {
     ++counters_.strayResponses;
     connection->reusable = false;
     return true;
@@ -163,20 +163,20 @@
   result.response.status = head.status;
   result.response.body = std::move(body);
   const auto request = connection->request;
-  keep(connection, head, moreBytes);
+  returnToPool(connection, head, moreBytes);
   result.response.headers = endToEndHeaders(std::move(head.headers));
   finish(request, std::move(result));
   return false;
 }
 
-void HttpClientPool::keep(Connection* connection, const HttpHead& head, bool moreBytes) {
+void HttpClientPool::returnToPool(Connection* connection, const HttpHead& head, bool moreBytes) {
   const bool sentWhole = connection->stream->queuedBytes() == 0;
   if (!head.keepAlive || moreBytes || !sentWhole || !connection->reusable) {
     connections_.erase(connection->id);
     return;
   }
-  const auto stated = statedIdleTime(head.headers);
-  const auto idle = stated.count() > 0 ? stated - options_.idleMargin : options_.maxIdle;
+  const auto advertised = advertisedIdleTimeout(head.headers);
+  const auto idle = advertised.count() > 0 ? advertised - options_.idleMargin : options_.maxIdle;
   connection->request = 0;
   connection->idleUntil = loop_.now() + idle;
   idle_.push_back(connection->id);
@@ -199,46 +199,47 @@
   const auto request = found->second->request;
   HttpResult result;
   result.timedOut = timedOut;
-  const bool sent = found->second->stream->sentBytes() > found->second->sentBefore;
+  const bool sent = found->second->stream->sentBytes() > found->second->sentBytesAtStart;
   result.outcome = sent ? HttpOutcome::kUnknown : HttpOutcome::kNotSent;
-  dropSilent(*found->second);
+  closeUnresponsiveIdle(*found->second);
   connections_.erase(found);
-  if (request == 0) return startWaiting();
+  if (request == 0) return startQueued();
   ++counters_.failures;
   finish(request, std::move(result));
 }
 
 void HttpClientPool::finish(HttpRequestId id, HttpResult result) {
-  auto node = active_.extract(id);
+  auto node = pending_.extract(id);
   if (!node.empty()) {
     loop_.cancel(node.mapped().timer);
     const auto alive = alive_;
     node.mapped().done(std::move(result));
     if (!*alive) return;
   }
-  startWaiting();
+  startQueued();
 }
 
 /// Drops the idle connections on which nothing was heard since a request was sent that ends without an answer.
-void HttpClientPool::dropSilent(const Connection& connection) {
-  const bool quiet = connection.request != 0 && !connection.heard && loop_.now() - connection.startedAt >= kQuietAfter;
-  if (!quiet) return;
+void HttpClientPool::closeUnresponsiveIdle(const Connection& connection) {
+  const bool unresponsive = connection.request != 0 && !connection.receivedSinceStart &&
+                            loop_.now() - connection.startedAt >= kUnresponsiveThreshold;
+  if (!unresponsive) return;
   std::erase_if(idle_, [&](ConnectionId id) {
     const auto found = connections_.find(id);
     if (found == connections_.end()) return true;
-    if (found->second->heardAt > connection.startedAt) return false;
+    if (found->second->lastReceivedAt > connection.startedAt) return false;
     connections_.erase(found);
     return true;
   });
 }
 
-void HttpClientPool::dropIdle() {
+void HttpClientPool::closeIdleConnections() {
   for (const auto id : std::exchange(idle_, {})) connections_.erase(id);
 }
 
 void HttpClientPool::onTimeout(HttpRequestId id) {
-  const auto found = active_.find(id);
-  if (found == active_.end()) return;
+  const auto found = pending_.find(id);
+  if (found == pending_.end()) return;
   if (found->second.connection != 0) return fail(found->second.connection, true);
   HttpResult result;
   result.outcome = HttpOutcome::kNotSent;
@@ -248,14 +249,14 @@
 }
 
 void HttpClientPool::cancel(HttpRequestId id) {
-  auto node = active_.extract(id);
+  auto node = pending_.extract(id);
   if (node.empty()) return;
   loop_.cancel(node.mapped().timer);
   if (const auto found = connections_.find(node.mapped().connection); found != connections_.end()) {
-    dropSilent(*found->second);
+    closeUnresponsiveIdle(*found->second);
     connections_.erase(found);
   }
-  startWaiting();
+  startQueued();
 }
 
 }  // namespace driftlug::transport
--- a/src/transport/http_client.h
+++ b/src/transport/http_client.h
@@ -70,20 +70,20 @@
   void cancel(HttpRequestId id);
 
   /// Closes the connections that no request is on.
-  void dropIdle();
+  void closeIdleConnections();
 
   /// Changes how many connections there may be.
   void setMaxConnections(size_t maxConnections) { options_.maxConnections = maxConnections; }
 
   size_t maxConnections() const { return options_.maxConnections; }
 
-  size_t inFlight() const { return active_.size(); }
+  size_t inFlight() const { return pending_.size(); }
 
   /// @return connections that are open or being opened.
   size_t connections() const { return connections_.size(); }
 
   /// @return requests that wait for a connection.
-  size_t waiting() const { return waiting_.size(); }
+  size_t waiting() const { return queue_.size(); }
   const HttpPoolCounters& counters() const { return counters_; }
 
  private:
@@ -102,16 +102,16 @@
     ConnectionId id;
     std::shared_ptr<TcpStream> stream;
     HttpReader reader;
-    HttpRequestId request = 0;  // 0 while idle
-    int64_t sentBefore = 0;     // bytes sent on the connection before the request in progress
+    HttpRequestId request = 0;     // 0 while idle
+    int64_t sentBytesAtStart = 0;  // bytes sent on the connection before the request in progress
     base::TimePoint idleUntil{};
-    base::TimePoint startedAt{};  // of the request in progress
-    base::TimePoint heardAt{};    // when anything came on the connection
-    bool heard = false;           // something came since startedAt
+    base::TimePoint startedAt{};       // of the request in progress
+    base::TimePoint lastReceivedAt{};  // when anything came on the connection
+    bool receivedSinceStart = false;   // something came since startedAt
     bool reusable = true;
   };
 
-  struct Active {
+  struct PendingRequest {
     HttpRequest request;
     Callback done;
     ConnectionId connection = 0;
@@ -119,7 +119,7 @@
   };
 
   void start(HttpRequestId id);
-  void startWaiting();
+  void startQueued();
   Connection* takeIdle();
   Connection* open();
   void write(Connection* connection, const HttpRequest& request);
@@ -129,9 +129,9 @@
   void onTimeout(HttpRequestId id);
   void finish(HttpRequestId id, HttpResult result);
   void fail(ConnectionId id, bool timedOut);
-  bool belongs(const Connection& connection, const HttpHead& head) const;
-  void keep(Connection* connection, const HttpHead& head, bool moreBytes);
-  void dropSilent(const Connection& connection);
+  bool matchesRequest(const Connection& connection, const HttpHead& head) const;
+  void returnToPool(Connection* connection, const HttpHead& head, bool moreBytes);
+  void closeUnresponsiveIdle(const Connection& connection);
 
   EventLoop& loop_;
   std::string name_;
@@ -141,8 +141,8 @@
   ConnectionId nextConnection_ = 1;
   std::map<ConnectionId, std::unique_ptr<Connection>> connections_;
   std::vector<ConnectionId> idle_;  // most recently used last
-  std::map<HttpRequestId, Active> active_;
-  std::deque<HttpRequestId> waiting_;  // in active_, without a connection
+  std::map<HttpRequestId, PendingRequest> pending_;
+  std::deque<HttpRequestId> queue_;  // in active_, without a connection
   HttpPoolCounters counters_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/transport/http_reader.cc
+++ b/src/transport/http_reader.cc
@@ -79,7 +79,7 @@
   return body;
 }
 
-bool HttpReader::countHead(size_t length) {
+bool HttpReader::addHeadBytes(size_t length) {
   headBytes_ += length;
   if (headBytes_ <= limits_.maxHeadBytes) return true;
   failure_ = HttpProgress::kHeadTooLarge;
@@ -90,7 +90,7 @@
   auto* reader = readerOf(parser);
   reader->begun_ = true;
   reader->headBytes_ = 0;
-  reader->inValue_ = false;
+  reader->readingValue_ = false;
   reader->head_ = HttpHead{};
   reader->body_.clear();
   return 0;
@@ -98,27 +98,27 @@
 
 int HttpReader::onTarget(http_parser* parser, const char* at, size_t length) {
   auto* reader = readerOf(parser);
-  if (!reader->countHead(length)) return 1;
+  if (!reader->addHeadBytes(length)) return 1;
   reader->head_.target.append(at, length);
   return 0;
 }
 
 int HttpReader::onHeaderField(http_parser* parser, const char* at, size_t length) {
   auto* reader = readerOf(parser);
-  if (!reader->countHead(length)) return 1;
+  if (!reader->addHeadBytes(length)) return 1;
   if (reader->headComplete_) return 0;  // a trailer
   auto& headers = reader->head_.headers;
-  if (headers.empty() || reader->inValue_) headers.emplace_back();
-  reader->inValue_ = false;
+  if (headers.empty() || reader->readingValue_) headers.emplace_back();
+  reader->readingValue_ = false;
   for (size_t i = 0; i < length; ++i) headers.back().name.push_back(absl::ascii_tolower(at[i]));
   return 0;
 }
 
 int HttpReader::onHeaderValue(http_parser* parser, const char* at, size_t length) {
   auto* reader = readerOf(parser);
-  if (!reader->countHead(length)) return 1;
+  if (!reader->addHeadBytes(length)) return 1;
   if (reader->headComplete_) return 0;
-  reader->inValue_ = true;
+  reader->readingValue_ = true;
   reader->head_.headers.back().value.append(at, length);
   return 0;
 }
--- a/src/transport/http_reader.h
+++ b/src/transport/http_reader.h
@@ -84,7 +84,7 @@
   static int onBody(http_parser* parser, const char* at, size_t length);
   static int onMessageComplete(http_parser* parser);
   static const http_parser_settings& settings();
-  bool countHead(size_t length);
+  bool addHeadBytes(size_t length);
   HttpProgress progressAfter(size_t consumed, size_t offered);
 
   http_parser parser_;
@@ -92,7 +92,7 @@
   HttpHead head_;
   std::string body_;
   size_t headBytes_ = 0;
-  bool inValue_ = false;  // the last piece of a header was of its value
+  bool readingValue_ = false;  // the last piece of a header was of its value
   bool begun_ = false;
   bool headComplete_ = false;
   bool complete_ = false;
--- a/src/transport/http_server.cc
+++ b/src/transport/http_server.cc
@@ -9,16 +9,16 @@
 constexpr base::Duration kSweepInterval = base::seconds(1);
 /// Interval at which a server that holds its listener looks for connections that became idle: a small part of the
 /// second or so that a caller waits to be connected.
-constexpr base::Duration kRoomInterval = base::milliseconds(100);
+constexpr base::Duration kEvictionInterval = base::milliseconds(100);
 /// Share of the connections that are closed at once to make room, so that a burst of callers costs few passes.
-constexpr size_t kRoomShare = 32;
+constexpr size_t kEvictionDivisor = 32;
 /// How long a caller may go without taking a byte of its answer. A link of 2 Mbit/s with 1 MB in front of it holds one
 /// back for 4 s; with the 0.8 s of frames, a caller that paused for 2 s got 128 kB of 16 MB.
-constexpr base::Duration kSlowReader = base::seconds(10);
-constexpr size_t kMaxUnreadBytes = 256U << 10;
+constexpr base::Duration kSlowReaderTimeout = base::seconds(10);
+constexpr size_t kMaxUnparsedBytes = 256U << 10;
 /// How soon a close is seen on a connection that is not read for the moment. What its caller asked for is to end within
 /// 500 ms of the close, at the other nodes as well.
-constexpr base::Duration kPausedInterval = base::milliseconds(100);
+constexpr base::Duration kPausedCheckInterval = base::milliseconds(100);
 constexpr int kBadRequest = 400;
 constexpr int kRequestTimeout = 408;
 constexpr int kBodyTooLarge = 413;
@@ -41,17 +41,18 @@
       onRequest_(std::move(onRequest)),
       onAbort_(std::move(onAbort)),
       listener_(
-          loop, [this](std::shared_ptr<TcpStream> stream) { onAccepted(std::move(stream)); }, [this] { closeIdle(); }),
+          loop, [this](std::shared_ptr<TcpStream> stream) { onAccepted(std::move(stream)); },
+          [this] { evictIdleConnections(); }),
       sweepTimer_(loop, [this] { sweep(); }),
-      pausedTimer_(loop, [this] { watchPaused(); }),
-      boundTimer_(loop, [this] { keepToBound(); }),
-      boundLog_(name_, loop, base::kOneLineASecond) {}
+      pausedTimer_(loop, [this] { checkPausedConnections(); }),
+      evictionTimer_(loop, [this] { enforceConnectionLimit(); }),
+      limitLog_(name_, loop, base::kOneLinePerSecond) {}
 
 HttpServer::~HttpServer() = default;
 
 absl::Status HttpServer::listen(const std::string& host, int port) {
   StreamOptions options;
-  options.unacknowledged = kSlowReader;
+  options.unacknowledgedTimeout = kSlowReaderTimeout;
   return listener_.listen(host, port, options);
 }
 
@@ -60,30 +61,30 @@
   for (const auto& [id, connection] : connections_) {
     connection->reader.setLimits({options_.maxHeadBytes, options_.maxBodyBytes});
   }
-  keepToBound();
+  enforceConnectionLimit();
 }
 
 void HttpServer::setDraining() {
   draining_ = true;
   for (const auto& [id, connection] : connections_) {
-    if (!connection->waiting.empty()) endBehindTaken(connection.get());
+    if (!connection->pendingExchanges.empty()) closeAfterLastRequest(connection.get());
   }
 }
 
 /// The connection ends with the answer to the last request that was taken, not with the next one: what was taken may
 /// run already, and a caller that sees the connection end before its answer can't send it again.
-void HttpServer::endBehindTaken(Connection* connection) {
+void HttpServer::closeAfterLastRequest(Connection* connection) {
   connection->closing = true;
-  exchanges_.at(connection->waiting.back()).keepAlive = false;
+  exchanges_.at(connection->pendingExchanges.back()).keepAlive = false;
 }
 
-void HttpServer::readNoMore() {
-  reading_ = false;
+void HttpServer::stopReadingRequests() {
+  acceptingRequests_ = false;
   setDraining();
   std::vector<ConnectionId> unused;
   for (const auto& [id, connection] : connections_) {
-    if (!connection->waiting.empty() || connection->lingering) continue;
-    if (connection->stream->undeliveredBytes() == 0) {
+    if (!connection->pendingExchanges.empty() || connection->lingering) continue;
+    if (connection->stream->unacknowledgedBytes() == 0) {
       unused.push_back(id);
       continue;
     }
@@ -97,47 +98,47 @@
 
 size_t HttpServer::unsentBytes() const {
   size_t bytes = 0;
-  for (const auto& [id, connection] : connections_) bytes += connection->stream->undeliveredBytes();
+  for (const auto& [id, connection] : connections_) bytes += connection->stream->unacknowledgedBytes();
   return bytes;
 }
 
 void HttpServer::onAccepted(std::shared_ptr<TcpStream> stream) {
-  if (!reading_) return stream->close();
+  if (!acceptingRequests_) return stream->close();
   const auto id = nextConnection_++;
   ++counters_.connections;
   auto connection =
       std::make_unique<Connection>(*this, id, HttpReaderLimits{options_.maxHeadBytes, options_.maxBodyBytes});
   connection->stream = std::move(stream);
   connection->stream->setHandler(connection.get());
-  connection->lastActive = loop_.now();
+  connection->lastActiveAt = loop_.now();
   connections_[id] = std::move(connection);
   if (!sweepTimer_.running()) sweepTimer_.start(kSweepInterval);
-  keepToBound();
+  enforceConnectionLimit();
 }
 
 void HttpServer::onBytes(Connection* connection, std::string_view bytes) {
   const auto id = connection->id;
-  connection->lastActive = loop_.now();
+  connection->lastActiveAt = loop_.now();
   if (connection->closing) return;  // behind a request that ends the connection nothing counts
   std::string kept;
-  if (!connection->unread.empty()) {
-    kept = std::move(connection->unread);
-    connection->unread.clear();
+  if (!connection->unparsed.empty()) {
+    kept = std::move(connection->unparsed);
+    connection->unparsed.clear();
     kept.append(bytes);
     bytes = kept;
   }
-  if (!takeRequests(connection, &bytes)) return;
+  if (!parseRequests(connection, &bytes)) return;
   if (connections_.count(id) == 0 || connection->closing || bytes.empty()) return;
-  connection->unread.assign(bytes);
-  if (connection->unread.size() > kMaxUnreadBytes && connection->reading) {
+  connection->unparsed.assign(bytes);
+  if (connection->unparsed.size() > kMaxUnparsedBytes && connection->reading) {
     connection->reading = false;
     connection->stream->setReading(false);
-    if (!pausedTimer_.running()) pausedTimer_.start(kPausedInterval);
+    if (!pausedTimer_.running()) pausedTimer_.start(kPausedCheckInterval);
   }
 }
 
 /// The end of a connection comes behind its bytes; where those are not read, it has to be asked for.
-void HttpServer::watchPaused() {
+void HttpServer::checkPausedConnections() {
   std::vector<ConnectionId> closed;
   bool paused = false;
   for (const auto& [id, connection] : connections_) {
@@ -146,18 +147,18 @@
     if (connection->stream->peerHasClosed()) closed.push_back(id);
   }
   for (const auto id : closed) drop(id);
-  if (paused) pausedTimer_.start(kPausedInterval);
+  if (paused) pausedTimer_.start(kPausedCheckInterval);
 }
 
-bool HttpServer::takeRequests(Connection* connection, std::string_view* bytes) {
+bool HttpServer::parseRequests(Connection* connection, std::string_view* bytes) {
   const auto id = connection->id;
   bool checked = false;  // whether the caller is still there
-  while (!bytes->empty() && connection->waiting.size() < options_.maxPipelined) {
-    if (!connection->reader.midMessage()) connection->messageBegan = loop_.now();
+  while (!bytes->empty() && connection->pendingExchanges.size() < options_.maxPipelined) {
+    if (!connection->reader.midMessage()) connection->messageStartedAt = loop_.now();
     const auto progress = connection->reader.feed(bytes);
     if (progress == HttpProgress::kIncomplete) break;
     if (progress != HttpProgress::kMessage) {
-      refuse(connection, progress);
+      rejectRequest(connection, progress);
       return false;
     }
     // Within this turn a request would reach a back end; the end of its connection is read in the next one. It costs
@@ -168,28 +169,28 @@
       return false;
     }
     checked = true;
-    takeRequest(connection);
+    dispatchRequest(connection);
     if (connections_.count(id) == 0 || connection->closing) return false;
   }
-  if (!connection->reader.headComplete() || connection->continued) return true;
+  if (!connection->reader.headComplete() || connection->continueSent) return true;
   const auto& head = connection->reader.head();
-  if (!head.http10 && findHeader(head.headers, "expect") == "100-continue" && connection->waiting.empty()) {
-    connection->continued = true;
+  if (!head.http10 && findHeader(head.headers, "expect") == "100-continue" && connection->pendingExchanges.empty()) {
+    connection->continueSent = true;
     connection->stream->write("HTTP/1.1 100 Continue\r\n\r\n");
   }
   return true;
 }
 
-void HttpServer::takeRequest(Connection* connection) {
+void HttpServer::dispatchRequest(Connection* connection) {
   auto head = connection->reader.takeHead();
   HttpRequest request;
   request.body = connection->reader.takeBody();
-  connection->continued = false;
+  connection->continueSent = false;
   size_t hosts = 0;
   for (const auto& header : head.headers) hosts += header.name == "host" ? 1 : 0;
   if (hosts > 1 || (hosts == 0 && !head.http10)) {
     ++counters_.malformed;
-    return refuse(connection, kBadRequest, "bad_request", "one host is needed");
+    return rejectRequest(connection, kBadRequest, "bad_request", "one host is needed");
   }
   request.method = std::move(head.method);
   const auto question = head.target.find('?');
@@ -203,35 +204,35 @@
   exchange.connection = connection->id;
   exchange.keepAlive = head.keepAlive;
   exchange.headRequest = request.method == "HEAD";
-  connection->waiting.push_back(id);
+  connection->pendingExchanges.push_back(id);
   if (!head.keepAlive) connection->closing = true;
-  if (draining_) endBehindTaken(connection);
+  if (draining_) closeAfterLastRequest(connection);
   ++counters_.requests;
-  loop_.describe("an HTTP request");
+  loop_.setEventDescription("an HTTP request");
   onRequest_(id, std::move(request));
 }
 
-void HttpServer::refuse(Connection* connection, HttpProgress problem) {
+void HttpServer::rejectRequest(Connection* connection, HttpProgress problem) {
   if (problem == HttpProgress::kBodyTooLarge) {
     ++counters_.tooLarge;
-    return refuse(connection, kBodyTooLarge, "body_too_large", "the body is over the limit");
+    return rejectRequest(connection, kBodyTooLarge, "body_too_large", "the body is over the limit");
   }
   if (problem == HttpProgress::kHeadTooLarge) {
     ++counters_.tooLarge;
-    return refuse(connection, kHeadTooLarge, "head_too_large", "the head is over the limit");
+    return rejectRequest(connection, kHeadTooLarge, "head_too_large", "the head is over the limit");
   }
   ++counters_.malformed;
-  refuse(connection, kBadRequest, "bad_request", "this is no HTTP request");
+  rejectRequest(connection, kBadRequest, "bad_request", "this is no HTTP request");
 }
 
-void HttpServer::refuse(Connection* connection, int status, const char* error, const char* sentence) {
+void HttpServer::rejectRequest(Connection* connection, int status, const char* error, const char* message) {
   const auto id = nextExchange_++;
   auto& exchange = exchanges_[id];
   exchange.connection = connection->id;
   exchange.keepAlive = false;
-  connection->waiting.push_back(id);
+  connection->pendingExchanges.push_back(id);
   connection->closing = true;
-  respond(id, jsonResponse(status, std::string(R"({"error":")") + error + R"(","message":")" + sentence + "\"}\n"));
+  respond(id, jsonResponse(status, std::string(R"({"error":")") + error + R"(","message":")" + message + "\"}\n"));
 }
 
 void HttpServer::respond(ExchangeId id, HttpResponse response) {
@@ -239,23 +240,23 @@
   if (found == exchanges_.end() || found->second.responded) return;
   found->second.responded = true;
   found->second.response = std::move(response);
-  sendReady(connections_.at(found->second.connection).get());
+  sendReadyResponses(connections_.at(found->second.connection).get());
 }
 
-void HttpServer::sendReady(Connection* connection) {
+void HttpServer::sendReadyResponses(Connection* connection) {
   bool sent = false;
-  while (!connection->waiting.empty() && !connection->lingering) {
-    const auto found = exchanges_.find(connection->waiting.front());
+  while (!connection->pendingExchanges.empty() && !connection->lingering) {
+    const auto found = exchanges_.find(connection->pendingExchanges.front());
     if (!found->second.responded) break;
     writeResponse(connection, found->second);
     exchanges_.erase(found);
-    connection->waiting.pop_front();
+    connection->pendingExchanges.pop_front();
     sent = true;
   }
   if (!sent) return;
-  connection->lastActive = loop_.now();
+  connection->lastActiveAt = loop_.now();
   // What waited behind a full pipeline goes on in a turn of its own.
-  if (connection->closing || (connection->unread.empty() && connection->reading)) return;
+  if (connection->closing || (connection->unparsed.empty() && connection->reading)) return;
   loop_.schedule(base::Duration(0), [this, id = connection->id] {
     const auto found = connections_.find(id);
     if (found == connections_.end()) return;
@@ -295,16 +296,16 @@
 void HttpServer::drop(ConnectionId id) {
   auto node = connections_.extract(id);
   if (node.empty()) return;
-  for (const auto exchange : node.mapped()->waiting) {
+  for (const auto exchange : node.mapped()->pendingExchanges) {
     const auto found = exchanges_.find(exchange);
     if (found == exchanges_.end()) continue;
-    const bool waiting = !found->second.responded;
+    const bool unanswered = !found->second.responded;
     exchanges_.erase(found);
-    if (!waiting) continue;
+    if (!unanswered) continue;
     ++counters_.aborted;
     if (onAbort_) onAbort_(exchange);
   }
-  if (connections_.size() < options_.maxConnections) listener_.setHeld(false);
+  if (connections_.size() < options_.maxConnections) listener_.setPaused(false);
 }
 
 void HttpServer::sweep() {
@@ -323,56 +324,57 @@
 void HttpServer::sweepConnection(Connection* connection, base::TimePoint now) {
   if (connection->closing) return;
   const bool inHead = connection->reader.midMessage() && !connection->reader.headComplete();
-  const bool lateHead = inHead && now - connection->messageBegan > options_.headTimeout;
+  const bool lateHead = inHead && now - connection->messageStartedAt > options_.headTimeout;
   const bool lateBody =
-      connection->reader.midMessage() && !inHead && now - connection->lastActive > options_.idleTimeout;
+      connection->reader.midMessage() && !inHead && now - connection->lastActiveAt > options_.idleTimeout;
   if (lateHead || lateBody) {
     ++counters_.timedOut;
-    return refuse(connection, kRequestTimeout, "request_timeout", "the rest of the request did not come");
+    return rejectRequest(connection, kRequestTimeout, "request_timeout", "the rest of the request did not come");
   }
-  if (isIdle(*connection) && now - connection->lastActive > options_.idleTimeout) drop(connection->id);
+  if (isIdle(*connection) && now - connection->lastActiveAt > options_.idleTimeout) drop(connection->id);
 }
 
 bool HttpServer::isIdle(const Connection& connection) {
   // An answer that has not left yet would be cut off with its connection.
-  return !connection.closing && connection.waiting.empty() && !connection.reader.midMessage() &&
-         connection.unread.empty() && connection.stream->queuedBytes() == 0;
+  return !connection.closing && connection.pendingExchanges.empty() && !connection.reader.midMessage() &&
+         connection.unparsed.empty() && connection.stream->queuedBytes() == 0;
 }
 
-void HttpServer::keepToBound() {
-  boundTimer_.stop();
-  if (connections_.size() < options_.maxConnections) return listener_.setHeld(false);
-  closeIdle();
-  if (connections_.size() < options_.maxConnections) return listener_.setHeld(false);
-  if (listener_.accepting()) ++counters_.held;
-  listener_.setHeld(true);
-  boundTimer_.start(kRoomInterval);
-  boundLog_.write(base::LineWorth::kFailure, [this] {
+void HttpServer::enforceConnectionLimit() {
+  evictionTimer_.stop();
+  if (connections_.size() < options_.maxConnections) return listener_.setPaused(false);
+  evictIdleConnections();
+  if (connections_.size() < options_.maxConnections) return listener_.setPaused(false);
+  if (listener_.accepting()) ++counters_.acceptPauses;
+  listener_.setPaused(true);
+  evictionTimer_.start(kEvictionInterval);
+  limitLog_.write(base::LinePriority::kFailure, [this] {
     return fmt::format("server={} holds new callers: connections={} max_connections={} pending={}", name_,
                        connections_.size(), options_.maxConnections, exchanges_.size());
   });
 }
 
-void HttpServer::closeIdle() {
-  const auto unusedSince = loop_.now() - options_.leastIdle;
+void HttpServer::evictIdleConnections() {
+  const auto unusedSince = loop_.now() - options_.minIdleBeforeEviction;
   std::vector<Connection*> idle;
   for (const auto& [id, connection] : connections_) {
-    if (isIdle(*connection) && connection->lastActive <= unusedSince) idle.push_back(connection.get());
+    if (isIdle(*connection) && connection->lastActiveAt <= unusedSince) idle.push_back(connection.get());
   }
   std::sort(idle.begin(), idle.end(),
-            [](const auto* left, const auto* right) { return left->lastActive < right->lastActive; });
-  const auto most = std::max<size_t>(1, std::min(options_.maxConnections, connections_.size()) / kRoomShare);
+            [](const auto* left, const auto* right) { return left->lastActiveAt < right->lastActiveAt; });
+  const auto maxEvicted =
+      std::max<size_t>(1, std::min(options_.maxConnections, connections_.size()) / kEvictionDivisor);
   size_t closed = 0;
   for (auto* connection : idle) {
-    if (closed == most) break;
+    if (closed == maxEvicted) break;
     // A request that has arrived and was not read yet would be lost.
     if (connection->stream->hasUnread()) continue;
     ++closed;
     drop(connection->id);
   }
   if (closed == 0) return;
-  counters_.closedForRoom += static_cast<int64_t>(closed);
-  boundLog_.write(base::LineWorth::kFailure, [&] {
+  counters_.idleConnectionsEvicted += static_cast<int64_t>(closed);
+  limitLog_.write(base::LinePriority::kFailure, [&] {
     return fmt::format("server={} closes idle connections for new ones: closed={} connections={} max_connections={}",
                        name_, closed, connections_.size(), options_.maxConnections);
   });
--- a/src/transport/http_server.h
+++ b/src/transport/http_server.h
@@ -31,7 +31,7 @@
   size_t maxConnections = SIZE_MAX;                        ///< open at once; more wait in the system's queue
   /// How long a connection must have been unused to make room for a new one: long enough for a caller that has just
   /// connected, or was just answered, to send its next request.
-  base::Duration leastIdle = base::seconds(1);
+  base::Duration minIdleBeforeEviction = base::seconds(1);
 };
 
 /// Counters of a server.
@@ -42,8 +42,8 @@
   int64_t malformed = 0;
   int64_t timedOut = 0;
   int64_t connections = 0;
-  int64_t closedForRoom = 0;  ///< idle connections that were closed for new ones
-  int64_t held = 0;           ///< times that accepting stopped at the bound of connections
+  int64_t idleConnectionsEvicted = 0;  ///< idle connections that were closed for new ones
+  int64_t acceptPauses = 0;            ///< times that accepting stopped at the bound of connections
 };
 
 /// Accepts requests and sends responses. Requests of one connection may be answered in any order; the responses leave
@@ -83,7 +83,7 @@
 
   /// Reads no further request: connections that wait for no answer end now, the others with their last answer. What
   /// has not been read whole was not taken, and its caller may send it again elsewhere.
-  void readNoMore();
+  void stopReadingRequests();
 
   const HttpServerCounters& counters() const { return counters_; }
 
@@ -100,7 +100,7 @@
   bool accepting() const { return listener_.accepting(); }
 
   /// @return how often a connection could not be taken for want of descriptors.
-  int64_t starved() const { return listener_.starved(); }
+  int64_t descriptorShortages() const { return listener_.descriptorShortages(); }
 
  private:
   using ConnectionId = uint64_t;
@@ -119,15 +119,15 @@
     ConnectionId id;
     std::shared_ptr<TcpStream> stream;
     HttpReader reader;
-    std::string unread;              // bytes behind a request that can't be taken yet
-    std::deque<ExchangeId> waiting;  // requests to be answered, oldest first
+    std::string unparsed;                     // bytes behind a request that can't be taken yet
+    std::deque<ExchangeId> pendingExchanges;  // requests to be answered, oldest first
     int64_t requests = 0;
-    bool continued = false;  // the sender of the request in progress was told to go on
+    bool continueSent = false;  // the sender of the request in progress was told to go on
     bool reading = true;
     bool closing = false;    // no further request is taken
     bool lingering = false;  // the last answer has left; the peer is to close
-    base::TimePoint lastActive{};
-    base::TimePoint messageBegan{};
+    base::TimePoint lastActiveAt{};
+    base::TimePoint messageStartedAt{};
   };
 
   struct Exchange {
@@ -140,21 +140,21 @@
 
   void onAccepted(std::shared_ptr<TcpStream> stream);
   void onBytes(Connection* connection, std::string_view bytes);
-  bool takeRequests(Connection* connection, std::string_view* bytes);
-  void takeRequest(Connection* connection);
-  void refuse(Connection* connection, HttpProgress problem);
-  void refuse(Connection* connection, int status, const char* error, const char* sentence);
-  void endBehindTaken(Connection* connection);
-  void sendReady(Connection* connection);
+  bool parseRequests(Connection* connection, std::string_view* bytes);
+  void dispatchRequest(Connection* connection);
+  void rejectRequest(Connection* connection, HttpProgress problem);
+  void rejectRequest(Connection* connection, int status, const char* error, const char* message);
+  void closeAfterLastRequest(Connection* connection);
+  void sendReadyResponses(Connection* connection);
   void writeResponse(Connection* connection, const Exchange& exchange);
   void onDrained(Connection* connection);
   void drop(ConnectionId id);
-  void watchPaused();
+  void checkPausedConnections();
   void sweep();
   void sweepConnection(Connection* connection, base::TimePoint now);
   static bool isIdle(const Connection& connection);
-  void keepToBound();
-  void closeIdle();
+  void enforceConnectionLimit();
+  void evictIdleConnections();
 
   EventLoop& loop_;
   std::string name_;
@@ -166,12 +166,12 @@
   ExchangeId nextExchange_ = 1;
   std::map<ConnectionId, std::unique_ptr<Connection>> connections_;
   std::map<ExchangeId, Exchange> exchanges_;
-  base::Timer sweepTimer_;   // runs while there are connections
-  base::Timer pausedTimer_;  // runs while a connection is not read
-  base::Timer boundTimer_;   // runs while the listener is held
-  base::DecisionLog boundLog_;
+  base::Timer sweepTimer_;     // runs while there are connections
+  base::Timer pausedTimer_;    // runs while a connection is not read
+  base::Timer evictionTimer_;  // runs while the listener is held
+  base::DecisionLog limitLog_;
   bool draining_ = false;
-  bool reading_ = true;  // requests
+  bool acceptingRequests_ = true;  // requests
   HttpServerCounters counters_;
 };
 
--- a/src/transport/tcp_stream.cc
+++ b/src/transport/tcp_stream.cc
@@ -22,12 +22,12 @@
 
 constexpr int kBacklog = 1024;
 constexpr size_t kReadBytes = size_t{64} * 1024;
-constexpr size_t kCompactBytes = size_t{64} * 1024;
+constexpr size_t kCompactThresholdBytes = size_t{64} * 1024;
 /// Room that an idle stream keeps; there are many streams, and most are idle.
-constexpr size_t kKeptBytes = 2048;
+constexpr size_t kMaxRetainedBufferBytes = 2048;
 /// Pause of a listener that found no descriptor: a listener that is polled on wakes the loop without end, 195,808 times
 /// in 300 ms where it was measured. Short beside the second or so that a caller waits to be connected.
-constexpr base::Duration kAcceptRetry = base::milliseconds(50);
+constexpr base::Duration kAcceptRetryDelay = base::milliseconds(50);
 
 bool fillAddress(const std::string& host, int port, sockaddr_in* address) {
   std::memset(address, 0, sizeof(*address));
@@ -36,15 +36,15 @@
   return inet_pton(AF_INET, host.c_str(), &address->sin_addr) == 1;
 }
 
-void setUserTimeout(int socket, base::Duration unacknowledged) {
-  const auto timeout = static_cast<unsigned>(unacknowledged.count() / 1000);
+void setUserTimeout(int socket, base::Duration unacknowledgedTimeout) {
+  const auto timeout = static_cast<unsigned>(unacknowledgedTimeout.count() / 1000);
   ::setsockopt(socket, IPPROTO_TCP, TCP_USER_TIMEOUT, &timeout, sizeof(timeout));
 }
 
-void setOptions(int socket, base::Duration unacknowledged) {
+void setOptions(int socket, base::Duration unacknowledgedTimeout) {
   const int on = 1;
   ::setsockopt(socket, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
-  setUserTimeout(socket, unacknowledged);
+  setUserTimeout(socket, unacknowledgedTimeout);
 }
 
 }  // namespace
@@ -57,7 +57,7 @@
   bool good = socket >= 0 && fillAddress(address.host, address.port, &target);
   if (good) {
     // The opening counts as unacknowledged too: with 0.8 s it was over after 1.03 s, whatever the time to connect.
-    setOptions(socket, std::max(options.unacknowledged, options.connectTimeout));
+    setOptions(socket, std::max(options.unacknowledgedTimeout, options.connectTimeout));
     const int result = ::connect(socket, reinterpret_cast<const sockaddr*>(&target), sizeof(target));
     good = result == 0 || errno == EINPROGRESS;
     stream->refused_ = !good && errno == ECONNREFUSED;
@@ -80,7 +80,7 @@
 
 std::shared_ptr<TcpStream> TcpStream::accept(EventLoop& loop, int socket, const StreamOptions& options) {
   std::shared_ptr<TcpStream> stream(new TcpStream(loop, nullptr, options));
-  setOptions(socket, options.unacknowledged);
+  setOptions(socket, options.unacknowledgedTimeout);
   stream->connected_ = true;
   return loop.adopt(socket, stream) ? stream : nullptr;
 }
@@ -108,7 +108,7 @@
   out_.append(bytes);
   if (flushScheduled_ || !connected_) return;
   flushScheduled_ = true;
-  loop_.flushLater(weak_from_this());
+  loop_.scheduleFlush(weak_from_this());
 }
 
 void TcpStream::flush() {
@@ -134,10 +134,10 @@
   if (queuedBytes() == 0) {
     out_.clear();
     offset_ = 0;
-    if (out_.capacity() > kKeptBytes) out_.shrink_to_fit();
-    if (shutdownAsked_) ::shutdown(socket_, SHUT_WR);
+    if (out_.capacity() > kMaxRetainedBufferBytes) out_.shrink_to_fit();
+    if (shutdownRequested_) ::shutdown(socket_, SHUT_WR);
     if (hadBytes && handler_ != nullptr) handler_->onDrained();
-  } else if (offset_ > kCompactBytes) {
+  } else if (offset_ > kCompactThresholdBytes) {
     out_.erase(0, offset_);
     offset_ = 0;
   }
@@ -147,7 +147,7 @@
   if (wsi_ != nullptr && !closing_) lws_rx_flow_control(wsi_, reading ? 1 : 0);
 }
 
-size_t TcpStream::undeliveredBytes() const {
+size_t TcpStream::unacknowledgedBytes() const {
   int held = 0;
   if (wsi_ != nullptr && ::ioctl(socket_, SIOCOUTQ, &held) != 0) held = 0;  // where the system can't say
   return queuedBytes() + static_cast<size_t>(std::max(0, held));
@@ -169,8 +169,8 @@
 }
 
 void TcpStream::shutdownWrite() {
-  if (shutdownAsked_) return;
-  shutdownAsked_ = true;
+  if (shutdownRequested_) return;
+  shutdownRequested_ = true;
   if (queuedBytes() == 0 && wsi_ != nullptr && !closing_) ::shutdown(socket_, SHUT_WR);
 }
 
@@ -211,7 +211,7 @@
     refused_ = error == ECONNREFUSED;
     if (error != 0) return false;
     connected_ = true;
-    setUserTimeout(socket_, options_.unacknowledged);
+    setUserTimeout(socket_, options_.unacknowledgedTimeout);
     loop_.cancel(connectTimer_);
     connectTimer_ = 0;
     if (handler_ != nullptr) handler_->onConnected();
@@ -220,7 +220,7 @@
   // Not from within this callback: the library stops waiting for room behind it, whatever was asked meanwhile.
   if (!flushScheduled_) {
     flushScheduled_ = true;
-    loop_.flushLater(weak_from_this());
+    loop_.scheduleFlush(weak_from_this());
   }
   return !closing_;
 }
@@ -238,12 +238,12 @@
   });
 }
 
-TcpListener::TcpListener(EventLoop& loop, AcceptHandler onAccept, StarvedHandler onStarved)
+TcpListener::TcpListener(EventLoop& loop, AcceptHandler onAccept, DescriptorShortageHandler onDescriptorShortage)
     : loop_(loop),
       onAccept_(std::move(onAccept)),
-      onStarved_(std::move(onStarved)),
-      retryTimer_(loop, [this] { watchOrNot(); }),
-      log_("listener", loop, base::kOneLineASecond) {}
+      onDescriptorShortage_(std::move(onDescriptorShortage)),
+      retryTimer_(loop, [this] { updateWatch(); }),
+      log_("listener", loop, base::kOneLinePerSecond) {}
 
 absl::Status TcpListener::listen(const std::string& host, int port, const StreamOptions& options) {
   options_ = options;
@@ -272,13 +272,13 @@
   return absl::OkStatus();
 }
 
-void TcpListener::setHeld(bool held) {
-  if (held_ == held) return;
-  held_ = held;
-  watchOrNot();
+void TcpListener::setPaused(bool held) {
+  if (paused_ == held) return;
+  paused_ = held;
+  updateWatch();
 }
 
-void TcpListener::watchOrNot() { loop_.setWatching(socket_, accepting()); }
+void TcpListener::updateWatch() { loop_.setWatching(socket_, accepting()); }
 
 void TcpListener::acceptAll() {
   constexpr int kMaxPerTurn = 64;
@@ -286,22 +286,22 @@
     const int accepted = ::accept4(socket_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (accepted >= 0) {
       auto stream = TcpStream::accept(loop_, accepted, options_);
-      if (!stream) return onNoDescriptor(EMFILE);  // the loop holds as many as the process may have
+      if (!stream) return handleAcceptFailure(EMFILE);  // the loop holds as many as the process may have
       onAccept_(std::move(stream));
       continue;
     }
     if (errno == EAGAIN || errno == EWOULDBLOCK) return;
-    if (errno != EINTR && errno != ECONNABORTED) return onNoDescriptor(errno);
+    if (errno != EINTR && errno != ECONNABORTED) return handleAcceptFailure(errno);
   }
 }
 
-void TcpListener::onNoDescriptor(int error) {
-  ++starved_;
-  log_.write(base::LineWorth::kFailure,
+void TcpListener::handleAcceptFailure(int error) {
+  ++descriptorShortages_;
+  log_.write(base::LinePriority::kFailure,
              [&] { return fmt::format("port={} can't accept, connections wait: {}", port_, std::strerror(error)); });
-  retryTimer_.start(kAcceptRetry);
-  watchOrNot();
-  if (onStarved_) onStarved_();
+  retryTimer_.start(kAcceptRetryDelay);
+  updateWatch();
+  if (onDescriptorShortage_) onDescriptorShortage_();
 }
 
 }  // namespace driftlug::transport
--- a/src/transport/tcp_stream.h
+++ b/src/transport/tcp_stream.h
@@ -37,7 +37,7 @@
 /// Times after which a silent peer counts as gone.
 struct StreamOptions {
   base::Duration connectTimeout = base::milliseconds(700);
-  base::Duration unacknowledged = base::milliseconds(800);  ///< sent bytes that nobody acknowledged
+  base::Duration unacknowledgedTimeout = base::milliseconds(800);  ///< sent bytes that nobody acknowledged
 };
 
 /// One TCP connection. Owned by its user and, as long as the socket is open, by the event loop.
@@ -68,7 +68,7 @@
   bool hasUnread() const;
 
   /// @return bytes queued here or in the system that the peer has not acknowledged.
-  size_t undeliveredBytes() const;
+  size_t unacknowledgedBytes() const;
 
   /// @return bytes that the system has taken so far.
   int64_t sentBytes() const { return sentBytes_; }
@@ -112,7 +112,7 @@
   bool refused_ = false;
   bool closing_ = false;  // the socket is to be closed at the next event
   bool flushScheduled_ = false;
-  bool shutdownAsked_ = false;
+  bool shutdownRequested_ = false;
   std::string out_;  // bytes from offset_ on are still to be sent
   size_t offset_ = 0;
   int64_t sentBytes_ = 0;
@@ -126,10 +126,10 @@
  public:
   using AcceptHandler = std::function<void(std::shared_ptr<TcpStream>)>;
   /// A connection waits that can't be taken for want of descriptors.
-  using StarvedHandler = std::function<void()>;
+  using DescriptorShortageHandler = std::function<void()>;
 
-  /// @param onStarved may be empty
-  TcpListener(EventLoop& loop, AcceptHandler onAccept, StarvedHandler onStarved = nullptr);
+  /// @param onDescriptorShortage may be empty
+  TcpListener(EventLoop& loop, AcceptHandler onAccept, DescriptorShortageHandler onDescriptorShortage = nullptr);
 
   /// @return OK, or kConnectFailed when the address can't be used
   absl::Status listen(const std::string& host, int port, const StreamOptions& options);
@@ -138,29 +138,29 @@
   int port() const { return port_; }
 
   /// Stops or resumes accepting.
-  void setHeld(bool held);
+  void setPaused(bool held);
 
   /// @return whether connections are taken: the listener is not held, and the last one found a descriptor.
-  bool accepting() const { return !held_ && !retryTimer_.running(); }
+  bool accepting() const { return !paused_ && !retryTimer_.running(); }
 
   /// @return how often a connection could not be taken for want of descriptors; repeated tries count.
-  int64_t starved() const { return starved_; }
+  int64_t descriptorShortages() const { return descriptorShortages_; }
 
  private:
   void acceptAll();
-  void onNoDescriptor(int error);
-  void watchOrNot();
+  void handleAcceptFailure(int error);
+  void updateWatch();
 
   EventLoop& loop_;
   AcceptHandler onAccept_;
-  StarvedHandler onStarved_;
+  DescriptorShortageHandler onDescriptorShortage_;
   StreamOptions options_;
   int socket_ = -1;
   int port_ = 0;
-  bool held_ = false;
+  bool paused_ = false;
   base::Timer retryTimer_;  // runs while there is no descriptor
   base::DecisionLog log_;
-  int64_t starved_ = 0;
+  int64_t descriptorShortages_ = 0;
 };
 
 }  // namespace driftlug::transport
--- a/test/base/decision_log_test.cc
+++ b/test/base/decision_log_test.cc
@@ -9,24 +9,24 @@
 TEST_CASE("lines are bounded by kind, and a line that is not written is not made") {
   test::ManualTime time;
   DecisionLog log("test", time, {10, 2, 1});
-  int made = 0;
-  const auto write = [&](LineWorth worth) {
-    log.write(worth, [&] {
-      ++made;
+  int linesBuilt = 0;
+  const auto write = [&](LinePriority priority) {
+    log.write(priority, [&] {
+      ++linesBuilt;
       return std::string("line");
     });
   };
-  for (int i = 0; i < 100; ++i) write(LineWorth::kFailure);
-  CHECK(made == 10);
-  for (int i = 0; i < 100; ++i) write(LineWorth::kRoutine);
-  CHECK(made == 12);
+  for (int i = 0; i < 100; ++i) write(LinePriority::kFailure);
+  CHECK(linesBuilt == 10);
+  for (int i = 0; i < 100; ++i) write(LinePriority::kRoutine);
+  CHECK(linesBuilt == 12);
   CHECK(log.dropped() == 188);
   time.advance(milliseconds(500));
-  for (int i = 0; i < 100; ++i) write(LineWorth::kFailure);
-  CHECK(made == 17);
+  for (int i = 0; i < 100; ++i) write(LinePriority::kFailure);
+  CHECK(linesBuilt == 17);
   time.advance(seconds(60));
-  for (int i = 0; i < 100; ++i) write(LineWorth::kFailure);
-  CHECK(made == 27);
+  for (int i = 0; i < 100; ++i) write(LinePriority::kFailure);
+  CHECK(linesBuilt == 27);
 }
 
 }  // namespace driftlug::base
--- a/test/base/settings_test.cc
+++ b/test/base/settings_test.cc
@@ -15,14 +15,14 @@
   const auto write = [&](const std::string& text) { std::ofstream(path) << text; };
   FLAGS_config = path;
   write("seeds = \"10.0.0.1:1\"\n");
-  CHECK(rereadSetting("seeds") == "10.0.0.1:1");
+  CHECK(reloadSetting("seeds") == "10.0.0.1:1");
   write("seeds = [\"10.0.0.2:1\", \"10.0.0.3:1\"]\n");
-  CHECK(rereadSetting("seeds") == "10.0.0.2:1,10.0.0.3:1");
-  CHECK(!rereadSetting("other"));
+  CHECK(reloadSetting("seeds") == "10.0.0.2:1,10.0.0.3:1");
+  CHECK(!reloadSetting("other"));
   write("seeds = \n");
-  CHECK(!rereadSetting("seeds"));
+  CHECK(!reloadSetting("seeds"));
   std::remove(path.c_str());
-  CHECK(!rereadSetting("seeds"));
+  CHECK(!reloadSetting("seeds"));
   FLAGS_config = "";
 }
 
--- a/test/incidents/crash_fleet.cc
+++ b/test/incidents/crash_fleet.cc
@@ -73,11 +73,11 @@
 
 void crash_fleet::runUntil(base::Duration _sinceStart)
 {
-	base::showLogTime(&m_queue);
+	base::setLogClock(&m_queue);
 	while (m_queue.runNext(at(_sinceStart)))
 	{
 	}
-	base::showLogTime(nullptr);
+	base::setLogClock(nullptr);
 }
 
 void crash_fleet::callAllTheTime(double _perSecond, base::Duration _until)
--- a/test/lifecycle/planned_stop_test.cc
+++ b/test/lifecycle/planned_stop_test.cc
@@ -31,7 +31,7 @@
 		note("refuse waiting");
 	}
 
-	void readNoMore() override
+	void stopReadingRequests() override
 	{
 		note("read no more");
 		if (whenReadNoMore)
--- a/test/node/recording_network.h
+++ b/test/node/recording_network.h
@@ -33,7 +33,7 @@
     closed.insert(connection);
   }
   size_t queuedBytes(base::ConnectionId) const override { return 0; }
-  std::optional<base::TimePoint> partArrivedAt(base::ConnectionId) const override { return partArrived; }
+  std::optional<base::TimePoint> partialMessageReceivedAt(base::ConnectionId) const override { return partArrived; }
 
   /// @return the messages of one kind that were sent.
   template <typename T>
--- a/test/rollout/rollout_fleet.cc
+++ b/test/rollout/rollout_fleet.cc
@@ -46,7 +46,7 @@
 
 rollout_fleet::~rollout_fleet()
 {
-	base::showLogTime(nullptr);
+	base::setLogClock(nullptr);
 }
 
 void rollout_fleet::addTable()
@@ -79,11 +79,11 @@
 
 void rollout_fleet::runUntil(base::Duration _sinceStart)
 {
-	base::showLogTime(&m_queue);
+	base::setLogClock(&m_queue);
 	while (m_queue.runNext(base::TimePoint{} + _sinceStart))
 	{
 	}
-	base::showLogTime(nullptr);
+	base::setLogClock(nullptr);
 }
 
 size_t rollout_fleet::startVersion(const std::string& _version)
--- a/test/slow_fleet/slow_fleet.cc
+++ b/test/slow_fleet/slow_fleet.cc
@@ -82,12 +82,12 @@
 
 void slow_fleet::runFor(base::Duration _duration)
 {
-	base::showLogTime(&m_queue);
+	base::setLogClock(&m_queue);
 	const auto until = m_queue.now() + _duration;
 	while (m_queue.runNext(until))
 	{
 	}
-	base::showLogTime(nullptr);
+	base::setLogClock(nullptr);
 }
 
 void slow_fleet::killAll(base::Duration _pause)
--- a/test/storage/log_store_test.cc
+++ b/test/storage/log_store_test.cc
@@ -129,11 +129,11 @@
   const auto state = store.open();
   REQUIRE(state.ok());
   REQUIRE(state->entries.size() == 3);
-  bool settled = false;
-  store.settle([&](const absl::Status& status) { settled = status.ok(); });
-  CHECK_FALSE(settled);
+  bool recoveredSynced = false;
+  store.syncRecovered([&](const absl::Status& status) { recoveredSynced = status.ok(); });
+  CHECK_FALSE(recoveredSynced);
   disk.finishSyncs();
-  CHECK(settled);
+  CHECK(recoveredSynced);
   CHECK(std::count(disk.synced.begin(), disk.synced.end(), "log-0000000000000001") == 1);
   CHECK(std::count(disk.synced.begin(), disk.synced.end(), "log-0000000000000002") == 1);
 }
@@ -183,8 +183,8 @@
 namespace {
 
 /// A log on a disk that loses power; remembers what was acknowledged.
-struct PoweredLog {
-  explicit PoweredLog(uint64_t seed)
+struct PowerLossLog {
+  explicit PowerLossLog(uint64_t seed)
       : process(queue, "controller", {"zone-1", "region"}, {"10.0.0.1", 7000}),
         disk(process, base::RandomSource(seed), {}) {
     process.start();
@@ -200,11 +200,11 @@
     const int64_t base = state->snapshot ? state->snapshot->index : 0;
     CHECK(base + static_cast<int64_t>(entries.size()) >= acknowledged);
     last = base + static_cast<int64_t>(entries.size());
-    bool settled = false;
-    store->settle([&](const absl::Status& status) { settled = status.ok(); });
-    while (!settled && queue.runNext(queue.now() + base::seconds(1))) {
+    bool recoveredSynced = false;
+    store->syncRecovered([&](const absl::Status& status) { recoveredSynced = status.ok(); });
+    while (!recoveredSynced && queue.runNext(queue.now() + base::seconds(1))) {
     }
-    REQUIRE(settled);
+    REQUIRE(recoveredSynced);
     acknowledged = last;
   }
 
@@ -256,7 +256,7 @@
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     for (int steps = 0; steps < kSteps; ++steps) {
       INFO("seed " << seed << ", power lost after event " << steps);
-      PoweredLog log(seed);
+      PowerLossLog log(seed);
       for (int round = 0; round < 3; ++round) {
         for (int i = 0; i < 5; ++i) log.append();
         log.rotate();
@@ -285,8 +285,8 @@
 }
 
 /// Three entries, of which a snapshot replaces two; the second segment has taken over the third.
-struct TakenOverFixture {
-  TakenOverFixture() : store(disk) {
+struct CarryOverFixture {
+  CarryOverFixture() : store(disk) {
     REQUIRE(store.open().ok());
     const std::vector<wire::LogEntry> log = {entry(1, 1), entry(2, 1), entry(3, 1)};
     REQUIRE(store.append(log).ok());
@@ -308,7 +308,7 @@
   std::string before;  // the first segment
 };
 
-TEST_CASE_METHOD(TakenOverFixture, "a segment that was taken over from is not read again, though it came back") {
+TEST_CASE_METHOD(CarryOverFixture, "a segment that was taken over from is not read again, though it came back") {
   REQUIRE(disk.files.count("log-0000000000000001") == 0);
   // The removal was not durable, and its last write never was.
   disk.files["log-0000000000000001"] = before.substr(0, before.size() - 1);
@@ -317,7 +317,7 @@
   CHECK(state.entries[0].index == 3);
 }
 
-TEST_CASE_METHOD(TakenOverFixture,
+TEST_CASE_METHOD(CarryOverFixture,
                  "damage in what a segment took over is refused once something behind it proves that it was durable") {
   REQUIRE(store.append({entry(4, 1)}).ok());
   disk.files["log-0000000000000002"][40] ^= 1;
--- a/test/storage/record_file_test.cc
+++ b/test/storage/record_file_test.cc
@@ -24,9 +24,9 @@
   for (size_t cut = 0; cut < bytes.size(); ++cut) {
     const auto scan = storage::scanRecords(bytes.substr(0, cut), true);
     REQUIRE(scan.ok());
-    CHECK(scan->goodBytes <= cut);
+    CHECK(scan->validBytes <= cut);
     CHECK(scan->records.size() <= 2);
-    CHECK(scan->tornTail == (scan->goodBytes < cut));
+    CHECK(scan->tornTail == (scan->validBytes < cut));
   }
 }
 
@@ -48,6 +48,6 @@
   bytes += storage::encodeRecord(RecordType::kEntry, "third", good);
   const auto scan = storage::scanRecords(bytes, true);
   REQUIRE(scan.ok());
-  CHECK(scan->goodBytes == good);
+  CHECK(scan->validBytes == good);
   CHECK(scan->tornTail);
 }
--- a/test/transport/descriptors_test.cc
+++ b/test/transport/descriptors_test.cc
@@ -35,9 +35,9 @@
 }
 
 /// Lowers the limit of descriptors so that none is left; restores it at the end.
-class NoDescriptorsLeft {
+class DescriptorExhaustion {
  public:
-  NoDescriptorsLeft() {
+  DescriptorExhaustion() {
     REQUIRE(::getrlimit(RLIMIT_NOFILE, &before_) == 0);
     const auto numbers = openDescriptors();
     auto lowered = before_;
@@ -47,9 +47,9 @@
     }
     REQUIRE(::setrlimit(RLIMIT_NOFILE, &lowered) == 0);
   }
-  ~NoDescriptorsLeft() { ::setrlimit(RLIMIT_NOFILE, &before_); }
-  NoDescriptorsLeft(const NoDescriptorsLeft&) = delete;
-  NoDescriptorsLeft& operator=(const NoDescriptorsLeft&) = delete;
+  ~DescriptorExhaustion() { ::setrlimit(RLIMIT_NOFILE, &before_); }
+  DescriptorExhaustion(const DescriptorExhaustion&) = delete;
+  DescriptorExhaustion& operator=(const DescriptorExhaustion&) = delete;
 
  private:
   rlimit before_{};
@@ -105,7 +105,7 @@
 TEST_CASE_METHOD(Fixture, "without descriptors a listener waits, and accepts once there are some") {
   const int client = ::socket(AF_INET, SOCK_STREAM, 0);
   {
-    NoDescriptorsLeft none;
+    DescriptorExhaustion none;
     REQUIRE(connectTo(client, server.port()) == 0);
     REQUIRE(::send(client, kRequest.data(), kRequest.size(), MSG_NOSIGNAL) > 0);
     // A loop that spins makes tens of thousands of turns in this time.
@@ -159,7 +159,7 @@
   BoundedFixture() {
     HttpServerOptions options;
     options.maxConnections = kBound;
-    options.leastIdle = kIdle;
+    options.minIdleBeforeEviction = kIdle;
     server.setOptions(options);
   }
   ~BoundedFixture() {
@@ -197,13 +197,13 @@
     answerAll();
   }
   (void)runFor(2 * kIdle);
-  CHECK(server.counters().closedForRoom == 0);
+  CHECK(server.counters().idleConnectionsEvicted == 0);
   // The first of these reaches the bound, and so does the second behind it.
   call(2);
   CHECK(exchanges.size() == kBound + 1);
   CHECK(server.connections() < kBound);
   CHECK(server.accepting());
-  CHECK(server.counters().closedForRoom == 2);
+  CHECK(server.counters().idleConnectionsEvicted == 2);
   for (size_t i = 0; i < callers.size(); ++i) CHECK(closedInOrder(callers[i]) == (i < 2));
   CHECK(aborted == 0);
 }
@@ -224,7 +224,7 @@
     answerAll();
     (void)runFor(base::milliseconds(300));
     CHECK(exchanges.size() == kBound + 3);
-    CHECK(server.counters().closedForRoom >= 2);
+    CHECK(server.counters().idleConnectionsEvicted >= 2);
   }
   SECTION("or the bound is raised") {
     server.setOptions({});
@@ -244,7 +244,7 @@
     REQUIRE(::send(callers[i], kRequest.data(), kRequest.size(), MSG_NOSIGNAL) > 0);
   }
   server.setOptions(server.options());
-  CHECK(server.counters().closedForRoom == 1);
+  CHECK(server.counters().idleConnectionsEvicted == 1);
   (void)runFor(base::milliseconds(30));
   CHECK(exchanges.size() == answered + kBound - 1);
   CHECK(aborted == 0);
@@ -256,11 +256,11 @@
   (void)runFor(2 * kIdle);
   const int late = ::socket(AF_INET, SOCK_STREAM, 0);
   callers.push_back(late);
-  NoDescriptorsLeft none;
+  DescriptorExhaustion none;
   REQUIRE(connectTo(late, server.port()) == 0);
   REQUIRE(::send(late, kRequest.data(), kRequest.size(), MSG_NOSIGNAL) > 0);
   (void)runFor(base::milliseconds(10));
-  CHECK(server.counters().closedForRoom == 1);
+  CHECK(server.counters().idleConnectionsEvicted == 1);
   CHECK(!server.accepting());
   (void)runFor(base::milliseconds(100));
   CHECK(exchanges.size() == 5);
--- a/test/transport/event_loop_test.cc
+++ b/test/transport/event_loop_test.cc
@@ -16,7 +16,7 @@
 namespace {
 
 /// @return the clocks of all timers that this process has, as the system tells.
-std::string clocksOfTimers() {
+std::string timerClockIds() {
   std::string clocks;
   for (const auto& file : std::filesystem::directory_iterator("/proc/self/fdinfo")) {
     std::ifstream stream(file.path());
@@ -27,7 +27,7 @@
   return clocks;
 }
 
-constexpr base::Duration kStopped = base::milliseconds(1500);
+constexpr base::Duration kStopDuration = base::milliseconds(1500);
 
 /// A process of its own that runs a loop and says on a pipe what happens to it, in order: a letter for each event.
 class Child {
@@ -50,11 +50,11 @@
   }
 
   /// @return what was said up to a letter.
-  std::string saidUpTo(char last) {
-    std::string said;
+  std::string readEventsUntil(char last) {
+    std::string events;
     char letter = 0;
-    while (said.find(last) == std::string::npos && ::read(fromChild_[0], &letter, 1) == 1) said += letter;
-    return said;
+    while (events.find(last) == std::string::npos && ::read(fromChild_[0], &letter, 1) == 1) events += letter;
+    return events;
   }
 
   void write() { REQUIRE(::write(toChild_[1], "x", 1) == 1); }
@@ -70,10 +70,10 @@
  private:
   [[noreturn]] void run(const SetUp& setUp) {
     EventLoop loop;
-    const auto say = [this](char letter) { (void)!::write(fromChild_[1], &letter, 1); };
+    const auto report = [this](char letter) { (void)!::write(fromChild_[1], &letter, 1); };
     ::fcntl(toChild_[0], F_SETFL, O_NONBLOCK);
-    setUp(loop, toChild_[0], say);
-    say('.');
+    setUp(loop, toChild_[0], report);
+    report('.');
     loop.run();
     ::_exit(0);
   }
@@ -94,61 +94,61 @@
   timespec time{};
   ::clock_gettime(CLOCK_BOOTTIME, &time);
   CHECK(std::abs(now.time_since_epoch() / base::seconds(1) - time.tv_sec) <= 1);
-  CHECK(clocksOfTimers() == std::to_string(CLOCK_BOOTTIME) + ";");
+  CHECK(timerClockIds() == std::to_string(CLOCK_BOOTTIME) + ";");
   loop.close();
 }
 
 TEST_CASE("a process that was stopped does what is due, and hears of it, before it reads what has waited") {
-  Child child([](EventLoop& loop, int in, const auto& say) {
-    loop.onOverslept([say](base::Duration late) { say(late > kStopped / 2 ? 'o' : '?'); });
+  Child child([](EventLoop& loop, int in, const auto& report) {
+    loop.onStall([report](base::Duration late) { report(late > kStopDuration / 2 ? 'o' : '?'); });
     // Due while the process is stopped.
-    loop.schedule(base::milliseconds(600), [say] { say('t'); });
-    loop.watchFile(in, [&loop, in, say] {
+    loop.schedule(base::milliseconds(600), [report] { report('t'); });
+    loop.watchFile(in, [&loop, in, report] {
       char byte = 0;
       if (::read(in, &byte, 1) != 1) return;
-      say('r');
+      report('r');
       loop.stop();
     });
   });
-  CHECK(child.saidUpTo('.') == ".");
+  CHECK(child.readEventsUntil('.') == ".");
   ::usleep(100'000);  // it waits for an event now
-  child.stopFor(base::milliseconds(600) + kStopped);
-  CHECK(child.saidUpTo('r') == "tor");
+  child.stopFor(base::milliseconds(600) + kStopDuration);
+  CHECK(child.readEventsUntil('r') == "tor");
 }
 
 TEST_CASE("a process that was stopped in the middle of a turn hears of it before it reads more") {
-  Child child([](EventLoop& loop, int in, const auto& say) {
-    loop.onOverslept([say](base::Duration late) { say(late > kStopped ? 'o' : '?'); });
-    loop.watchFile(in, [&loop, in, say, reads = 0]() mutable {
+  Child child([](EventLoop& loop, int in, const auto& report) {
+    loop.onStall([report](base::Duration late) { report(late > kStopDuration ? 'o' : '?'); });
+    loop.watchFile(in, [&loop, in, report, reads = 0]() mutable {
       char byte = 0;
       if (::read(in, &byte, 1) != 1) return;
-      say('r');
+      report('r');
       if (++reads == 2) return loop.stop();
       ::usleep(300'000);  // is stopped in it
     });
   });
   child.write();
-  CHECK(child.saidUpTo('r') == ".r");
-  child.stopFor(kStopped + base::seconds(1));
-  CHECK(child.saidUpTo('r') == "or");
+  CHECK(child.readEventsUntil('r') == ".r");
+  child.stopFor(kStopDuration + base::seconds(1));
+  CHECK(child.readEventsUntil('r') == "or");
 }
 
 TEST_CASE("a turn that takes long, and a wait without timers, are no sleep") {
-  Child child([](EventLoop& loop, int in, const auto& say) {
-    loop.onOverslept([say](base::Duration /*late*/) { say('o'); });
-    loop.watchFile(in, [&loop, in, say, reads = 0]() mutable {
+  Child child([](EventLoop& loop, int in, const auto& report) {
+    loop.onStall([report](base::Duration /*late*/) { report('o'); });
+    loop.watchFile(in, [&loop, in, report, reads = 0]() mutable {
       char byte = 0;
       if (::read(in, &byte, 1) != 1) return;
-      say('r');
+      report('r');
       if (++reads == 2) return loop.stop();
       ::usleep(1'200'000);
     });
   });
   ::usleep(1'200'000);
   child.write();
-  CHECK(child.saidUpTo('r') == ".r");
+  CHECK(child.readEventsUntil('r') == ".r");
   child.write();
-  CHECK(child.saidUpTo('r') == "r");
+  CHECK(child.readEventsUntil('r') == "r");
 }
 
 TEST_CASE("an event that keeps the loop from all others is counted, waiting is not") {
--- a/test/transport/frame_transport_test.cc
+++ b/test/transport/frame_transport_test.cc
@@ -41,8 +41,8 @@
 
   void begin(const std::string& leftZone, const std::string& rightZone, bool compress) {
     if (compress) {
-      left.compressBetweenZones();
-      right.compressBetweenZones();
+      left.enableCrossZoneCompression();
+      right.enableCrossZoneCompression();
     }
     wire::Hello hello;
     hello.id = "left";
@@ -125,7 +125,7 @@
 
 TEST_CASE_METHOD(Fixture, "at the bound of accepted connections another one ends before its greeting") {
   begin("zone-a", "zone-a", false);
-  right.setMaxAccepted(2);
+  right.setMaxAcceptedConnections(2);
   const auto second = left.connect({"127.0.0.1", port});
   settle(loop);
   CHECK(leftRecorder.open.size() == 2);
@@ -158,8 +158,8 @@
 namespace {
 
 /// A peer that greets, reads everything and may say nothing more: as a connection that fell silent on the way.
-struct HandWrittenPeer : public StreamHandler {
-  HandWrittenPeer(EventLoop& loop, bool returnsKeepAlives)
+struct ScriptedPeer : public StreamHandler {
+  ScriptedPeer(EventLoop& loop, bool returnsKeepAlives)
       : listener(loop, [this, returnsKeepAlives](auto accepted) {
           stream = std::move(accepted);
           stream->setHandler(this);
@@ -171,11 +171,11 @@
     REQUIRE(listener.listen("127.0.0.1", 0, {}).ok());
   }
   void onBytes(std::string_view /*bytes*/) override {
-    if (speaks) stream->write(*wire::encodeFrame(wire::KeepAlive()));
+    if (repliesToKeepAlives) stream->write(*wire::encodeFrame(wire::KeepAlive()));
   }
   void onClosed(bool /*orderly*/) override { ended = true; }
 
-  bool speaks = false;
+  bool repliesToKeepAlives = false;
   bool ended = false;
   std::shared_ptr<TcpStream> stream;
   TcpListener listener;
@@ -196,20 +196,20 @@
   FrameTransport transport(loop, "own");
   Recorder recorder;
   transport.setHandler(&recorder);
-  HandWrittenPeer peer(loop, false);
+  ScriptedPeer peer(loop, false);
   const auto connection = transport.connect({"127.0.0.1", peer.listener.port()});
   runFor(loop, base::milliseconds(20));
   REQUIRE(recorder.open.size() == 1);
-  CHECK_FALSE(transport.partArrivedAt(connection).has_value());
+  CHECK_FALSE(transport.partialMessageReceivedAt(connection).has_value());
   const auto frame = Fixture::request(1);
   const auto begun = loop.now();
   peer.stream->write(frame->substr(0, frame->size() / 2));
   runFor(loop, base::milliseconds(20));
-  REQUIRE(transport.partArrivedAt(connection).has_value());
-  CHECK(*transport.partArrivedAt(connection) >= begun);
+  REQUIRE(transport.partialMessageReceivedAt(connection).has_value());
+  CHECK(*transport.partialMessageReceivedAt(connection) >= begun);
   peer.stream->write(frame->substr(frame->size() / 2));
   runFor(loop, base::milliseconds(20));
-  CHECK_FALSE(transport.partArrivedAt(connection).has_value());
+  CHECK_FALSE(transport.partialMessageReceivedAt(connection).has_value());
   CHECK(recorder.messages.size() == 1);
   loop.close();
 }
@@ -219,29 +219,29 @@
   FrameTransport transport(loop, "left");
   Recorder recorder;
   transport.setHandler(&recorder);
-  transport.useKeepAlives(kLimit);
+  transport.enableKeepAlives(kLimit);
   transport.setHello({});
   const bool returns = GENERATE(true, false);
-  HandWrittenPeer peer(loop, returns);
+  ScriptedPeer peer(loop, returns);
   const auto connection = transport.connect({"127.0.0.1", peer.listener.port()});
   settle(loop);
   REQUIRE(recorder.open.size() == 1);
-  peer.speaks = GENERATE(true, false);
+  peer.repliesToKeepAlives = GENERATE(true, false);
   for (int i = 0; i < 12; ++i) {
     transport.send(connection, wire::encodeFrame(wire::KeepAlive()));
     runFor(loop, base::milliseconds(50));
   }
   // From a peer that does not say that it returns them, nothing is expected.
-  const bool closed = returns && !peer.speaks;
+  const bool closed = returns && !peer.repliesToKeepAlives;
   CHECK(recorder.closed.size() == (closed ? 1 : 0));
-  CHECK(transport.counters().silentClosed == (closed ? 1 : 0));
+  CHECK(transport.counters().keepAliveTimeouts == (closed ? 1 : 0));
   loop.close();
 }
 
 TEST_CASE_METHOD(Fixture,
                  "keep-alives are returned on connections that others opened, and end the silent among those") {
-  left.useKeepAlives(kLimit);
-  right.useKeepAlives(kLimit);
+  left.enableKeepAlives(kLimit);
+  right.enableKeepAlives(kLimit);
   begin("zone-a", "zone-a", false);
   for (int i = 0; i < 12; ++i) {
     left.send(connection, wire::encodeFrame(wire::KeepAlive()));
@@ -252,7 +252,7 @@
   // Its opener has fallen silent: it opens another one, and this one is held for nothing.
   runFor(loop, kLimit * 6);
   CHECK(leftRecorder.closed.size() + rightRecorder.closed.size() >= 1);
-  CHECK(right.counters().silentClosed == 1);
+  CHECK(right.counters().keepAliveTimeouts == 1);
 }
 
 TEST_CASE_METHOD(Fixture, "a connection that is slow to come up gets the time that was given") {
--- a/test/transport/http_client_test.cc
+++ b/test/transport/http_client_test.cc
@@ -97,8 +97,8 @@
 namespace {
 
 /// A server that answers with bytes written by hand, and a pool that knows its requests by a header.
-struct HandWritten {
-  HandWritten()
+struct ScriptedServer {
+  ScriptedServer()
       : listener(loop, [this](std::shared_ptr<TcpStream> stream) {
           connections.push_back(std::make_unique<Peer>(*this, std::move(stream)));
         }) {
@@ -108,10 +108,10 @@
     options.correlationHeader = "x-id";
     pool.emplace(loop, "client", base::Address{"127.0.0.1", listener.port()}, options);
   }
-  ~HandWritten() { loop.close(); }
+  ~ScriptedServer() { loop.close(); }
 
   struct Peer : public StreamHandler {
-    Peer(HandWritten& fixture, std::shared_ptr<TcpStream> accepted) : owner(fixture), stream(std::move(accepted)) {
+    Peer(ScriptedServer& fixture, std::shared_ptr<TcpStream> accepted) : owner(fixture), stream(std::move(accepted)) {
       stream->setHandler(this);
     }
     void onBytes(std::string_view bytes) override {
@@ -120,7 +120,7 @@
       owner.onRequest(*stream);
     }
     void onClosed(bool /*orderly*/) override {}
-    HandWritten& owner;
+    ScriptedServer& owner;
     std::shared_ptr<TcpStream> stream;
   };
 
@@ -148,7 +148,7 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(HandWritten, "an answer to an earlier request is dropped, and the own one is waited for") {
+TEST_CASE_METHOD(ScriptedServer, "an answer to an earlier request is dropped, and the own one is waited for") {
   onRequest = [](TcpStream& stream) { stream.write(std::string(kOther) + kOwn); };
   const auto result = send("1");
   CHECK(result.outcome == HttpOutcome::kCompleted);
@@ -158,14 +158,14 @@
   CHECK(connections.size() == 2);
 }
 
-TEST_CASE_METHOD(HandWritten, "a connection with bytes behind its answer is not used again") {
+TEST_CASE_METHOD(ScriptedServer, "a connection with bytes behind its answer is not used again") {
   onRequest = [](TcpStream& stream) { stream.write(std::string(kOwn) + kOther); };
   CHECK(send("1").response.body == "own");
   CHECK(send("1").response.body == "own");
   CHECK(connections.size() == 2);
 }
 
-TEST_CASE_METHOD(HandWritten, "bytes on an idle connection end it and belong to nobody") {
+TEST_CASE_METHOD(ScriptedServer, "bytes on an idle connection end it and belong to nobody") {
   onRequest = [](TcpStream& stream) { stream.write(kOwn); };
   CHECK(send("1").response.body == "own");
   connections[0]->stream->write(kOther);
@@ -176,7 +176,7 @@
   CHECK(connections.size() == 2);
 }
 
-TEST_CASE_METHOD(HandWritten, "a connection is kept no longer than the server says") {
+TEST_CASE_METHOD(ScriptedServer, "a connection is kept no longer than the server says") {
   onRequest = [](TcpStream& stream) {
     stream.write("HTTP/1.1 200 OK\r\nkeep-alive: timeout=0\r\ncontent-length: 0\r\n\r\n");
   };
@@ -206,7 +206,7 @@
   }
 }
 
-TEST_CASE_METHOD(HandWritten, "an answer that breaks off is unknown, whatever of it has come") {
+TEST_CASE_METHOD(ScriptedServer, "an answer that breaks off is unknown, whatever of it has come") {
   onRequest = [this](TcpStream& stream) {
     stream.write("HTTP/1.1 200 OK\r\ncontent-length: 30\r\n\r\npart");
     loop.schedule(base::milliseconds(5), [&stream] { stream.close(); });
@@ -214,7 +214,7 @@
   CHECK(send("1").outcome == HttpOutcome::kUnknown);
 }
 
-TEST_CASE_METHOD(HandWritten, "bytes that are no answer are unknown, and the connection ends") {
+TEST_CASE_METHOD(ScriptedServer, "bytes that are no answer are unknown, and the connection ends") {
   onRequest = [](TcpStream& stream) { stream.write("garbage\r\n\r\n"); };
   CHECK(send("1").outcome == HttpOutcome::kUnknown);
   onRequest = [](TcpStream& stream) { stream.write(kOwn); };
@@ -225,17 +225,17 @@
 namespace {
 
 /// Connections that all fall silent at a moment, while new ones work.
-struct SilentLater : HandWritten {
-  SilentLater() {
+struct UnresponsiveServer : ScriptedServer {
+  UnresponsiveServer() {
     onRequest = [this](TcpStream& stream) {
-      if (connections.size() > silent) stream.write(kOwn);
+      if (connections.size() > unresponsiveConnections) stream.write(kOwn);
     };
     // Three requests at once leave three idle connections.
     int done = 0;
     for (int i = 0; i < 3; ++i) start(base::seconds(20), [&](const HttpResult&) { ++done; });
     while (done < 3) loop.runOnce();
     REQUIRE(connections.size() == 3);
-    silent = 3;
+    unresponsiveConnections = 3;
   }
 
   HttpRequestId start(base::Duration timeout, HttpClientPool::Callback done) {
@@ -251,12 +251,12 @@
     while (!over) loop.runOnce();
   }
 
-  size_t silent = 0;  // that many of the first connections give no answer
+  size_t unresponsiveConnections = 0;  // that many of the first connections give no answer
 };
 
 }  // namespace
 
-TEST_CASE_METHOD(SilentLater, "behind a request that got no answer, idle connections of its time are not used") {
+TEST_CASE_METHOD(UnresponsiveServer, "behind a request that got no answer, idle connections of its time are not used") {
   std::optional<HttpResult> first;
   const auto id = start(base::milliseconds(900), [&](const HttpResult& result) { first = result; });
   SECTION("its time is over") {
@@ -275,8 +275,8 @@
   CHECK(connections.size() == 4);
 }
 
-TEST_CASE_METHOD(SilentLater, "a request that is given up soon tells nothing of other connections") {
-  silent = 0;
+TEST_CASE_METHOD(UnresponsiveServer, "a request that is given up soon tells nothing of other connections") {
+  unresponsiveConnections = 0;
   onRequest = [this](TcpStream& stream) {
     if (requests > 4) stream.write(kOwn);
   };
--- a/test/transport/http_reader_test.cc
+++ b/test/transport/http_reader_test.cc
@@ -10,17 +10,17 @@
 constexpr size_t kMaxBody = 4096;
 
 /// What a reader made of a stream.
-struct Outcome {
+struct ReadResult {
   std::vector<std::string> messages;  ///< start line, headers and body of each whole message
   HttpProgress last = HttpProgress::kIncomplete;
 
-  bool operator==(const Outcome&) const = default;
+  bool operator==(const ReadResult&) const = default;
 };
 
 /// Feeds a stream in pieces of random sizes.
-Outcome readInPieces(HttpReader::Kind kind, const std::string& stream, base::RandomSource* random) {
+ReadResult readInPieces(HttpReader::Kind kind, const std::string& stream, base::RandomSource* random) {
   HttpReader reader(kind, {2048, kMaxBody});
-  Outcome outcome;
+  ReadResult outcome;
   size_t offset = 0;
   while (offset < stream.size()) {
     const size_t length = random == nullptr ? stream.size() : 1 + random->below(40);
--- a/test/transport/http_server_test.cc
+++ b/test/transport/http_server_test.cc
@@ -240,7 +240,7 @@
   settle(loop);
   CHECK(server.pending() == 0);
   CHECK(server.unsentBytes() > 0);
-  SECTION("and the connection stays until then when the server reads no more") { server.readNoMore(); }
+  SECTION("and the connection stays until then when the server reads no more") { server.stopReadingRequests(); }
   SECTION("and a kept connection is as good as one that ends") {}
   std::string text;
   for (int i = 0; i < 300 && server.unsentBytes() > 0; ++i) text += client.receive();
@@ -254,7 +254,7 @@
   RawClient half(loop, server.port());
   used.send("GET /1 HTTP/1.1\r\nHost: h\r\n\r\n");
   half.send("POST /2 HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nx");
-  server.readNoMore();
+  server.stopReadingRequests();
   CHECK(idle.ended());
   CHECK(half.ended());
   used.send("GET /3 HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -342,7 +342,7 @@
   answer(0, std::string(kLessThanWindows, 'x'));
   settle(loop);
   CHECK(server.unsentBytes() > 0);
-  server.readNoMore();
+  server.stopReadingRequests();
   client.send("GET /2 HTTP/1.1\r\nHost: h\r\n\r\n");
   std::string text;
   for (int i = 0; i < 300 && server.unsentBytes() > 0; ++i) text += client.receive();
