--- a/src/transport/event_loop.cc
+++ b/src/transport/event_loop.cc
@@ -21,18 +21,18 @@
 
 int signalWriteEnd = -1;
 
-/// Async-signal-safe: passes the signal's number to the loop.
+/// Writes the signal number to the pipe that the loop reads. Async-signal-safe.
 void onSignal(int number) {
   const auto byte = static_cast<unsigned char>(number);
   (void)!::write(signalWriteEnd, &byte, 1);
 }
 
-/// A stream stays alive as long as libwebsockets knows its socket.
+/// Keeps a stream alive while its socket is registered with libwebsockets.
 using StreamHolder = std::shared_ptr<TcpStream>;
 
 }  // namespace
 
-/// Two kinds of descriptors, each with a vhost and a protocol of its own.
+/// One vhost and protocol for watched files, another for stream sockets.
 struct EventLoop::Library {
   static int onFileEvent(lws* wsi, lws_callback_reasons reason, void* user, void* in, size_t length);
   static int onStreamEvent(lws* wsi, lws_callback_reasons reason, void* user, void* in, size_t length);
@@ -112,7 +112,7 @@
 void EventLoop::armTimer() {
   if (timers_.empty()) return;
   const auto first = timers_.begin()->first.at;
-  // A timer that is armed for an earlier moment wakes the loop once too often, which costs less than arming anew.
+  // A timer armed for an earlier time causes one spurious wakeup, which is cheaper than another timerfd_settime().
   if (armedFor_ != base::TimePoint{} && armedFor_ <= first) return;
   armedFor_ = first;
   const auto wait = std::max<int64_t>(1, std::chrono::nanoseconds(first - now()).count());
@@ -123,8 +123,8 @@
 }
 
 void EventLoop::runDueTimers() {
-  // What callbacks schedule for now runs too, but a chain without end, or long work in steps, must not keep sockets
-  // waiting.
+  // Timers that callbacks schedule without delay also run here. The limits keep an endless chain, or long work split
+  // into steps, from starving the sockets.
   constexpr int kMaxRounds = 16;
   constexpr base::Duration kMaxTime = base::milliseconds(10);
   const auto begun = now();
@@ -140,9 +140,10 @@
   }
 }
 
-/// Called at each event and timer: whoever is stopped in the middle of a turn is so under load above all.
+/// Called at each event and timer, not only once per iteration: a process that is stopped under load is usually stopped
+/// in the middle of an iteration.
 void EventLoop::updateClock() {
-  /// Longer than one event takes: 59 ms of processor time by a leader's log, 0.9 s where it has 0.065 of a core.
+  /// Above the longest regular event: 59 ms of CPU time according to a leader's log, which take 0.9 s with 0.065 cores.
   constexpr base::Duration kEventStallThreshold = base::seconds(2);
   const auto time = now();
   const auto late = time - std::exchange(expectedWakeup_, time);
@@ -155,7 +156,8 @@
   if (late >= (waited ? base::kStallThreshold : kEventStallThreshold)) pendingStall_ = std::max(pendingStall_, late);
 }
 
-/// Nothing is read or sent while an event is dealt with: a long one delays heartbeats and all that waits.
+/// Counts and logs long events. Nothing is read or sent during an event, so that a long one delays heartbeats and all
+/// other work.
 void EventLoop::recordEvent(base::Duration took) {
   constexpr base::Duration kLongEventThreshold = base::milliseconds(100);
   const auto description = std::exchange(eventDescription_, {});
@@ -165,7 +167,7 @@
   log_.warn("{} ms in one event: {}", base::millisecondsOf(took), description.empty() ? "a timer" : description);
 }
 
-/// What is due runs, and the process hears of it, before more is read.
+/// Runs expired timers and reports a pending stall before more input is read.
 void EventLoop::notifyStall() {
   if (pendingStall_ == base::Duration(0)) return;
   const auto late = std::exchange(pendingStall_, base::Duration(0));
@@ -260,7 +262,8 @@
 
 bool EventLoop::adopt(int socket, const std::shared_ptr<TcpStream>& stream) {
   if (context_ == nullptr) return false;
-  // As a file, the library only polls it: how a connection ended is then seen here, and a reset is no end of data.
+  // Registered as a file, the socket is only polled by libwebsockets. TcpStream reads it and can tell a reset from an
+  // orderly end of data.
   lws_sock_file_fd_type descriptor{};
   descriptor.filefd = socket;
   auto* wsi = lws_adopt_descriptor_vhost(library_->streamVhost, LWS_ADOPT_RAW_FILE_DESC, descriptor, "stream", nullptr);
--- a/src/transport/event_loop.h
+++ b/src/transport/event_loop.h
@@ -1,4 +1,4 @@
-/// The event loop of a process: one libwebsockets context, with precise timers.
+/// Single-threaded event loop on one libwebsockets context, with microsecond timers.
 #pragma once
 
 #include <functional>
@@ -20,22 +20,22 @@
 
 class TcpStream;
 
-/// What a daemon does when it is told something by a signal. Empty callbacks are not installed.
+/// Callbacks for the signals that a daemon handles. No handler is installed for an empty callback.
 struct SignalHandlers {
-  std::function<void()> terminate;  ///< SIGTERM or SIGINT: a planned stop
-  std::function<void()> reload;     ///< SIGHUP: the settings have changed
+  std::function<void()> terminate;  ///< on SIGTERM or SIGINT: planned stop
+  std::function<void()> reload;     ///< on SIGHUP: the settings have changed
 };
 
-/// Events and timers that kept the loop from all others for long.
+/// Statistics of events and timer callbacks that blocked the loop for 100 ms or longer.
 struct LongEventStats {
   int64_t count = 0;
   base::Duration longest{0};
 };
 
-/// Runs sockets and timers on the calling thread.
+/// Dispatches socket events and timers on the calling thread.
 ///
-/// Timers go through a timerfd, because the poll loop of libwebsockets waits in whole milliseconds. Bytes written to
-/// streams during a turn leave together at its end.
+/// Timers use a timerfd because the poll loop of libwebsockets has a resolution of one millisecond. Bytes written to
+/// streams during an iteration are sent together at its end.
 class EventLoop : public base::Scheduler {
  public:
   EventLoop();
@@ -52,49 +52,49 @@
   /// Runs until stop() is called.
   void run();
 
-  /// Waits for something to happen and deals with it.
+  /// Runs one iteration: waits for an event or a timer and handles what is ready.
   void runOnce();
 
-  /// Closes all sockets. Must come before the objects that own listeners and connections are destroyed; run()
-  /// ends with it.
+  /// Closes all sockets. Must be called before the owners of listeners and connections are destroyed; run() calls it
+  /// before it returns.
   void close();
 
-  /// Ends run() after the current turn.
+  /// Makes run() return after the current iteration.
   void stop() { stopped_ = true; }
 
-  /// Calls back when the loop woke more than a second later than it was to, or stood still for two within a turn: the
-  /// process was stopped, or its machine suspended. What was due meanwhile has run by then, and what waits in sockets
-  /// has not been read: it is as old.
+  /// Sets the callback for a stall: the loop woke at least base::kStallThreshold late, or one event took two seconds or
+  /// longer. The process was stopped or its machine suspended. Timers that expired meanwhile run before the callback;
+  /// input that arrived meanwhile is still unread and may be as old as the stall.
   void onStall(std::function<void(base::Duration)> handler) { onStall_ = std::move(handler); }
 
-  /// Says what the event or timer in progress is about, for the log line of one that takes long.
-  /// @param what text that lives as long as the loop
+  /// Describes the event or timer in progress, for the log line of one that takes long.
+  /// @param what must outlive the loop, such as a string literal
   void setEventDescription(std::string_view what) {
     updateClock();
     eventDescription_ = what;
   }
 
-  /// @return events and timers that took 100 ms or longer.
+  /// @return statistics of events and timers that took 100 ms or longer.
   const LongEventStats& longEvents() const { return longEvents_; }
 
-  /// Calls back on the loop when the process gets a signal; other signals keep their meaning, SIGPIPE is ignored.
+  /// Installs signal handlers that call back on the loop. Other signals keep their disposition; SIGPIPE is ignored.
   void onSignals(SignalHandlers handlers);
 
-  /// Calls back whenever a descriptor can be read; the descriptor stays open until the loop closes.
+  /// Calls back whenever a descriptor is readable. The descriptor must stay open until the loop is closed.
   void watchFile(int file, std::function<void()> onReadable);
 
-  /// Stops or resumes to look whether a watched descriptor can be read.
+  /// Enables or disables polling of a watched descriptor.
   void setWatching(int file, bool watching);
 
-  /// Hands a socket to the loop.
-  /// @param stream takes the events of the socket until it is closed
-  /// @return false when the loop has closed or has no room
+  /// Registers a socket with the loop.
+  /// @param stream receives the events of the socket until it is closed
+  /// @return false if the loop is closed or can't register more descriptors
   bool adopt(int socket, const std::shared_ptr<TcpStream>& stream);
 
-  /// @return sockets of streams that are open, those included that are about to be closed.
+  /// @return number of open stream sockets, including those that are about to be closed.
   size_t openSockets() const { return openSockets_; }
 
-  /// Writes what a stream has buffered at the end of this turn.
+  /// Sends the buffered bytes of a stream at the end of this iteration.
   void scheduleFlush(std::weak_ptr<TcpStream> stream) { pendingFlushes_.push_back(std::move(stream)); }
 
  private:
@@ -108,10 +108,10 @@
     EventLoop* loop = nullptr;
     int file = -1;
     std::function<void()> onReadable;
-    lws* wsi = nullptr;  // null when the loop had no room
+    lws* wsi = nullptr;  // null if libwebsockets did not accept the descriptor
   };
 
-  /// What of the library the loop uses; kept out of this header because its names clash with those of the parser.
+  /// Vhosts and protocols of libwebsockets; defined in the .cc file because its names clash with those of http_parser.
   struct Library;
 
   void armTimer();
@@ -132,19 +132,19 @@
   SignalHandlers signalHandlers_;
   bool stopped_ = false;
   base::TimerId nextId_ = 1;
-  std::map<TimerKey, std::function<void()>> timers_;             // by time, then by order of scheduling
-  std::unordered_map<base::TimerId, base::TimePoint> dueTimes_;  // of timers in due_
+  std::map<TimerKey, std::function<void()>> timers_;             // ordered by due time, then by scheduling order
+  std::unordered_map<base::TimerId, base::TimePoint> dueTimes_;  // due time of each entry of timers_
   base::TimePoint armedFor_{};
-  base::TimePoint expectedWakeup_ = now();  // when the clock was to be looked at again at the latest
-  bool waiting_ = false;                    // for an event or a timer
-  base::TimePoint lastWakeupAt_ = now();    // when the last wait ended
+  base::TimePoint expectedWakeup_ = now();  // latest time at which the next event should begin
+  bool waiting_ = false;                    // inside lws_service(), for an event or a timer
+  base::TimePoint lastWakeupAt_ = now();    // end of the last wait
   base::TimePoint inputReadUntil_ = now();
-  std::string_view eventDescription_;  // what the event in progress is about; empty for a timer
+  std::string_view eventDescription_;  // of the event in progress; empty for a timer
   LongEventStats longEvents_;
   base::Logger log_{"loop"};
-  base::Duration pendingStall_{0};                        // not told yet
+  base::Duration pendingStall_{0};                        // longest stall that is not reported yet
   std::function<void(base::Duration)> onStall_;           // may be empty
-  std::vector<std::weak_ptr<TcpStream>> pendingFlushes_;  // streams with bytes to write at the end of the turn
+  std::vector<std::weak_ptr<TcpStream>> pendingFlushes_;  // streams to flush at the end of the iteration
 };
 
 }  // namespace driftlug::transport
--- a/src/transport/frame_transport.cc
+++ b/src/transport/frame_transport.cc
@@ -9,13 +9,13 @@
 
 const size_t kKeepAliveKind = wire::Message(wire::KeepAlive()).index();
 
-/// A peer that does not read is closed when this much is queued for it.
+/// A connection is closed when this many bytes are queued for a peer that does not read.
 constexpr size_t kMaxQueuedBytes = 64U << 20;
 constexpr base::Duration kHelloTimeout = base::seconds(2);
-/// How often in the time that a silent peer is given connections are looked at.
+/// Number of checks of the connections during one keep-alive timeout.
 constexpr int kChecksPerKeepAliveTimeout = 8;
-/// A connection that a peer opened is held for so many times that limit without a keep-alive: the peer notices first
-/// and opens another, and this end is only to be freed.
+/// An accepted connection without keep-alives is closed after this many keep-alive timeouts. The peer detects the
+/// failure first and reconnects; this side only frees the connection.
 constexpr int kAbandonedTimeoutFactor = 5;
 
 }  // namespace
@@ -32,7 +32,7 @@
 void FrameTransport::setHello(const wire::Hello& hello) {
   hello_ = hello;
   hello_.compresses = compressionEnabled_;
-  if (keepAliveTimeout_.count() > 0) hello_.acknowledgesCalls = true;  // which says that keep-alives are returned
+  if (keepAliveTimeout_.count() > 0) hello_.acknowledgesCalls = true;  // also announces that keep-alives are answered
 }
 
 void FrameTransport::enableKeepAlives(base::Duration limit) {
@@ -117,8 +117,9 @@
 void FrameTransport::onAccepted(std::shared_ptr<TcpStream> stream) {
   if (accepted_ >= maxAccepted_) {
     ++counters_.refused;
-    limitLog_.write(base::LinePriority::kFailure,
-                    [this] { return fmt::format("{} refuses a connection, accepted={}", name_, accepted_); });
+    limitLog_.write(base::LinePriority::kFailure, [this] {
+      return fmt::format("{} rejects a connection at the limit, accepted={}", name_, accepted_);
+    });
     return stream->close();
   }
   ++accepted_;
@@ -145,7 +146,7 @@
   if (connection->inProcessPeer != 0) return deliverInProcess(connection->inProcessPeer, frame);
   if (connection->stream->queuedBytes() > kMaxQueuedBytes) {
     ++counters_.slowPeersClosed;
-    log_.warn("{} closes connection {}, the peer does not read", name_, id);
+    log_.warn("{} closes connection {}: send queue full, the peer does not read", name_, id);
     return scheduleClose(id);
   }
   const std::string packed = connection->deflater ? connection->deflater->add(*frame) : std::string();
@@ -218,7 +219,7 @@
   enqueue(connection->id, connection->helloFrame);
   connection->helloTimer = loop_.schedule(kHelloTimeout, [this, alive = alive_, id = connection->id] {
     if (!*alive || find(id) == nullptr || find(id)->helloReceived) return;
-    log_.warn("{} closes connection {}, no greeting came", name_, id);
+    log_.warn("{} closes connection {}: no Hello received", name_, id);
     closeAndNotify(id);
   });
 }
@@ -272,7 +273,7 @@
   }
   if (const auto* hello = std::get_if<wire::Hello>(&message)) return onHello(connection, *hello);
   ++counters_.badFrames;
-  log_.warn("{} closes connection {}: the first frame is no greeting", name_, id);
+  log_.warn("{} closes connection {}: the first frame is not a Hello", name_, id);
   closeAndNotify(id);
 }
 
--- a/src/transport/frame_transport.h
+++ b/src/transport/frame_transport.h
@@ -1,4 +1,4 @@
-/// Frames over TCP, driven by libwebsockets.
+/// Frame connections over TCP, driven by the event loop.
 #pragma once
 
 #include <array>
@@ -26,49 +26,50 @@
   int64_t framesReceived = 0;
   int64_t badFrames = 0;
   int64_t slowPeersClosed = 0;
-  int64_t refused = 0;                                    ///< connections of others closed at the bound, ungreeted
-  int64_t keepAliveTimeouts = 0;                          ///< connections on which keep-alives were not returned
+  int64_t refused = 0;                                    ///< incoming connections closed at the limit, without a Hello
+  int64_t keepAliveTimeouts = 0;                          ///< connections closed because keep-alives were not answered
   std::array<int64_t, wire::kPurposes> bytesByPurpose{};  ///< sent, by wire::Purpose
 
   int64_t sentFor(wire::Purpose purpose) const { return bytesByPurpose[static_cast<size_t>(purpose)]; }
 };
 
-/// base::Network over real sockets. Every connection begins with a Hello from each side.
+/// Implements base::Network over TCP sockets. Each side of a connection first sends a Hello.
 ///
-/// A connection to the own listening address never leaves the process: its frames are handed over in memory.
+/// A connection to the own listening address stays within the process: its frames are passed in memory.
 class FrameTransport : public base::Network {
  public:
   FrameTransport(EventLoop& loop, std::string name);
   ~FrameTransport() override;
 
-  /// Sets who receives events; must outlive the transport's use.
+  /// Sets the receiver of events, which must outlive its use by the transport.
   void setHandler(base::ConnectionHandler* handler) { handler_ = handler; }
 
-  /// Accepts connections.
+  /// Listens for connections.
   /// @return OK, or kConnectFailed when the address can't be used
   absl::Status listen(const std::string& host, int port);
 
   /// Delays frames to peers in other zones; for tests only.
   void setEmulatedZoneDelay(base::Duration delay) { zoneDelay_ = delay; }
 
-  /// Compresses what is sent to peers in other zones that can take it. Set before the first connection.
+  /// Compresses frames to peers in other zones that support it. Call before the first connection.
   void enableCrossZoneCompression() { compressionEnabled_ = true; }
 
-  /// Changes how many connections that others opened there may be. One more is closed before its greeting, so that its
-  /// peer knows that nothing it would send there was taken, and turns to others.
+  /// Limits the number of accepted connections. A connection over the limit is closed before the Hello, so that its
+  /// peer knows that none of its frames was processed and can use another endpoint.
   void setMaxAcceptedConnections(size_t limit) { maxAccepted_ = limit; }
 
-  /// Returns the keep-alives of others, and closes a connection on which one's own are not returned: one that lost its
-  /// way for good ends by itself only if nothing on the way acknowledges its bytes. Set before the first connection.
-  /// @param limit how long a keep-alive may go without anything being heard
+  /// Answers the keep-alives of peers, and closes a connection on which a sent keep-alive is not answered. TCP alone
+  /// does not detect a broken path if something on the way still acknowledges the bytes. Call before the first
+  /// connection.
+  /// @param limit time after an unanswered keep-alive without any received bytes
   void enableKeepAlives(base::Duration limit = base::seconds(2));
 
   const FrameCounters& counters() const { return counters_; }
 
-  /// @return connections that others opened.
+  /// @return number of open connections that peers opened.
   size_t accepted() const { return accepted_; }
 
-  /// @return connections that this side opened, or is opening, over sockets.
+  /// @return number of connections that this side opened or is opening, without those within the process.
   size_t opened() const;
 
   void setHello(const wire::Hello& hello) override;
@@ -79,11 +80,11 @@
   size_t queuedBytes(base::ConnectionId connection) const override;
   std::optional<base::TimePoint> partialMessageReceivedAt(base::ConnectionId connection) const override;
 
-  /// @return bytes queued on all connections that are up.
+  /// @return bytes queued on all connections whose Hello arrived.
   size_t unsentBytes() const;
 
  private:
-  /// One connection and its socket, or its other end in this process.
+  /// One connection over a socket, or one end of a connection within the process.
   struct Connection : public StreamHandler {
     Connection(FrameTransport& owner, base::ConnectionId connectionId) : transport(owner), id(connectionId) {}
     ~Connection() override {
@@ -95,19 +96,19 @@
 
     FrameTransport& transport;
     base::ConnectionId id;
-    std::shared_ptr<TcpStream> stream;     // null on a connection within the process
-    base::ConnectionId inProcessPeer = 0;  // of a connection within the process
-    bool accepted = false;                 // the peer opened it
-    bool helloReceived = false;            // the peer's Hello arrived
+    std::shared_ptr<TcpStream> stream;     // null for a connection within the process
+    base::ConnectionId inProcessPeer = 0;  // the other end of a connection within the process; else 0
+    bool accepted = false;                 // opened by the peer
+    bool helloReceived = false;            // the Hello of the peer arrived
     wire::Hello peer;
-    wire::FramePtr helloFrame;  // what this side said of itself when the connection began
+    wire::FramePtr helloFrame;  // the own Hello as it was encoded when the connection was opened
     wire::FrameReader reader;
-    std::unique_ptr<wire::Deflater> deflater;  // of what is sent, once compression began
-    std::unique_ptr<wire::Inflater> inflater;  // of what is received, once the peer began
+    std::unique_ptr<wire::Deflater> deflater;  // for sent frames; null until compression starts
+    std::unique_ptr<wire::Inflater> inflater;  // for received frames; null until the peer starts compression
     base::TimerId helloTimer = 0;
     base::TimePoint lastReceivedAt{};
-    std::optional<base::TimePoint> unansweredSince;  // when the first keep-alive since lastReceivedAt was sent
-    bool peerSendsKeepAlives = false;                // the peer sends keep-alives on it
+    std::optional<base::TimePoint> unansweredSince;  // send time of the first keep-alive since lastReceivedAt
+    bool peerSendsKeepAlives = false;                // set by the first keep-alive of the peer
   };
 
   Connection* find(base::ConnectionId id);
@@ -136,12 +137,12 @@
   wire::Hello hello_;
   bool compressionEnabled_ = false;
   base::Duration zoneDelay_{0};
-  base::Duration keepAliveTimeout_{0};  // 0 without keep-alives
-  base::Timer keepAliveTimer_;          // runs with keep-alives
+  base::Duration keepAliveTimeout_{0};  // 0 if keep-alives are disabled
+  base::Timer keepAliveTimer_;          // runs if keep-alives are enabled
   base::ConnectionId nextId_ = 1;
   std::map<base::ConnectionId, std::unique_ptr<Connection>> connections_;
   size_t maxAccepted_ = SIZE_MAX;
-  size_t accepted_ = 0;  // of connections_
+  size_t accepted_ = 0;  // number of accepted entries of connections_
   base::DecisionLog limitLog_;
   FrameCounters counters_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/transport/http.h
+++ b/src/transport/http.h
@@ -1,4 +1,4 @@
-/// HTTP messages as the project's parts see them.
+/// HTTP requests and responses, and helpers for headers.
 #pragma once
 
 #include <string>
@@ -9,39 +9,39 @@
 
 namespace driftlug::transport {
 
-/// A whole request.
+/// A complete HTTP request.
 struct HttpRequest {
   std::string method;
   std::string path;                       ///< without the query
   std::string query;                      ///< without '?'
-  std::vector<wire::HttpHeader> headers;  ///< names in lower case, hop-by-hop ones left out
+  std::vector<wire::HttpHeader> headers;  ///< lower-case names, without hop-by-hop headers
   std::string body;
-  bool firstOnConnection = false;  ///< set by a server for the first request of a connection
+  bool firstOnConnection = false;  ///< set by HttpServer for the first request of a connection
 
-  /// @return the value of a header, or empty.
+  /// @return the value of a header, or an empty string.
   std::string_view header(std::string_view name) const;
 
-  /// @return the value of a query parameter, or empty.
+  /// @return the value of a query parameter, not percent-decoded, or an empty string.
   std::string parameter(std::string_view name) const;
 };
 
-/// A whole response.
+/// A complete HTTP response.
 struct HttpResponse {
   int status = 200;
   std::vector<wire::HttpHeader> headers;
   std::string body;
 };
 
-/// @return a header.
+/// @return a header with the given name and value.
 wire::HttpHeader makeHeader(std::string name, std::string value);
 
 /// @return a response with a JSON body.
 HttpResponse jsonResponse(int status, std::string body);
 
-/// @return the value of a header in a list, or empty.
+/// @return the value of the first header with that name, or an empty string.
 std::string_view findHeader(const std::vector<wire::HttpHeader>& headers, std::string_view name);
 
-/// @return whether a header belongs to one connection only and is never forwarded.
+/// @return whether a header is hop-by-hop: it applies to one connection and is never forwarded.
 bool isHopByHop(std::string_view name);
 
 }  // namespace driftlug::transport
--- a/src/transport/http_client.cc
+++ b/src/transport/http_client.cc
@@ -11,13 +11,13 @@
 namespace {
 
 constexpr int kFirstFinalStatus = 200;
-/// A request that ends this long after it was sent, without a byte of an answer, makes other connections doubtful: they
-/// may all have fallen silent at one moment, and each would cost another request its time. Shorter than TCP's own
-/// time-out of 800 ms, behind which this holds as well; a caller that gives up sooner tells nothing of connections. It
-/// costs a new connection for each idle one that nothing was heard on since.
+/// A request that ends this long after it was sent without a response byte makes the idle connections suspect: all may
+/// have failed at the same moment, and each would cost another request its timeout. Below the TCP user timeout of
+/// 800 ms, so that a request that ends by that timeout counts too. A request that is cancelled sooner is no evidence of
+/// a failed connection. The cost is a new connection for each idle one without received bytes since then.
 constexpr base::Duration kUnresponsiveThreshold = base::milliseconds(700);
 
-/// @return the time in which a server says that it keeps an idle connection, or 0 when it says nothing.
+/// @return the idle timeout from the Keep-Alive header of a response, or 0 if it has none.
 base::Duration advertisedIdleTimeout(const std::vector<wire::HttpHeader>& headers) {
   for (const auto& part : absl::StrSplit(std::string(findHeader(headers, "keep-alive")), ',')) {
     auto text = absl::StripAsciiWhitespace(part);
@@ -130,7 +130,7 @@
   connection->lastReceivedAt = loop_.now();
   while (!bytes.empty()) {
     if (connection->request == 0) {
-      // Nothing was asked for: whatever this is, it belongs to nobody.
+      // Bytes on an idle connection belong to no request.
       ++counters_.strayResponses;
       connections_.erase(id);
       return;
@@ -219,7 +219,7 @@
   startQueued();
 }
 
-/// Drops the idle connections on which nothing was heard since a request was sent that ends without an answer.
+/// Closes the idle connections that received nothing since `connection` sent a request that ends unanswered.
 void HttpClientPool::closeUnresponsiveIdle(const Connection& connection) {
   const bool unresponsive = connection.request != 0 && !connection.receivedSinceStart &&
                             loop_.now() - connection.startedAt >= kUnresponsiveThreshold;
--- a/src/transport/http_client.h
+++ b/src/transport/http_client.h
@@ -15,11 +15,11 @@
 
 namespace driftlug::transport {
 
-/// How far a request got.
+/// Outcome of a request, as far as it is known to the client.
 enum class HttpOutcome {
-  kCompleted,  ///< a whole response arrived
+  kCompleted,  ///< a complete response arrived
   kNotSent,    ///< nothing of the request was sent
-  kUnknown,    ///< the request was sent at least in part, and no whole response came
+  kUnknown,    ///< at least a part of the request was sent, and no complete response arrived
 };
 
 /// Result of one request.
@@ -29,18 +29,18 @@
   HttpResponse response;
 };
 
-/// Identifies one request of a pool; never reused.
+/// Identifies a request of a pool; never reused.
 using HttpRequestId = uint64_t;
 
 /// Settings of a pool.
 struct HttpPoolOptions {
   size_t maxConnections = 1;
-  /// A header, in lower case, that the server returns as the request had it; a response with another value belongs to
-  /// an earlier request and is dropped. Empty when there is none.
+  /// Lower-case name of a header that the server echoes. A response with another value belongs to an earlier request
+  /// and is dropped. Empty to disable the check.
   std::string correlationHeader;
-  /// How long a connection may have been idle and be used again, where the server does not state a time.
+  /// Maximum idle time after which a connection is still reused, if the server sends no Keep-Alive timeout.
   base::Duration maxIdle = base::seconds(4);
-  /// Taken off the time that the server states, for a close that is already on its way.
+  /// Subtracted from the server's Keep-Alive timeout, because a close may already be in flight.
   base::Duration idleMargin = base::milliseconds(800);
 };
 
@@ -49,12 +49,12 @@
   int64_t requests = 0;
   int64_t failures = 0;
   int64_t connections = 0;     ///< opened
-  int64_t strayResponses = 0;  ///< dropped because they belonged to no waiting request
+  int64_t strayResponses = 0;  ///< dropped because no pending request matched
 };
 
-/// Sends requests over at most a given number of connections; more wait in order. One request is on a connection at a
-/// time. A connection is used again only behind a whole response to a request that was sent whole, with nothing else
-/// behind it, and not behind a request of its time on another connection that got no byte of an answer.
+/// Sends requests over a limited number of connections; further requests wait in a FIFO queue. A connection carries one
+/// request at a time. It is reused only after a complete response to a completely sent request with no further bytes
+/// received, and not if a request on another connection got no response byte while this connection was silent too.
 class HttpClientPool {
  public:
   using Callback = std::function<void(HttpResult)>;
@@ -63,26 +63,26 @@
   HttpClientPool(EventLoop& loop, std::string name, const base::Address& address, HttpPoolOptions options);
   ~HttpClientPool();
 
-  /// Sends a request; the callback comes later, never from within this call.
+  /// Sends a request. The callback runs later, never from within this call.
   HttpRequestId send(HttpRequest request, base::Duration timeout, Callback done);
 
-  /// Gives up a request and closes its connection; no callback follows.
+  /// Cancels a request and closes its connection; the callback does not run.
   void cancel(HttpRequestId id);
 
-  /// Closes the connections that no request is on.
+  /// Closes the connections without a request.
   void closeIdleConnections();
 
-  /// Changes how many connections there may be.
+  /// Changes the maximum number of connections.
   void setMaxConnections(size_t maxConnections) { options_.maxConnections = maxConnections; }
 
   size_t maxConnections() const { return options_.maxConnections; }
 
   size_t inFlight() const { return pending_.size(); }
 
-  /// @return connections that are open or being opened.
+  /// @return number of connections that are open or being opened.
   size_t connections() const { return connections_.size(); }
 
-  /// @return requests that wait for a connection.
+  /// @return number of requests that wait for a connection.
   size_t waiting() const { return queue_.size(); }
   const HttpPoolCounters& counters() const { return counters_; }
 
@@ -103,11 +103,11 @@
     std::shared_ptr<TcpStream> stream;
     HttpReader reader;
     HttpRequestId request = 0;     // 0 while idle
-    int64_t sentBytesAtStart = 0;  // bytes sent on the connection before the request in progress
+    int64_t sentBytesAtStart = 0;  // bytes sent before the request in progress
     base::TimePoint idleUntil{};
     base::TimePoint startedAt{};       // of the request in progress
-    base::TimePoint lastReceivedAt{};  // when anything came on the connection
-    bool receivedSinceStart = false;   // something came since startedAt
+    base::TimePoint lastReceivedAt{};  // when the last bytes arrived
+    bool receivedSinceStart = false;   // bytes arrived since startedAt
     bool reusable = true;
   };
 
@@ -142,7 +142,7 @@
   std::map<ConnectionId, std::unique_ptr<Connection>> connections_;
   std::vector<ConnectionId> idle_;  // most recently used last
   std::map<HttpRequestId, PendingRequest> pending_;
-  std::deque<HttpRequestId> queue_;  // in active_, without a connection
+  std::deque<HttpRequestId> queue_;  // entries of pending_ without a connection
   HttpPoolCounters counters_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/transport/http_reader.cc
+++ b/src/transport/http_reader.cc
@@ -134,7 +134,7 @@
   if (parser->type == HTTP_REQUEST) {
     head.method = http_method_str(static_cast<http_method>(parser->method));
     if (parser->method == HTTP_CONNECT) return -1;
-    parser->upgrade = 0;  // the upgrade is declined by answering as usual
+    parser->upgrade = 0;  // declines the upgrade: the request is answered as an ordinary one
     const bool sized = (parser->flags & F_CONTENTLENGTH) != 0;
     if (sized && parser->content_length > reader->limits_.maxBodyBytes) {
       reader->failure_ = HttpProgress::kBodyTooLarge;
--- a/src/transport/http_reader.h
+++ b/src/transport/http_reader.h
@@ -1,4 +1,4 @@
-/// Reading HTTP/1.x messages from a stream of bytes, with the parser library `http_parser`.
+/// Incremental reader of HTTP/1.x messages, based on the `http_parser` library.
 #pragma once
 
 #include <http_parser.h>
@@ -15,32 +15,32 @@
 /// The part of a message before its body. Header names are in lower case.
 struct HttpHead {
   std::string method;  ///< of a request
-  std::string target;  ///< of a request, as it came
+  std::string target;  ///< of a request, as received
   int status = 0;      ///< of a response
   std::vector<wire::HttpHeader> headers;
-  bool keepAlive = false;  ///< whether the connection may be used again behind the message
+  bool keepAlive = false;  ///< whether the connection can be reused after the message
   bool http10 = false;
 };
 
-/// What a reader has come to.
+/// Result of reading bytes.
 enum class HttpProgress {
   kIncomplete,    ///< more bytes are needed
-  kMessage,       ///< a whole message can be taken
-  kMalformed,     ///< the bytes are no HTTP
-  kHeadTooLarge,  ///< the head is over the limit
-  kBodyTooLarge,  ///< the body is over the limit
+  kMessage,       ///< a complete message can be taken
+  kMalformed,     ///< the bytes are not valid HTTP
+  kHeadTooLarge,  ///< the head exceeds the limit
+  kBodyTooLarge,  ///< the body exceeds the limit
 };
 
-/// Sizes that a reader takes, in bytes.
+/// Maximum sizes that a reader accepts, in bytes.
 struct HttpReaderLimits {
   size_t maxHeadBytes = 64U << 10;
   size_t maxBodyBytes = 64U << 20;
 };
 
-/// Reads messages of one direction of one connection, one at a time.
+/// Reads the messages of one direction of a connection, one at a time.
 ///
-/// Invariants: a message is complete only when its framing says so; a message with both a length and chunks, or with
-/// two lengths, is malformed; after an error nothing more is read.
+/// Invariants: only the framing of a message determines its end; a message with both a length and chunks, or with two
+/// lengths, is malformed; after an error no more bytes are read.
 class HttpReader {
  public:
   enum class Kind { kRequests, kResponses };
@@ -49,17 +49,17 @@
   HttpReader(const HttpReader&) = delete;
   HttpReader& operator=(const HttpReader&) = delete;
 
-  /// Reads on from the front of `bytes`, up to the end of a message, and cuts off what was read.
+  /// Reads from the front of `bytes`, at most up to the end of a message, and removes what was read.
   HttpProgress feed(std::string_view* bytes);
 
-  /// The stream has ended in order.
-  /// @return kMessage when that completed a message without a length
+  /// Handles an orderly end of the stream.
+  /// @return kMessage if it completes a message without a length
   HttpProgress finish();
 
-  /// The next response has no body whatever its head says, as those to HEAD.
+  /// Marks the next response as one without a body regardless of its head, as for HEAD requests.
   void expectNoBody() { skipBody_ = true; }
 
-  /// Changes the limits for what is read from now on.
+  /// Changes the limits for bytes that are read from now on.
   void setLimits(const HttpReaderLimits& limits) { limits_ = limits; }
 
   /// @return whether a message has begun and is not complete.
@@ -71,7 +71,7 @@
   const HttpHead& head() const { return head_; }
   size_t bodyBytes() const { return body_.size(); }
 
-  /// Takes the complete message; reading may go on with the next one.
+  /// Takes the head of the complete message. takeBody() ends the message, so that the next one can be read.
   HttpHead takeHead();
   std::string takeBody();
 
@@ -92,15 +92,15 @@
   HttpHead head_;
   std::string body_;
   size_t headBytes_ = 0;
-  bool readingValue_ = false;  // the last piece of a header was of its value
+  bool readingValue_ = false;  // the last callback for a header was for its value
   bool begun_ = false;
   bool headComplete_ = false;
   bool complete_ = false;
   bool skipBody_ = false;
-  HttpProgress failure_ = HttpProgress::kIncomplete;  // an error, once there was one
+  HttpProgress failure_ = HttpProgress::kIncomplete;  // kIncomplete until an error occurs
 };
 
-/// @return the headers of a message without those that concern one connection only.
+/// @return the headers of a message without the hop-by-hop ones, including those that Connection lists.
 std::vector<wire::HttpHeader> endToEndHeaders(std::vector<wire::HttpHeader> headers);
 
 }  // namespace driftlug::transport
--- a/src/transport/http_server.cc
+++ b/src/transport/http_server.cc
@@ -7,17 +7,18 @@
 namespace {
 
 constexpr base::Duration kSweepInterval = base::seconds(1);
-/// Interval at which a server that holds its listener looks for connections that became idle: a small part of the
-/// second or so that a caller waits to be connected.
+/// Interval at which a server with a paused listener looks for idle connections to evict. Short compared with the
+/// connect timeout of about one second that clients use.
 constexpr base::Duration kEvictionInterval = base::milliseconds(100);
-/// Share of the connections that are closed at once to make room, so that a burst of callers costs few passes.
+/// One in this many connections may be evicted at a time, so that a burst of new connections needs few passes.
 constexpr size_t kEvictionDivisor = 32;
-/// How long a caller may go without taking a byte of its answer. A link of 2 Mbit/s with 1 MB in front of it holds one
-/// back for 4 s; with the 0.8 s of frames, a caller that paused for 2 s got 128 kB of 16 MB.
+/// Maximum time for which a client may leave response bytes unacknowledged. A 2 Mbit/s link with 1 MB queued ahead
+/// delays a response by 4 s. With the 0.8 s of frame connections, a client that paused for 2 s received only 128 kB of
+/// 16 MB.
 constexpr base::Duration kSlowReaderTimeout = base::seconds(10);
 constexpr size_t kMaxUnparsedBytes = 256U << 10;
-/// How soon a close is seen on a connection that is not read for the moment. What its caller asked for is to end within
-/// 500 ms of the close, at the other nodes as well.
+/// Interval at which paused connections are checked for a close by the client. The calls of a client must end within
+/// 500 ms of its close, on other nodes too.
 constexpr base::Duration kPausedCheckInterval = base::milliseconds(100);
 constexpr int kBadRequest = 400;
 constexpr int kRequestTimeout = 408;
@@ -71,8 +72,8 @@
   }
 }
 
-/// The connection ends with the answer to the last request that was taken, not with the next one: what was taken may
-/// run already, and a caller that sees the connection end before its answer can't send it again.
+/// Closes the connection after the response to the last accepted request, not after the next response. Accepted
+/// requests may already run, and a client that sees the connection close before its response can't safely retry.
 void HttpServer::closeAfterLastRequest(Connection* connection) {
   connection->closing = true;
   exchanges_.at(connection->pendingExchanges.back()).keepAlive = false;
@@ -88,7 +89,8 @@
       unused.push_back(id);
       continue;
     }
-    // Closed now, a request that crosses the close would reset what is on its way: 128 kB of an answer of 3 MB arrived.
+    // If the connection were closed now, a request in flight would cause a reset and lose the bytes on the way: only
+    // 128 kB of a 3 MB response arrived.
     connection->closing = true;
     connection->lingering = true;
     if (connection->stream->queuedBytes() == 0) onDrained(connection.get());
@@ -119,7 +121,7 @@
 void HttpServer::onBytes(Connection* connection, std::string_view bytes) {
   const auto id = connection->id;
   connection->lastActiveAt = loop_.now();
-  if (connection->closing) return;  // behind a request that ends the connection nothing counts
+  if (connection->closing) return;  // bytes after the last request are ignored
   std::string kept;
   if (!connection->unparsed.empty()) {
     kept = std::move(connection->unparsed);
@@ -137,7 +139,8 @@
   }
 }
 
-/// The end of a connection comes behind its bytes; where those are not read, it has to be asked for.
+/// Drops paused connections that the client has closed. The end of a connection is delivered after its bytes, so that
+/// it must be polled while they are not read.
 void HttpServer::checkPausedConnections() {
   std::vector<ConnectionId> closed;
   bool paused = false;
@@ -152,7 +155,7 @@
 
 bool HttpServer::parseRequests(Connection* connection, std::string_view* bytes) {
   const auto id = connection->id;
-  bool checked = false;  // whether the caller is still there
+  bool checked = false;  // whether the client is known to be connected
   while (!bytes->empty() && connection->pendingExchanges.size() < options_.maxPipelined) {
     if (!connection->reader.midMessage()) connection->messageStartedAt = loop_.now();
     const auto progress = connection->reader.feed(bytes);
@@ -161,8 +164,8 @@
       rejectRequest(connection, progress);
       return false;
     }
-    // Within this turn a request would reach a back end; the end of its connection is read in the next one. It costs
-    // one call of the system for each read that completes a request.
+    // The request would reach a backend in this iteration, but the end of its connection is read in the next one. The
+    // check costs one system call per read that completes a request.
     if (onAbort_ && !checked && connection->stream->peerHasClosed()) {
       ++counters_.aborted;
       drop(id);
@@ -255,7 +258,7 @@
   }
   if (!sent) return;
   connection->lastActiveAt = loop_.now();
-  // What waited behind a full pipeline goes on in a turn of its own.
+  // Bytes that the pipelining limit held back are parsed in a separate iteration.
   if (connection->closing || (connection->unparsed.empty() && connection->reading)) return;
   loop_.schedule(base::Duration(0), [this, id = connection->id] {
     const auto found = connections_.find(id);
@@ -288,7 +291,7 @@
 
 void HttpServer::onDrained(Connection* connection) {
   if (!connection->lingering) return;
-  // Closing at once could reset the connection before the peer has read the answer.
+  // An immediate close could reset the connection before the peer has read the response.
   connection->stream->shutdownWrite();
   loop_.schedule(options_.lingerTimeout, [this, id = connection->id] { drop(id); });
 }
@@ -335,7 +338,7 @@
 }
 
 bool HttpServer::isIdle(const Connection& connection) {
-  // An answer that has not left yet would be cut off with its connection.
+  // Closing a connection with queued bytes would truncate its response.
   return !connection.closing && connection.pendingExchanges.empty() && !connection.reader.midMessage() &&
          connection.unparsed.empty() && connection.stream->queuedBytes() == 0;
 }
@@ -349,7 +352,7 @@
   listener_.setPaused(true);
   evictionTimer_.start(kEvictionInterval);
   limitLog_.write(base::LinePriority::kFailure, [this] {
-    return fmt::format("server={} holds new callers: connections={} max_connections={} pending={}", name_,
+    return fmt::format("server={} pauses accepting: connections={} max_connections={} pending={}", name_,
                        connections_.size(), options_.maxConnections, exchanges_.size());
   });
 }
@@ -367,7 +370,7 @@
   size_t closed = 0;
   for (auto* connection : idle) {
     if (closed == maxEvicted) break;
-    // A request that has arrived and was not read yet would be lost.
+    // Closing the connection would lose a request that has arrived but is not read yet.
     if (connection->stream->hasUnread()) continue;
     ++closed;
     drop(connection->id);
@@ -375,8 +378,8 @@
   if (closed == 0) return;
   counters_.idleConnectionsEvicted += static_cast<int64_t>(closed);
   limitLog_.write(base::LinePriority::kFailure, [&] {
-    return fmt::format("server={} closes idle connections for new ones: closed={} connections={} max_connections={}",
-                       name_, closed, connections_.size(), options_.maxConnections);
+    return fmt::format("server={} evicts idle connections: closed={} connections={} max_connections={}", name_, closed,
+                       connections_.size(), options_.maxConnections);
   });
 }
 
--- a/src/transport/http_server.h
+++ b/src/transport/http_server.h
@@ -1,4 +1,4 @@
-/// An HTTP/1.1 server that hands over whole requests.
+/// HTTP/1.1 server that delivers complete requests to a handler.
 #pragma once
 
 #include <absl/status/status.h>
@@ -17,20 +17,20 @@
 
 namespace driftlug::transport {
 
-/// Identifies one request within a server; never reused.
+/// Identifies a request of a server; never reused.
 using ExchangeId = uint64_t;
 
-/// Limits of a server; they may change while it runs.
+/// Limits of a server. They can be changed while it runs.
 struct HttpServerOptions {
   size_t maxHeadBytes = 64U << 10;
   size_t maxBodyBytes = 8U << 20;
-  size_t maxPipelined = 64;                                ///< requests of one connection that wait for their answers
-  base::Duration headTimeout = base::seconds(10);          ///< for the head of a request
+  size_t maxPipelined = 64;                                ///< unanswered requests of one connection
+  base::Duration headTimeout = base::seconds(10);          ///< to receive the head of a request
   base::Duration idleTimeout = base::seconds(60);          ///< between requests, and between pieces of a body
-  base::Duration lingerTimeout = base::milliseconds(800);  ///< for the peer to close after the last answer
-  size_t maxConnections = SIZE_MAX;                        ///< open at once; more wait in the system's queue
-  /// How long a connection must have been unused to make room for a new one: long enough for a caller that has just
-  /// connected, or was just answered, to send its next request.
+  base::Duration lingerTimeout = base::milliseconds(800);  ///< for the peer to close after the last response
+  size_t maxConnections = SIZE_MAX;                        ///< open connections; more wait in the listen backlog
+  /// Minimum idle time before a connection is evicted for a new one: a client that has just connected or received a
+  /// response needs time to send its next request.
   base::Duration minIdleBeforeEviction = base::seconds(1);
 };
 
@@ -42,22 +42,21 @@
   int64_t malformed = 0;
   int64_t timedOut = 0;
   int64_t connections = 0;
-  int64_t idleConnectionsEvicted = 0;  ///< idle connections that were closed for new ones
-  int64_t acceptPauses = 0;            ///< times that accepting stopped at the bound of connections
+  int64_t idleConnectionsEvicted = 0;  ///< idle connections closed to accept new ones
+  int64_t acceptPauses = 0;            ///< times that accepting was paused at the connection limit
 };
 
-/// Accepts requests and sends responses. Requests of one connection may be answered in any order; the responses leave
-/// in the order of the requests.
+/// Accepts requests and sends responses. Requests of one connection may be answered in any order; the responses are
+/// sent in the order of the requests.
 ///
-/// At the bound of connections those that were unused the longest are closed; while all are in use, new callers wait in
-/// the system's queue, unharmed: a connection that is accepted and closed would not tell them whether their request
-/// ran.
+/// At the connection limit the longest idle connections are closed. While all are in use, new connections wait in the
+/// listen backlog: a client whose connection is accepted and closed does not know whether its request ran.
 class HttpServer {
  public:
-  /// Takes a whole request; respond() is called for it once, then or later.
+  /// Handles a complete request. respond() must be called once for it, from within the handler or later.
   using RequestHandler = std::function<void(ExchangeId, HttpRequest)>;
-  /// The caller went away before it was answered. With this handler, requests whose callers had gone before they were
-  /// read are not handed over.
+  /// Called if the client disconnects before its response. If set, requests whose clients disconnected before the
+  /// request was read are not delivered.
   using AbortHandler = std::function<void(ExchangeId)>;
 
   HttpServer(EventLoop& loop, std::string name, const HttpServerOptions& options, RequestHandler onRequest,
@@ -67,39 +66,39 @@
   /// @return OK, or kConnectFailed when the address can't be used
   absl::Status listen(const std::string& host, int port);
 
-  /// @return the port listened on.
+  /// @return the port that the server listens on.
   int port() const { return listener_.port(); }
 
-  /// Uses other limits from now on, also on open connections.
+  /// Changes the limits, also for open connections.
   void setOptions(const HttpServerOptions& options);
 
   const HttpServerOptions& options() const { return options_; }
 
-  /// Answers a request; ignored when the caller went away.
+  /// Sends the response to a request; ignored if the client has disconnected.
   void respond(ExchangeId exchange, HttpResponse response);
 
-  /// Ends each connection with the answer to the last request that was taken on it; an idle one takes one more.
+  /// Closes each connection after the response to its last accepted request; an idle connection accepts one more.
   void setDraining();
 
-  /// Reads no further request: connections that wait for no answer end now, the others with their last answer. What
-  /// has not been read whole was not taken, and its caller may send it again elsewhere.
+  /// Stops reading requests: connections without pending requests are closed now, the others after their last response.
+  /// Incompletely read requests are not processed, so that clients can safely retry them elsewhere.
   void stopReadingRequests();
 
   const HttpServerCounters& counters() const { return counters_; }
 
-  /// @return requests that were not answered yet.
+  /// @return number of requests without a response.
   size_t pending() const { return exchanges_.size(); }
 
-  /// @return bytes of answers that callers have not acknowledged.
+  /// @return response bytes that clients have not acknowledged.
   size_t unsentBytes() const;
 
-  /// @return connections that are open, those included that wait for the peer to close.
+  /// @return number of open connections, including those that wait for the peer to close.
   size_t connections() const { return connections_.size(); }
 
-  /// @return whether new connections are taken: neither the bound nor a want of descriptors keeps them waiting.
+  /// @return whether new connections are accepted: neither the limit nor a lack of descriptors prevents it.
   bool accepting() const { return listener_.accepting(); }
 
-  /// @return how often a connection could not be taken for want of descriptors.
+  /// @return number of times a connection could not be accepted for lack of descriptors.
   int64_t descriptorShortages() const { return listener_.descriptorShortages(); }
 
  private:
@@ -119,13 +118,13 @@
     ConnectionId id;
     std::shared_ptr<TcpStream> stream;
     HttpReader reader;
-    std::string unparsed;                     // bytes behind a request that can't be taken yet
-    std::deque<ExchangeId> pendingExchanges;  // requests to be answered, oldest first
+    std::string unparsed;                     // received bytes that the pipelining limit keeps from being parsed
+    std::deque<ExchangeId> pendingExchanges;  // unanswered requests, oldest first
     int64_t requests = 0;
-    bool continueSent = false;  // the sender of the request in progress was told to go on
+    bool continueSent = false;  // 100 Continue was sent for the request in progress
     bool reading = true;
-    bool closing = false;    // no further request is taken
-    bool lingering = false;  // the last answer has left; the peer is to close
+    bool closing = false;    // no further request is accepted
+    bool lingering = false;  // the last response was written; the peer is to close
     base::TimePoint lastActiveAt{};
     base::TimePoint messageStartedAt{};
   };
@@ -167,8 +166,8 @@
   std::map<ConnectionId, std::unique_ptr<Connection>> connections_;
   std::map<ExchangeId, Exchange> exchanges_;
   base::Timer sweepTimer_;     // runs while there are connections
-  base::Timer pausedTimer_;    // runs while a connection is not read
-  base::Timer evictionTimer_;  // runs while the listener is held
+  base::Timer pausedTimer_;    // runs while reading from a connection is paused
+  base::Timer evictionTimer_;  // runs while the listener is paused
   base::DecisionLog limitLog_;
   bool draining_ = false;
   bool acceptingRequests_ = true;  // requests
--- a/src/transport/tcp_stream.cc
+++ b/src/transport/tcp_stream.cc
@@ -23,10 +23,10 @@
 constexpr int kBacklog = 1024;
 constexpr size_t kReadBytes = size_t{64} * 1024;
 constexpr size_t kCompactThresholdBytes = size_t{64} * 1024;
-/// Room that an idle stream keeps; there are many streams, and most are idle.
+/// Buffer capacity that an idle stream retains. Small, because there are many streams and most are idle.
 constexpr size_t kMaxRetainedBufferBytes = 2048;
-/// Pause of a listener that found no descriptor: a listener that is polled on wakes the loop without end, 195,808 times
-/// in 300 ms where it was measured. Short beside the second or so that a caller waits to be connected.
+/// Delay before a listener retries after it found no free descriptor. If it were still polled, it would wake the loop
+/// continuously: 195,808 times in 300 ms. Short compared with the connect timeout of about one second that clients use.
 constexpr base::Duration kAcceptRetryDelay = base::milliseconds(50);
 
 bool fillAddress(const std::string& host, int port, sockaddr_in* address) {
@@ -56,7 +56,7 @@
   const int socket = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   bool good = socket >= 0 && fillAddress(address.host, address.port, &target);
   if (good) {
-    // The opening counts as unacknowledged too: with 0.8 s it was over after 1.03 s, whatever the time to connect.
+    // The user timeout also applies to the SYN: with 0.8 s, connecting failed after 1.03 s whatever connectTimeout was.
     setOptions(socket, std::max(options.unacknowledgedTimeout, options.connectTimeout));
     const int result = ::connect(socket, reinterpret_cast<const sockaddr*>(&target), sizeof(target));
     good = result == 0 || errno == EINPROGRESS;
@@ -123,7 +123,7 @@
       break;
     }
     if (sent <= 0) {
-      // The reading side will see the end of the connection; nothing more can leave.
+      // Nothing more can be sent; closing the socket reports the end of the connection.
       closing_ = true;
       lws_set_timeout(wsi_, PENDING_TIMEOUT_USER_OK, LWS_TO_KILL_ASYNC);
       return;
@@ -149,7 +149,7 @@
 
 size_t TcpStream::unacknowledgedBytes() const {
   int held = 0;
-  if (wsi_ != nullptr && ::ioctl(socket_, SIOCOUTQ, &held) != 0) held = 0;  // where the system can't say
+  if (wsi_ != nullptr && ::ioctl(socket_, SIOCOUTQ, &held) != 0) held = 0;  // the kernel does not report it
   return queuedBytes() + static_cast<size_t>(std::max(0, held));
 }
 
@@ -161,7 +161,7 @@
 
 bool TcpStream::peerHasClosed() const {
   if (wsi_ == nullptr || closing_) return true;
-  // The state is the first byte of what the system tells; the rest is not asked for.
+  // tcpi_state is the first byte of tcp_info; the rest is not requested.
   uint8_t state = 0;
   socklen_t size = sizeof(state);
   return ::getsockopt(socket_, IPPROTO_TCP, TCP_INFO, &state, &size) == 0 &&
@@ -180,7 +180,7 @@
   connectTimer_ = 0;
   if (wsi_ == nullptr || closing_) return;
   closing_ = true;
-  // The peer is to hear of it now, not when the library gets round to it.
+  // Notifies the peer now; libwebsockets closes the socket later.
   ::shutdown(socket_, SHUT_RDWR);
   lws_set_timeout(wsi_, PENDING_TIMEOUT_USER_OK, LWS_TO_KILL_ASYNC);
 }
@@ -217,7 +217,7 @@
     if (handler_ != nullptr) handler_->onConnected();
     if (closing_) return false;
   }
-  // Not from within this callback: the library stops waiting for room behind it, whatever was asked meanwhile.
+  // Not flushed within this callback: libwebsockets clears the writable request after it, even one made meanwhile.
   if (!flushScheduled_) {
     flushScheduled_ = true;
     loop_.scheduleFlush(weak_from_this());
@@ -286,7 +286,7 @@
     const int accepted = ::accept4(socket_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (accepted >= 0) {
       auto stream = TcpStream::accept(loop_, accepted, options_);
-      if (!stream) return handleAcceptFailure(EMFILE);  // the loop holds as many as the process may have
+      if (!stream) return handleAcceptFailure(EMFILE);  // the loop can't register more descriptors
       onAccept_(std::move(stream));
       continue;
     }
@@ -297,8 +297,9 @@
 
 void TcpListener::handleAcceptFailure(int error) {
   ++descriptorShortages_;
-  log_.write(base::LinePriority::kFailure,
-             [&] { return fmt::format("port={} can't accept, connections wait: {}", port_, std::strerror(error)); });
+  log_.write(base::LinePriority::kFailure, [&] {
+    return fmt::format("port={} can't accept, connections wait in the backlog: {}", port_, std::strerror(error));
+  });
   retryTimer_.start(kAcceptRetryDelay);
   updateWatch();
   if (onDescriptorShortage_) onDescriptorShortage_();
--- a/src/transport/tcp_stream.h
+++ b/src/transport/tcp_stream.h
@@ -1,4 +1,4 @@
-/// TCP connections and listeners of the event loop. IPv4 only.
+/// TCP connections and listeners on the event loop. IPv4 only.
 #pragma once
 
 #include <absl/status/status.h>
@@ -15,34 +15,34 @@
 
 namespace driftlug::transport {
 
-/// Takes the events of one stream. Events stop once the stream is closed by its user.
+/// Receives the events of one stream. No event follows after its user has closed the stream.
 class StreamHandler {
  public:
   virtual ~StreamHandler() = default;
 
-  /// An outgoing connection is up.
+  /// Called when an outgoing connection is established.
   virtual void onConnected() {}
 
-  /// Bytes arrived.
+  /// Called with received bytes.
   virtual void onBytes(std::string_view bytes) = 0;
 
-  /// Everything that was written has been taken by the system.
+  /// Called when the kernel has accepted all written bytes.
   virtual void onDrained() {}
 
-  /// The connection ended, or could not be opened; the last event.
-  /// @param orderly whether the peer ended it in order, so that all it sent has arrived
+  /// Called when the connection has ended or could not be opened; the last event.
+  /// @param orderly whether the peer closed it without a reset, so that all bytes it sent have arrived
   virtual void onClosed(bool orderly) = 0;
 };
 
-/// Times after which a silent peer counts as gone.
+/// Timeouts after which an unresponsive peer is treated as disconnected.
 struct StreamOptions {
   base::Duration connectTimeout = base::milliseconds(700);
-  base::Duration unacknowledgedTimeout = base::milliseconds(800);  ///< sent bytes that nobody acknowledged
+  base::Duration unacknowledgedTimeout = base::milliseconds(800);  ///< for the acknowledgement of sent bytes
 };
 
 /// One TCP connection. Owned by its user and, as long as the socket is open, by the event loop.
 ///
-/// Invariants: onClosed comes at most once and never from within a call of the user; after close() no event comes.
+/// Invariants: onClosed is called at most once and never from within a call by the user; no event follows close().
 class TcpStream : public std::enable_shared_from_this<TcpStream> {
  public:
   /// Starts to connect; onConnected or onClosed follows.
@@ -50,42 +50,42 @@
                                             const StreamOptions& options);
 
   /// Takes over an accepted socket.
-  /// @return null when there is no room for it; the socket is closed then
+  /// @return null if the loop can't register the socket, which is then closed
   static std::shared_ptr<TcpStream> accept(EventLoop& loop, int socket, const StreamOptions& options);
 
   ~TcpStream();
 
-  /// Sets who takes the events of an accepted stream.
+  /// Sets the handler of an accepted stream.
   void setHandler(StreamHandler* handler) { handler_ = handler; }
 
-  /// Queues bytes; they leave at the end of the loop's turn.
+  /// Queues bytes, which are sent at the end of the loop's iteration.
   void write(std::string_view bytes);
 
-  /// @return bytes queued and not yet taken by the system.
+  /// @return queued bytes that the kernel has not accepted yet.
   size_t queuedBytes() const { return out_.size() - offset_; }
 
-  /// @return whether something has arrived that was not read yet, bytes or the end of the connection, or may have.
+  /// @return whether unread input, bytes or the end of the connection, has arrived; true also if poll() fails.
   bool hasUnread() const;
 
-  /// @return bytes queued here or in the system that the peer has not acknowledged.
+  /// @return bytes queued here or in the kernel that the peer has not acknowledged.
   size_t unacknowledgedBytes() const;
 
-  /// @return bytes that the system has taken so far.
+  /// @return total bytes that the kernel has accepted.
   int64_t sentBytes() const { return sentBytes_; }
 
-  /// @return whether the connection was not opened since nobody listens at the address.
+  /// @return whether the connection was refused because nothing listens at the address.
   bool refused() const { return refused_; }
 
-  /// Stops or resumes reading, to slow down a peer.
+  /// Pauses or resumes reading, as back-pressure on the peer.
   void setReading(bool reading);
 
-  /// @return whether the peer has ended the connection or its sending direction, also behind bytes that were not read.
+  /// @return whether the peer has closed the connection or its sending direction, even if unread bytes precede the end.
   bool peerHasClosed() const;
 
-  /// Ends the sending direction once everything queued has left.
+  /// Closes the sending direction once all queued bytes are sent.
   void shutdownWrite();
 
-  /// Closes the connection; bytes that are still queued are dropped.
+  /// Closes the connection; queued bytes are dropped.
   void close();
 
  private:
@@ -107,13 +107,13 @@
   StreamOptions options_;
   lws* wsi_ = nullptr;  // null once the socket is closed
   int socket_ = -1;
-  bool orderly_ = false;  // the peer ended its direction in order
+  bool orderly_ = false;  // the peer closed its direction without a reset
   bool connected_ = false;
   bool refused_ = false;
-  bool closing_ = false;  // the socket is to be closed at the next event
+  bool closing_ = false;  // the socket is closed at the next event
   bool flushScheduled_ = false;
   bool shutdownRequested_ = false;
-  std::string out_;  // bytes from offset_ on are still to be sent
+  std::string out_;  // bytes from offset_ on are unsent
   size_t offset_ = 0;
   int64_t sentBytes_ = 0;
   base::TimerId connectTimer_ = 0;
@@ -121,11 +121,11 @@
 
 /// Accepts connections on one address.
 ///
-/// While the process has no descriptor left, or the user holds the listener, connections wait in the system's queue.
+/// While the process has no free descriptor, or the listener is paused, connections wait in the listen backlog.
 class TcpListener {
  public:
   using AcceptHandler = std::function<void(std::shared_ptr<TcpStream>)>;
-  /// A connection waits that can't be taken for want of descriptors.
+  /// Called when a connection can't be accepted for lack of descriptors.
   using DescriptorShortageHandler = std::function<void()>;
 
   /// @param onDescriptorShortage may be empty
@@ -134,16 +134,16 @@
   /// @return OK, or kConnectFailed when the address can't be used
   absl::Status listen(const std::string& host, int port, const StreamOptions& options);
 
-  /// @return the port, also when it was asked for as 0.
+  /// @return the port; the assigned one if listen() was called with 0.
   int port() const { return port_; }
 
-  /// Stops or resumes accepting.
+  /// Pauses or resumes accepting.
   void setPaused(bool held);
 
-  /// @return whether connections are taken: the listener is not held, and the last one found a descriptor.
+  /// @return whether connections are accepted: the listener is not paused and does not wait for a free descriptor.
   bool accepting() const { return !paused_ && !retryTimer_.running(); }
 
-  /// @return how often a connection could not be taken for want of descriptors; repeated tries count.
+  /// @return number of times a connection could not be accepted for lack of descriptors, including retries.
   int64_t descriptorShortages() const { return descriptorShortages_; }
 
  private:
@@ -158,7 +158,7 @@
   int socket_ = -1;
   int port_ = 0;
   bool paused_ = false;
-  base::Timer retryTimer_;  // runs while there is no descriptor
+  base::Timer retryTimer_;  // runs while the listener waits for a free descriptor
   base::DecisionLog log_;
   int64_t descriptorShortages_ = 0;
 };
