--- a/src/storage/log_store.cc
+++ b/src/storage/log_store.cc
@@ -26,7 +26,7 @@
 std::string segmentName(int64_t number) { return numberedName(kSegmentPrefix, number); }
 std::string snapshotName(int64_t index) { return numberedName(kSnapshotPrefix, index); }
 
-/// @return the numbers of the files with a prefix, ascending; temporary files are left out.
+/// @return the numbers of the files with a prefix in ascending order, without temporary files.
 std::vector<int64_t> numbersOf(const std::vector<std::string>& names, std::string_view prefix) {
   std::vector<int64_t> numbers;
   for (const auto& name : names) {
@@ -42,7 +42,7 @@
   return makeError(ErrorCode::kStorageCorrupt, name + ": " + what);
 }
 
-/// Adds an entry read from a segment; entries at or below the snapshot are skipped.
+/// Adds an entry read from a segment; skips entries that the snapshot covers.
 absl::Status addEntry(const std::string& name, wire::LogEntry entry, RecoveredState* state) {
   const int64_t base = state->snapshot ? state->snapshot->index : 0;
   if (entry.index <= base) return absl::OkStatus();
@@ -85,19 +85,19 @@
 
 }  // namespace
 
-/// A segment as it was read.
+/// Content of a segment file.
 struct LogStore::Segment {
   std::string name;
   RecordScan scan;
-  bool hasCarryOver = false;  // takes the place of all before it
-  bool carried = false;       // all that it takes over is there
+  bool hasCarryOver = false;  // begins with a carry-over, which replaces all earlier segments
+  bool carried = false;       // the carry-over is complete
 };
 
-/// Reads segments, the newest first, as far back as they count.
-/// @return those that count, the oldest first
+/// Reads segments from the newest back to the most recent one with a complete carry-over.
+/// @return the segments in ascending order
 absl::StatusOr<std::vector<LogStore::Segment>> LogStore::scanSegments(const std::vector<int64_t>& numbers) {
   std::vector<Segment> segments;
-  bool mayBeTorn = true;  // the segment that was being written, and one whose successor had only begun
+  bool mayBeTorn = true;  // the newest segment, and one followed only by empty or incomplete ones
   for (auto number = numbers.rbegin(); number != numbers.rend(); ++number) {
     Segment segment;
     segment.name = segmentName(*number);
@@ -113,7 +113,7 @@
                       });
     const bool carryOverIncomplete = segment.hasCarryOver && !segment.carried;
     if (carryOverIncomplete && !mayBeTorn) return corrupt(segment.name, "ends before what it takes over");
-    // Nothing in it was ever acknowledged: what counts is in the one before.
+    // No write to this segment was acknowledged; the valid state is in the previous one.
     if (carryOverIncomplete) segment.scan = {{}, 0, true};
     mayBeTorn = mayBeTorn && records.empty();
     const bool complete = segment.carried;
@@ -152,7 +152,8 @@
 absl::StatusOr<RecoveredState> LogStore::open() {
   auto state = load(true);
   if (!state.ok()) return state;
-  // A new segment keeps every older one free of tails that may be torn: settle() syncs them before it is used.
+  // With a new segment, only the newest one can have a torn tail: syncRecovered() syncs the others before it is
+  // written.
   ++segment_;
   written_ = 0;
   durable_ = 0;
@@ -214,13 +215,13 @@
 }
 
 void LogStore::syncRecovered(SyncCallback done) {
-  // Where there is no segment, the sync covers the names.
+  // Without a segment, the sync still covers the directory entries.
   if (unsyncedSegments_.empty()) unsyncedSegments_.push_back(segmentName(segment_));
   syncNextRecovered(std::move(done));
 }
 
 void LogStore::syncNextRecovered(SyncCallback done) {
-  // All of them: a process that died while it began the newest left its entries in the one before.
+  // Every segment is synced: a process that died while it started the newest one left its entries in the previous one.
   const auto name = unsyncedSegments_.back();
   unsyncedSegments_.pop_back();
   disk_.sync(name, [this, done = std::move(done)](const absl::Status& status) {
--- a/src/storage/log_store.h
+++ b/src/storage/log_store.h
@@ -1,4 +1,4 @@
-/// Durable state of one controller: hard state, log entries and the newest snapshot, on a Disk.
+/// Durable Raft state of one controller on a Disk: hard state, log entries and the newest snapshot.
 #pragma once
 
 #include <absl/status/statusor.h>
@@ -13,60 +13,60 @@
 
 namespace driftlug::storage {
 
-/// What a data folder held when it was opened.
+/// State read from a data folder.
 struct RecoveredState {
   wire::HardState hardState;
   std::optional<wire::LogSnapshot> snapshot;
-  std::vector<wire::LogEntry> entries;  ///< behind the snapshot, without gaps
-  bool empty = true;                    ///< the folder held no state at all
+  std::vector<wire::LogEntry> entries;  ///< after the snapshot, without gaps
+  bool empty = true;                    ///< the folder contained no state
 };
 
-/// State that a new segment begins with.
+/// State that is copied to the beginning of a new segment.
 struct CarriedState {
   wire::HardState hardState;
-  std::vector<wire::LogEntry> entries;  ///< behind the snapshot
+  std::vector<wire::LogEntry> entries;  ///< after the snapshot
 };
 
 /// Appends records to a segment file, with group commit, and replaces old segments by snapshots.
 ///
-/// A segment that begins with a snapshot takes over all that is behind it, between two marks. Until the second mark is
-/// there it counts for nothing, and the one before it may end in writes that were never synced; from then on those
-/// before it are not read.
+/// A segment that is started after a snapshot begins with a carry-over: the hard state and the entries after the
+/// snapshot, between two marker records. While the end marker is missing, the segment is ignored, and the previous one
+/// may end in unsynced writes. Once the end marker is written, earlier segments are not read.
 ///
-/// Invariants: an entry whose index is not above the last one replaces everything from that index on;
-/// a snapshot is complete and durable before any segment it replaces is removed; after a failure other than a
-/// full disk nothing more is written (failed() holds).
+/// Invariants: an entry whose index is not above the last one replaces all entries from that index on; a snapshot is
+/// complete and durable before a segment that it replaces is removed; after a failure other than a full disk, failed()
+/// is true and nothing more is written.
 class LogStore {
  public:
   explicit LogStore(Disk& disk) : disk_(disk) {}
 
-  /// Reads the folder, cuts a torn tail, and opens a segment for writing.
-  /// @return the state, or kStorageCorrupt / kStorageFailed
+  /// Reads the folder, truncates a torn tail, and starts a new segment for writing.
+  /// @return the state, or kStorageCorrupt or kStorageFailed
   absl::StatusOr<RecoveredState> open();
 
   /// Reads the folder without changing it.
   absl::StatusOr<RecoveredState> inspect();
 
-  /// Makes all that open() read durable; nothing may be written before the callback.
+  /// Makes the state that open() read durable. Nothing may be written before the callback.
   void syncRecovered(SyncCallback done);
 
-  /// Writes entries without syncing. On kStorageFull nothing of them remains.
+  /// Writes entries without a sync. On kStorageFull none of them remains.
   absl::Status append(const std::vector<wire::LogEntry>& entries);
 
-  /// As append(), of one entry.
+  /// Same as append() for one entry.
   absl::Status appendOne(const wire::LogEntry& entry);
 
-  /// Writes term, vote and identity without syncing.
+  /// Writes term, vote and identity without a sync.
   absl::Status saveHardState(const wire::HardState& state);
 
-  /// Calls back once all that was written so far is durable; calls that wait share one sync.
+  /// Calls back when everything written so far is durable. Concurrent calls share one sync.
   void sync(SyncCallback done);
 
-  /// Writes a snapshot, then starts a new segment with what `carry` returns at that moment, then removes
-  /// older files.
+  /// Writes a snapshot, then starts a new segment with the state that `carry` returns once the snapshot is durable,
+  /// then removes older files.
   void saveSnapshot(const wire::LogSnapshot& snapshot, std::function<CarriedState()> carry, SyncCallback done);
 
-  /// @return whether a write or sync failed for good.
+  /// @return whether a write or sync failed permanently.
   bool failed() const { return failed_; }
 
   /// @return bytes in the current segment.
@@ -86,15 +86,15 @@
 
   Disk& disk_;
   std::vector<std::string> unsyncedSegments_;  // segments read by open() that may not be durable yet
-  int64_t segment_ = 0;                        // number of the segment being written
-  size_t written_ = 0;                         // bytes of the segment written
-  size_t durable_ = 0;                         // bytes of the segment known to be durable
+  int64_t segment_ = 0;                        // number of the current segment
+  size_t written_ = 0;                         // bytes written to the current segment
+  size_t durable_ = 0;                         // bytes of the current segment known to be durable
   size_t syncTarget_ = 0;                      // bytes that the sync in progress covers
   int64_t syncSegment_ = 0;                    // segment that the sync in progress covers
   bool syncing_ = false;
   bool failed_ = false;
-  std::vector<SyncCallback> syncingCallbacks_;  // served by the sync in progress
-  std::vector<SyncCallback> queuedCallbacks_;   // served by the next sync
+  std::vector<SyncCallback> syncingCallbacks_;  // called after the sync in progress
+  std::vector<SyncCallback> queuedCallbacks_;   // called after the next sync
 };
 
 }  // namespace driftlug::storage
--- a/src/storage/posix_disk.cc
+++ b/src/storage/posix_disk.cc
@@ -126,7 +126,7 @@
 }
 
 absl::Status PosixDisk::syncNow(const std::string& name) {
-  // After a removal only the names count; a full disk has no room for a file created here.
+  // After a removal only the directory entries need a sync; opening would create the file, which fails on a full disk.
   if (isKnownMissing(name)) return folderDirty_ ? syncFolder() : absl::OkStatus();
   const auto file = descriptor(name);
   if (!file.ok()) return file.status();
--- a/src/storage/posix_disk.h
+++ b/src/storage/posix_disk.h
@@ -1,4 +1,4 @@
-/// Files in a real folder.
+/// Disk implementation on the local file system.
 #pragma once
 
 #include <map>
@@ -9,14 +9,14 @@
 
 namespace driftlug::storage {
 
-/// Disk over a folder of the file system. sync() runs at the end of the current turn of the event loop, so that
-/// everything written in one turn shares one fdatasync.
+/// Disk on a folder of the file system. sync() is scheduled without delay, so that everything written before it runs is
+/// covered by one fdatasync.
 class PosixDisk : public Disk {
  public:
   PosixDisk(std::string folder, base::Scheduler& scheduler);
   ~PosixDisk() override;
 
-  /// Creates the folder when it is missing.
+  /// Creates the folder and its parents if they are missing.
   absl::Status createFolder();
 
   absl::StatusOr<std::vector<std::string>> list() override;
@@ -30,7 +30,7 @@
  private:
   std::string path(const std::string& name) const { return folder_ + "/" + name; }
   absl::StatusOr<int> descriptor(const std::string& name);
-  /// @return whether the file is known not to be there; an error that hides it does not count.
+  /// @return whether the file is known not to exist; false on errors other than ENOENT.
   bool isKnownMissing(const std::string& name) const;
   void closeDescriptor(const std::string& name);
   absl::Status syncNow(const std::string& name);
@@ -39,7 +39,7 @@
   std::string folder_;
   base::Scheduler& scheduler_;
   std::map<std::string, int> open_;  // descriptors of files being appended to
-  bool folderDirty_ = true;          // names may have changed since the folder was synced, also by an earlier process
+  bool folderDirty_ = true;          // directory entries may be unsynced, also from an earlier process
 };
 
 }  // namespace driftlug::storage
--- a/src/storage/record_file.cc
+++ b/src/storage/record_file.cc
@@ -10,7 +10,8 @@
 namespace driftlug::storage {
 namespace {
 
-/// Layout: payload length (4), checksum (8) over all that follows, durable bytes (8), type (1), payload.
+/// Layout in bytes: payload length (4), checksum (8) of the other fields and the payload, durable bytes (8), type (1),
+/// payload.
 struct RecordHeader {
   uint32_t payloadBytes;
   uint64_t checksum;
@@ -41,7 +42,7 @@
   return header;
 }
 
-/// @return the header of the valid record that begins at the offset, if there is one.
+/// @return the header of the record at the offset, or nullopt if it is not valid.
 std::optional<RecordHeader> validRecordAt(std::string_view bytes, size_t offset) {
   if (bytes.size() - offset < kHeaderBytes) return std::nullopt;
   const auto rest = bytes.substr(offset);
@@ -51,7 +52,7 @@
   return header;
 }
 
-/// @return whether a valid record behind `damage` proves that the damaged bytes had been durable.
+/// @return whether a valid record after the offset `damage` proves that the damaged bytes were durable.
 bool damageWasDurable(std::string_view bytes, size_t damage) {
   for (size_t offset = damage + 1; offset + kHeaderBytes <= bytes.size(); ++offset) {
     const auto header = validRecordAt(bytes, offset);
--- a/src/transport/event_loop.cc
+++ b/src/transport/event_loop.cc
@@ -143,7 +143,7 @@
 /// Called at each event and timer, not only once per iteration: a process that is stopped under load is usually stopped
 /// in the middle of an iteration.
 void EventLoop::updateClock() {
-  /// Above the longest regular event: 59 ms of CPU time according to a leader's log, which take 0.9 s with 0.065 cores.
+  /// Above the longest regular event: 59 ms of CPU time in the log of a leader, which take 0.9 s with 0.065 of a core.
   constexpr base::Duration kEventStallThreshold = base::seconds(2);
   const auto time = now();
   const auto late = time - std::exchange(expectedWakeup_, time);
