--- a/src/base/decision_log.h
+++ b/src/base/decision_log.h
@@ -1,4 +1,4 @@
-/// Bounded logs of decisions: one line each, with what decided it; under load the less important lines go first.
+/// Rate-limited log of decisions: one line each, with the reasons; under load less important lines are dropped first.
 #pragma once
 
 #include <array>
@@ -10,36 +10,36 @@
 
 namespace driftlug::base {
 
-/// How much a line is worth when not all can be written.
+/// Priority of a line when not all lines can be written.
 enum class LinePriority : size_t {
-  kFailure = 0,  ///< something was refused, given up or is unknown
-  kRoutine = 1,  ///< all went as it should
+  kFailure = 0,  ///< something was rejected, abandoned, or has an unknown outcome
+  kRoutine = 1,  ///< normal operation
 };
 
-/// Lines that may be written.
+/// Rate limits of a log.
 struct DecisionLogLimits {
   double failuresPerSecond = 40;
   double routinePerSecond = 4;
-  double burstSeconds = 2;  ///< lines saved up while it is quiet, as seconds of the rate
+  double burstSeconds = 2;  ///< burst capacity, in seconds of the rate
 };
 
-/// For what may happen with each connection, such as a bound that is reached.
+/// Limits for events that may occur for each connection, such as a reached connection limit.
 inline constexpr DecisionLogLimits kOneLinePerSecond{1, 1, 1};
 
-/// Writes lines of `key=value` fields behind a prefix, each kind of worth with a token bucket of its own. What was
-/// dropped is counted and said with the next line of its kind.
+/// Writes lines of `key=value` fields with a prefix. Each priority has its own token bucket. Dropped lines are counted,
+/// and the next line of the same priority reports their number.
 class DecisionLog {
  public:
   DecisionLog(std::string_view prefix, const TimeSource& time, DecisionLogLimits limits = {});
 
-  /// Writes a line unless its bucket is empty; the line is made only if it is written.
+  /// Writes a line unless its bucket is empty. `makeLine` is called only if the line is written.
   template <typename MakeLine>
   void write(LinePriority priority, MakeLine makeLine) {
     if (!admit(priority)) return;
     emit(priority, makeLine());
   }
 
-  /// @return lines that were not written.
+  /// @return number of dropped lines.
   int64_t dropped() const { return totalDropped_; }
 
  private:
@@ -47,7 +47,7 @@
     double perSecond = 0;
     double tokens = 0;
     TimePoint refilledAt{};
-    int64_t dropped = 0;  // since the last line of this kind
+    int64_t dropped = 0;  // since the last written line of this priority
   };
 
   bool admit(LinePriority priority);
--- a/src/base/error.h
+++ b/src/base/error.h
@@ -8,7 +8,7 @@
 
 namespace driftlug::base {
 
-/// Every failure that the project reports. The numbers travel on the wire and never change.
+/// Error codes of the project. The numbers are sent on the wire and must not change.
 enum class ErrorCode : int {
   kNone = 0,
   // settings and command line
@@ -59,16 +59,16 @@
   kBackendCold = 61,
 };
 
-/// @return the stable lower-case name of a code, as it appears in JSON bodies and logs.
+/// @return the stable lower-case name of a code, as used in JSON bodies and logs.
 std::string_view errorName(ErrorCode code);
 
-/// @return a status with the code as a payload and a short sentence as its message.
+/// @return a status with the code as payload and a short sentence as message.
 absl::Status makeError(ErrorCode code, std::string_view sentence);
 
 /// @return the message of a status as a standard string.
 std::string errorText(const absl::Status& status);
 
-/// @return the code of a status; kNone for OK or for a status made elsewhere.
+/// @return the code of a status; kNone for OK and for statuses that makeError() did not create.
 ErrorCode errorCodeOf(const absl::Status& status);
 
 }  // namespace driftlug::base
--- a/src/base/json_text.h
+++ b/src/base/json_text.h
@@ -1,4 +1,4 @@
-/// JSON values as text.
+/// Serialization of JSON values.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -6,8 +6,8 @@
 
 namespace driftlug::base {
 
-/// @return the value on one line. Bytes that are no UTF-8, such as those of a path that somebody sent, become U+FFFD;
-/// dump() by itself throws for them.
+/// @return the value on one line. Invalid UTF-8, for instance from a received path, is replaced by U+FFFD; plain dump()
+/// would throw.
 inline std::string jsonText(const nlohmann::json& value) {
   constexpr int kOneLine = -1;
   return value.dump(kOneLine, ' ', false, nlohmann::json::error_handler_t::replace);
--- a/src/base/latency_histogram.h
+++ b/src/base/latency_histogram.h
@@ -1,4 +1,4 @@
-/// Counts of latencies in fixed buckets, for the metrics pages.
+/// Latency histogram with fixed buckets, for the metrics pages.
 #pragma once
 
 #include <array>
@@ -8,17 +8,17 @@
 
 namespace driftlug::base {
 
-/// A histogram whose buckets double from 1 ms to about 16 s.
+/// A histogram whose bucket bounds double from 1 ms to 8.192 s.
 class LatencyHistogram {
  public:
-  static constexpr size_t kBuckets = 15;  ///< the last one is for everything above the bounds
+  static constexpr size_t kBuckets = 15;  ///< the last one has no upper bound
 
   void record(Duration latency) {
     ++counts_[bucketOf(latency)];
     sumUs_ += latency.count();
   }
 
-  /// @return the upper bound of a bucket in seconds; of the last one there is none.
+  /// @return the upper bound of a bucket in seconds; not meaningful for the last bucket.
   static double boundSeconds(size_t bucket) { return 0.001 * static_cast<double>(uint64_t{1} << bucket); }
 
   const std::array<int64_t, kBuckets>& counts() const { return counts_; }
--- a/src/base/log.cc
+++ b/src/base/log.cc
@@ -16,8 +16,8 @@
 bool jsonForm = false;
 int64_t droppedLines = 0;
 
-/// Writes to standard output without ever waiting for its reader. Lines shorter than a pipe's atomic size are written
-/// whole or not at all.
+/// Writes to standard output without blocking. Lines up to PIPE_BUF bytes are written to a pipe completely or not at
+/// all.
 class NonBlockingSink : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
  public:
   NonBlockingSink() { ::fcntl(STDOUT_FILENO, F_SETFL, ::fcntl(STDOUT_FILENO, F_GETFL) | O_NONBLOCK); }
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -1,4 +1,4 @@
-/// Structured logs: short sentences behind a fixed prefix for each part of the system.
+/// Logging: short sentences with a fixed prefix for each component.
 #pragma once
 
 #include <spdlog/spdlog.h>
@@ -11,24 +11,24 @@
 
 namespace driftlug::base {
 
-/// Where logs go.
+/// Destination of logs.
 enum class LogTarget {
-  kErrors,  ///< standard error, waiting for the reader: for tools whose output is their result
-  kOutput,  ///< standard output, never waiting: a line that a slow reader has no room for is dropped
+  kErrors,  ///< standard error, blocking: for tools that print results on standard output
+  kOutput,  ///< standard output, non-blocking: lines are dropped if the reader is too slow
 };
 
-/// Sets the process-wide form of logs.
-/// @param json one JSON object a line instead of text
-/// @param level spdlog's name of the lowest level that is written
+/// Configures logging for the process.
+/// @param json write one JSON object per line instead of text
+/// @param level spdlog name of the lowest level that is written
 void configureLogs(bool json, std::string_view level, LogTarget target = LogTarget::kErrors);
 
-/// @return lines that were dropped because nobody read them.
+/// @return number of lines dropped because the reader was too slow.
 int64_t droppedLogLines();
 
-/// Shows this clock's time in the lines of the current thread; null for none. For simulations.
+/// Adds the time of a clock to the log lines of the current thread; null removes it. For simulations.
 void setLogClock(const TimeSource* clock);
 
-/// Writes log lines behind one fixed prefix, such as `control:`.
+/// Writes log lines with a fixed prefix, such as `control:`.
 class Logger {
  public:
   explicit Logger(std::string_view prefix);
--- a/src/base/metrics.h
+++ b/src/base/metrics.h
@@ -1,4 +1,4 @@
-/// A page of metrics in the Prometheus text form, built when it is asked for.
+/// Metrics page in the Prometheus text format, built for each scrape.
 #pragma once
 
 #include <prometheus/metric_family.h>
@@ -11,19 +11,19 @@
 
 namespace driftlug::base {
 
-/// Collects values of one scrape. Names get the prefix `driftlug_`.
+/// Collects the values of one scrape. Adds the prefix `driftlug_` to names.
 class MetricsPage {
  public:
-  /// Adds a value that only grows.
+  /// Adds a monotonic counter.
   void counter(const std::string& name, const std::string& help, int64_t value);
 
-  /// Adds a value that may go up and down.
+  /// Adds a gauge.
   void gauge(const std::string& name, const std::string& help, double value);
 
-  /// Adds the distribution of a latency, in seconds.
+  /// Adds a latency histogram, in seconds.
   void histogram(const std::string& name, const std::string& help, const LatencyHistogram& histogram);
 
-  /// @return the page.
+  /// @return the page in the Prometheus text format.
   std::string text() const;
 
  private:
--- a/src/base/random.h
+++ b/src/base/random.h
@@ -1,4 +1,4 @@
-/// Randomness as the decision logic sees it: seeded, so that a simulation repeats.
+/// Seeded random numbers, so that simulations are reproducible.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +8,7 @@
 
 namespace driftlug::base {
 
-/// A seeded stream of random numbers (PCG-64).
+/// Seeded pseudo-random number generator (PCG-64).
 class RandomSource {
  public:
   explicit RandomSource(uint64_t seed) : engine_(seed) {}
--- a/src/base/settings.cc
+++ b/src/base/settings.cc
@@ -12,7 +12,7 @@
 #include <map>
 #include <set>
 
-DEFINE_string(config, "", "TOML file with settings; flags win over it");
+DEFINE_string(config, "", "TOML file with settings; flags override it");
 DEFINE_bool(check_config, false, "check the settings, print problems and exit");
 DEFINE_bool(log_json, false, "write logs as JSON lines");
 DEFINE_string(log_level, "info", "lowest level written: debug, info, warning, error");
@@ -43,7 +43,7 @@
   return gflags::GetCommandLineFlagInfo(name.c_str(), info) && isProjectFlag(*info);
 }
 
-/// Sets one flag and reports a value of the wrong type or out of range.
+/// Sets a flag; reports a value of the wrong type or out of range.
 void setFlag(const std::string& path, const gflags::CommandLineFlagInfo& info, const std::string& value,
              std::vector<SettingProblem>* problems) {
   if (gflags::SetCommandLineOption(info.name.c_str(), value.c_str()).empty()) {
@@ -75,7 +75,7 @@
   return parsed;
 }
 
-/// Reads the command line; remembers which flags were given.
+/// Reads the command line and collects the names of the given flags.
 class CommandLine {
  public:
   CommandLine(int argc, char** argv, bool allowPositional, SettingsResult* result)
--- a/src/base/time.h
+++ b/src/base/time.h
@@ -1,4 +1,4 @@
-/// Time as the decision logic sees it: durations and points on a clock that only moves forward, in microseconds.
+/// Clock, timer and scheduler interfaces with a monotonic clock in microseconds.
 #pragma once
 
 #include <chrono>
@@ -12,15 +12,15 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// @return a duration in whole milliseconds, as messages and headers carry it.
+/// @return a duration in whole milliseconds, as used in messages and headers.
 inline int32_t millisecondsOf(Duration duration) { return static_cast<int32_t>(duration.count() / 1000); }
 
-/// @return a duration from what is counted in microseconds with fractions, as averages are.
+/// @return a duration from a fractional number of microseconds, such as an average.
 inline Duration microsecondsOf(double count) { return Duration(static_cast<int64_t>(count)); }
 
-/// The clock of all promises that rest on time. It counts the time for which the machine was suspended too: with a
-/// clock that doesn't, a process that is back after some seconds believes leases, freshness and deadlines that have
-/// passed.
+/// Clock for leases, freshness and deadlines (CLOCK_BOOTTIME). It includes the time for which the machine was
+/// suspended: otherwise a process that resumes after some seconds would still trust expired leases, freshness and
+/// deadlines.
 struct BootClock {
   using duration = Duration;
   using rep = duration::rep;
@@ -31,14 +31,14 @@
   static time_point now();
 };
 
-/// A process that wakes so long after it was to was away: longer than one waits for a processor once it is to wake;
-/// peers hold a silent connection for lost by then.
+/// A wakeup this late counts as a stall. Longer than regular scheduling delays; peers treat a silent connection as lost
+/// by then.
 constexpr Duration kStallThreshold = seconds(1);
 
-/// A point on the process's (or the simulation's) clock.
+/// A point in time on the clock of the process or the simulation.
 using TimePoint = BootClock::time_point;
 
-/// Source of such time; never compared between processes.
+/// Source of the current time. Values must not be compared between processes.
 class TimeSource {
  public:
   virtual ~TimeSource() = default;
@@ -47,10 +47,10 @@
   virtual TimePoint now() const = 0;
 };
 
-/// A point in calendar time; differs between machines, and is used for windows of hours only.
+/// A point in calendar time. It differs between machines and is used only for time windows of hours.
 using WallTime = std::chrono::time_point<std::chrono::system_clock, Duration>;
 
-/// Identifies a scheduled callback; 0 is never used.
+/// Identifies a scheduled callback; never 0.
 using TimerId = uint64_t;
 
 /// Runs callbacks later, on the caller's event loop.
@@ -60,14 +60,14 @@
   /// @return an id for cancel().
   virtual TimerId schedule(Duration delay, std::function<void()> callback) = 0;
 
-  /// Forgets a callback that has not run yet; unknown ids are ignored.
+  /// Cancels a callback that has not run yet; unknown ids are ignored.
   virtual void cancel(TimerId id) = 0;
 
-  /// @return calendar time; in a simulation it runs with the virtual clock.
+  /// @return calendar time; in a simulation it advances with the virtual clock.
   virtual WallTime wallTime() const = 0;
 
-  /// After a stall, input that arrived meanwhile is still unread, so the silence of peers is measured up to this time.
-  /// @return the time until which all input that had arrived was read.
+  /// After a stall, input that arrived meanwhile is still unread, so timeouts of peers are measured up to this time.
+  /// @return the time up to which all arrived input was read.
   virtual TimePoint inputReadUntil() const { return now(); }
 };
 
@@ -94,7 +94,7 @@
     id_ = 0;
   }
 
-  /// @return whether the callback is still to come.
+  /// @return whether the callback is pending.
   bool running() const { return id_ != 0; }
 
  private:
