--- a/test/base/decision_log_test.cc
+++ b/test/base/decision_log_test.cc
@@ -6,7 +6,7 @@
 
 namespace driftlug::base {
 
-TEST_CASE("lines are bounded by kind, and a line that is not written is not made") {
+TEST_CASE("lines are rate-limited by priority, and a line that is not written is not built") {
   test::ManualTime time;
   DecisionLog log("test", time, {10, 2, 1});
   int linesBuilt = 0;
--- a/test/base/settings_test.cc
+++ b/test/base/settings_test.cc
@@ -10,7 +10,7 @@
 
 namespace driftlug::base {
 
-TEST_CASE("a setting is read again from the file as it is now") {
+TEST_CASE("reloadSetting() returns the current value in the file") {
   const std::string path = std::tmpnam(nullptr);
   const auto write = [&](const std::string& text) { std::ofstream(path) << text; };
   FLAGS_config = path;
--- a/test/storage/log_store_test.cc
+++ b/test/storage/log_store_test.cc
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-TEST_CASE("entries and hard state are recovered; later entries replace a cut suffix") {
+TEST_CASE("entries and hard state are recovered; later entries replace a truncated suffix") {
   test::MemoryDisk disk;
   storage::LogStore store(disk);
   REQUIRE(store.open().ok());
@@ -48,7 +48,7 @@
   CHECK(state.entries[1].term == 2);
 }
 
-TEST_CASE("calls that wait share one sync") {
+TEST_CASE("concurrent sync() calls share one sync") {
   test::MemoryDisk disk;
   storage::LogStore store(disk);
   REQUIRE(store.open().ok());
@@ -63,7 +63,7 @@
   CHECK(done == 3);
 }
 
-TEST_CASE("a full disk refuses entries and leaves what was there") {
+TEST_CASE("a full disk rejects entries and keeps the earlier ones") {
   test::MemoryDisk disk;
   storage::LogStore store(disk);
   REQUIRE(store.open().ok());
@@ -76,7 +76,7 @@
   CHECK(reopen(disk).entries.size() == 2);
 }
 
-TEST_CASE("a failed sync ends writing for good") {
+TEST_CASE("a failed sync disables writing permanently") {
   test::MemoryDisk disk;
   storage::LogStore store(disk);
   REQUIRE(store.open().ok());
@@ -117,9 +117,9 @@
   CHECK(disk.files.size() <= 3);
 }
 
-TEST_CASE("what was read from several segments is settled as a whole") {
+TEST_CASE("syncRecovered() syncs all segments that open() read") {
   test::MemoryDisk disk;
-  // The process died while it began the second segment: the entries stand in the first one only, not synced yet.
+  // The process died while it started the second segment: the entries are only in the first one, unsynced.
   for (const int64_t index : {1, 2, 3}) {
     const auto payload = wire::encodeStruct(entry(index, 1));
     disk.files["log-0000000000000001"] += storage::encodeRecord(storage::RecordType::kEntry, payload, 0);
@@ -138,8 +138,8 @@
   CHECK(std::count(disk.synced.begin(), disk.synced.end(), "log-0000000000000002") == 1);
 }
 
-TEST_CASE("a log whose machine lost power while a segment began opens again") {
-  constexpr uint64_t kSeeds = 200;  // what a loss of power leaves is drawn
+TEST_CASE("a log opens after a loss of power during the start of a segment") {
+  constexpr uint64_t kSeeds = 200;  // each determines which unsynced writes survive the loss of power
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     simulation::EventQueue queue;
     simulation::Process process(queue, "controller", {"zone-1", "region"}, {"10.0.0.1", 7000});
@@ -165,7 +165,7 @@
       return storage::CarriedState{{}, {log.begin() + 2, log.end()}};
     };
     store.saveSnapshot(snapshot, carry, [](const absl::Status&) {});
-    log.push_back(entry(4, 1));  // not synced when the segment begins
+    log.push_back(entry(4, 1));  // not synced when the segment is started
     REQUIRE(store.append({log.back()}).ok());
     runUntil(begun);
     process.kill();
@@ -182,7 +182,7 @@
 
 namespace {
 
-/// A log on a disk that loses power; remembers what was acknowledged.
+/// A log on a disk that loses power; tracks the acknowledged entries.
 struct PowerLossLog {
   explicit PowerLossLog(uint64_t seed)
       : process(queue, "controller", {"zone-1", "region"}, {"10.0.0.1", 7000}),
@@ -250,7 +250,7 @@
 
 }  // namespace
 
-TEST_CASE("power may be lost at any step of a rotation, and of the next one") {
+TEST_CASE("a loss of power at any step of repeated rotations loses no acknowledged entry") {
   constexpr uint64_t kSeeds = 40;
   constexpr int kSteps = 12;  // more events than a rotation has
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
@@ -271,7 +271,7 @@
   }
 }
 
-TEST_CASE("a folder of segments without marks opens as before") {
+TEST_CASE("a folder of segments without carry-over markers can be opened") {
   test::MemoryDisk disk;
   const auto record = [](int64_t index) {
     return storage::encodeRecord(storage::RecordType::kEntry, wire::encodeStruct(entry(index, 1)), 0);
@@ -284,7 +284,7 @@
   CHECK(base::errorCodeOf(store.open().status()) == base::ErrorCode::kStorageCorrupt);
 }
 
-/// Three entries, of which a snapshot replaces two; the second segment has taken over the third.
+/// Three entries, of which a snapshot replaces two; the second segment carries over the third.
 struct CarryOverFixture {
   CarryOverFixture() : store(disk) {
     REQUIRE(store.open().ok());
@@ -308,9 +308,9 @@
   std::string before;  // the first segment
 };
 
-TEST_CASE_METHOD(CarryOverFixture, "a segment that was taken over from is not read again, though it came back") {
+TEST_CASE_METHOD(CarryOverFixture, "a removed segment that reappears after a loss of power is not read") {
   REQUIRE(disk.files.count("log-0000000000000001") == 0);
-  // The removal was not durable, and its last write never was.
+  // Neither the removal of the segment nor its last write was durable.
   disk.files["log-0000000000000001"] = before.substr(0, before.size() - 1);
   const auto state = reopen(disk);
   REQUIRE(state.entries.size() == 1);
@@ -318,14 +318,14 @@
 }
 
 TEST_CASE_METHOD(CarryOverFixture,
-                 "damage in what a segment took over is refused once something behind it proves that it was durable") {
+                 "damage in a carry-over is an error once a later record proves that it was durable") {
   REQUIRE(store.append({entry(4, 1)}).ok());
   disk.files["log-0000000000000002"][40] ^= 1;
   storage::LogStore damaged(disk);
   CHECK(base::errorCodeOf(damaged.open().status()) == base::ErrorCode::kStorageCorrupt);
 }
 
-TEST_CASE("a crash at every byte of the last segment is recovered") {
+TEST_CASE("a log is recovered after a crash at any byte of the last segment") {
   test::MemoryDisk disk;
   storage::LogStore store(disk);
   REQUIRE(store.open().ok());
--- a/test/storage/posix_disk_test.cc
+++ b/test/storage/posix_disk_test.cc
@@ -15,8 +15,7 @@
 
 }  // namespace
 
-/// Stands in front of the C library's, to see which syncs the disk asks for: their effect shows only at a loss of
-/// power.
+/// Replaces fsync() of the C library to count the syncs of directories, whose effect shows only after a loss of power.
 extern "C" int fsync(int descriptor) {
   struct stat info {};
   if (::fstat(descriptor, &info) == 0 && S_ISDIR(info.st_mode)) ++folderSyncs;
@@ -26,7 +25,7 @@
 namespace driftlug::storage {
 namespace {
 
-/// A folder of its own, and disks of processes that use it one after the other.
+/// A temporary folder for the disks of successive processes.
 struct Fixture {
   Fixture() : process(queue, "process", {"zone-1", "region"}, {"10.0.0.9", 7000}) {
     char name[] = "/tmp/posix-disk-test-XXXXXX";
@@ -52,11 +51,11 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(Fixture, "the first sync of a process covers names that an earlier process changed") {
+TEST_CASE_METHOD(Fixture, "the first sync of a process covers directory entries that an earlier process changed") {
   {
     PosixDisk earlier(folder, process);
     REQUIRE(earlier.append("old", "bytes").ok());
-    // It dies here: what it created was not synced.
+    // The process dies here; the created file is not synced.
   }
   PosixDisk disk(folder, process);
   REQUIRE(sync(disk, "old").ok());
@@ -66,7 +65,7 @@
   CHECK(folderSyncs == 1);
 }
 
-TEST_CASE_METHOD(Fixture, "a sync of a file that is not there covers the names and creates nothing") {
+TEST_CASE_METHOD(Fixture, "a sync of a missing file syncs the directory entries and does not create the file") {
   PosixDisk disk(folder, process);
   REQUIRE(disk.append("file", "bytes").ok());
   REQUIRE(sync(disk, "file").ok());
--- a/test/storage/record_file_test.cc
+++ b/test/storage/record_file_test.cc
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-TEST_CASE("a tail torn at any byte is cut to whole records") {
+TEST_CASE("a tail torn at any byte is truncated to complete records") {
   const auto bytes = threeRecords();
   for (size_t cut = 0; cut < bytes.size(); ++cut) {
     const auto scan = storage::scanRecords(bytes.substr(0, cut), true);
@@ -30,7 +30,7 @@
   }
 }
 
-TEST_CASE("damage in a synced record is refused wherever it is") {
+TEST_CASE("damage at any byte of a synced record is an error") {
   const auto bytes = threeRecords();
   const size_t synced = bytes.size() - storage::encodeRecord(RecordType::kEntry, "third", 0).size();
   for (size_t position = 0; position < synced; ++position) {
@@ -40,7 +40,7 @@
   }
 }
 
-TEST_CASE("a hole in what was never synced is a torn tail, even with a good record behind it") {
+TEST_CASE("damage in an unsynced record is a torn tail, even if a valid record follows") {
   std::string bytes = storage::encodeRecord(RecordType::kEntry, "first", 0);
   const auto good = bytes.size();
   bytes += storage::encodeRecord(RecordType::kEntry, "second", 0);
--- a/test/transport/descriptors_test.cc
+++ b/test/transport/descriptors_test.cc
@@ -1,4 +1,4 @@
-/// What servers do when descriptors run short, and what callers that give up leave behind.
+/// Server behaviour when file descriptors run out, and after clients have given up.
 #include <catch2/catch.hpp>
 
 #include <dirent.h>
@@ -34,7 +34,7 @@
   return numbers;
 }
 
-/// Lowers the limit of descriptors so that none is left; restores it at the end.
+/// Lowers the descriptor limit so that no descriptor is free; restores it on destruction.
 class DescriptorExhaustion {
  public:
   DescriptorExhaustion() {
@@ -55,7 +55,7 @@
   rlimit before_{};
 };
 
-/// Connects to 127.0.0.1 without waiting.
+/// Connects a socket to 127.0.0.1.
 int connectTo(int socket, int port) {
   sockaddr_in address{};
   address.sin_family = AF_INET;
@@ -64,7 +64,7 @@
   return ::connect(socket, reinterpret_cast<const sockaddr*>(&address), sizeof(address));
 }
 
-/// A server that answers only when the test says so.
+/// A server whose requests are answered only by the test.
 struct Fixture {
   Fixture()
       : server(
@@ -74,8 +74,8 @@
   }
   ~Fixture() { loop.close(); }
 
-  /// Runs the loop for some time.
-  /// @return its turns
+  /// Runs the loop for a duration.
+  /// @return number of iterations
   int runFor(base::Duration duration) {
     bool over = false;
     loop.schedule(duration, [&] { over = true; });
@@ -84,7 +84,7 @@
     return turns;
   }
 
-  /// Connects a caller and sends what fits the system's buffers; the server deals with it when the loop runs.
+  /// Connects a client and sends bytes; the server handles them when the loop runs.
   int connectAndSend(const std::string& bytes) const {
     const int socket = ::socket(AF_INET, SOCK_STREAM, 0);
     REQUIRE(connectTo(socket, server.port()) == 0);
@@ -102,13 +102,13 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(Fixture, "without descriptors a listener waits, and accepts once there are some") {
+TEST_CASE_METHOD(Fixture, "without free descriptors a listener waits, and accepts once there are some") {
   const int client = ::socket(AF_INET, SOCK_STREAM, 0);
   {
     DescriptorExhaustion none;
     REQUIRE(connectTo(client, server.port()) == 0);
     REQUIRE(::send(client, kRequest.data(), kRequest.size(), MSG_NOSIGNAL) > 0);
-    // A loop that spins makes tens of thousands of turns in this time.
+    // A busy loop would run tens of thousands of iterations in this time.
     CHECK(runFor(base::milliseconds(300)) < 50);
     CHECK(server.counters().connections == 0);
   }
@@ -130,7 +130,7 @@
     std::vector<int> callers;
     for (size_t i = 0; i < kCallers; ++i) callers.push_back(connectAndSend(bytes));
     (void)runFor(base::milliseconds(30));
-    for (const int caller : callers) ::close(caller);  // with its request unanswered, or half sent
+    for (const int caller : callers) ::close(caller);  // its request is unanswered or incomplete
     (void)runFor(base::milliseconds(30));
     most = std::max(most, openDescriptors().size() - before);
   }
@@ -151,7 +151,7 @@
 
 namespace {
 
-/// A server that takes few connections, and answers each request at once unless the test says otherwise.
+/// A server with a small connection limit.
 struct BoundedFixture : public Fixture {
   static constexpr size_t kBound = 8;
   static constexpr auto kIdle = base::milliseconds(50);
@@ -166,7 +166,7 @@
     for (const int caller : callers) ::close(caller);
   }
 
-  /// Connects callers, each with a request.
+  /// Connects clients that each send one request.
   void call(size_t count) {
     for (size_t i = 0; i < count; ++i) callers.push_back(connectAndSend(kRequest));
     (void)runFor(base::milliseconds(30));
@@ -177,7 +177,7 @@
     (void)runFor(base::milliseconds(10));
   }
 
-  /// @return whether the server has closed a caller's connection in order; what it answered is dropped.
+  /// @return whether the server has closed a connection without a reset; discards its responses.
   static bool closedInOrder(int caller) {
     char buffer[4096];
     ssize_t count = 0;
@@ -191,14 +191,14 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(BoundedFixture, "at the bound connections that were unused the longest make room") {
+TEST_CASE_METHOD(BoundedFixture, "at the connection limit the longest idle connections are evicted") {
   for (size_t i = 0; i < kBound - 1; ++i) {
     call(1);
     answerAll();
   }
   (void)runFor(2 * kIdle);
   CHECK(server.counters().idleConnectionsEvicted == 0);
-  // The first of these reaches the bound, and so does the second behind it.
+  // Each of these two connections reaches the limit.
   call(2);
   CHECK(exchanges.size() == kBound + 1);
   CHECK(server.connections() < kBound);
@@ -208,25 +208,25 @@
   CHECK(aborted == 0);
 }
 
-TEST_CASE_METHOD(BoundedFixture, "at the bound of connections in use, new callers wait until one ends") {
+TEST_CASE_METHOD(BoundedFixture, "at the limit of connections in use, new connections wait until one ends") {
   call(kBound + 3);
   CHECK(exchanges.size() == kBound);
   CHECK(server.connections() == kBound);
   CHECK(!server.accepting());
-  // The loop rests meanwhile.
+  // The loop is not busy meanwhile.
   CHECK(runFor(base::milliseconds(300)) < 50);
   ::close(callers.front());
   callers.erase(callers.begin());
   (void)runFor(base::milliseconds(30));
   CHECK(exchanges.size() == kBound + 1);
   CHECK(!server.accepting());
-  SECTION("or has been answered, and is not used again") {
+  SECTION("or was answered and has been idle") {
     answerAll();
     (void)runFor(base::milliseconds(300));
     CHECK(exchanges.size() == kBound + 3);
     CHECK(server.counters().idleConnectionsEvicted >= 2);
   }
-  SECTION("or the bound is raised") {
+  SECTION("or the limit is raised") {
     server.setOptions({});
     (void)runFor(base::milliseconds(30));
     CHECK(exchanges.size() == kBound + 3);
@@ -234,11 +234,11 @@
   }
 }
 
-TEST_CASE_METHOD(BoundedFixture, "a connection whose request has arrived does not make room for another") {
+TEST_CASE_METHOD(BoundedFixture, "a connection with an unread request is not evicted") {
   call(kBound);
   answerAll();
   const auto answered = exchanges.size();
-  // All but the last have sent again, which the server has not read yet when its bound makes it look for room.
+  // All but the last have sent another request, which is unread when setOptions() evicts idle connections.
   std::this_thread::sleep_for(2 * kIdle);
   for (size_t i = 0; i + 1 < kBound; ++i) {
     REQUIRE(::send(callers[i], kRequest.data(), kRequest.size(), MSG_NOSIGNAL) > 0);
@@ -250,7 +250,7 @@
   CHECK(aborted == 0);
 }
 
-TEST_CASE_METHOD(BoundedFixture, "without descriptors connections that nobody uses make room") {
+TEST_CASE_METHOD(BoundedFixture, "without free descriptors idle connections are evicted") {
   call(4);
   answerAll();
   (void)runFor(2 * kIdle);
--- a/test/transport/event_loop_test.cc
+++ b/test/transport/event_loop_test.cc
@@ -15,7 +15,7 @@
 namespace driftlug::transport {
 namespace {
 
-/// @return the clocks of all timers that this process has, as the system tells.
+/// @return the clock ids of all timerfds of this process, from /proc.
 std::string timerClockIds() {
   std::string clocks;
   for (const auto& file : std::filesystem::directory_iterator("/proc/self/fdinfo")) {
@@ -29,10 +29,10 @@
 
 constexpr base::Duration kStopDuration = base::milliseconds(1500);
 
-/// A process of its own that runs a loop and says on a pipe what happens to it, in order: a letter for each event.
+/// A child process that runs a loop and reports its events on a pipe, in order, one letter each.
 class Child {
  public:
-  /// @param setUp what the loop of the process does; it gets the file that it reads from, and says letters
+  /// Sets up the loop of the child; receives its input descriptor and a function that reports a letter.
   using SetUp = std::function<void(EventLoop&, int, const std::function<void(char)>&)>;
 
   explicit Child(const SetUp& setUp) {
@@ -49,7 +49,7 @@
     for (const int end : {toChild_[0], toChild_[1], fromChild_[0], fromChild_[1]}) ::close(end);
   }
 
-  /// @return what was said up to a letter.
+  /// @return the reported letters up to and including `last`.
   std::string readEventsUntil(char last) {
     std::string events;
     char letter = 0;
@@ -59,7 +59,7 @@
 
   void write() { REQUIRE(::write(toChild_[1], "x", 1) == 1); }
 
-  /// Stops it for a while, in which something arrives.
+  /// Stops the child for a duration; input arrives meanwhile.
   void stopFor(base::Duration duration) {
     REQUIRE(::kill(process_, SIGSTOP) == 0);
     write();
@@ -85,7 +85,7 @@
 
 }  // namespace
 
-TEST_CASE("time and timers count what a suspended machine does not see") {
+TEST_CASE("the clock and the timers include the time for which the machine was suspended") {
   EventLoop loop;
   const auto before = base::BootClock::now();
   const auto now = loop.now();
@@ -98,10 +98,10 @@
   loop.close();
 }
 
-TEST_CASE("a process that was stopped does what is due, and hears of it, before it reads what has waited") {
+TEST_CASE("after a stop, expired timers run and the stall is reported before pending input is read") {
   Child child([](EventLoop& loop, int in, const auto& report) {
     loop.onStall([report](base::Duration late) { report(late > kStopDuration / 2 ? 'o' : '?'); });
-    // Due while the process is stopped.
+    // Expires while the process is stopped.
     loop.schedule(base::milliseconds(600), [report] { report('t'); });
     loop.watchFile(in, [&loop, in, report] {
       char byte = 0;
@@ -111,12 +111,12 @@
     });
   });
   CHECK(child.readEventsUntil('.') == ".");
-  ::usleep(100'000);  // it waits for an event now
+  ::usleep(100'000);  // now the child waits for an event
   child.stopFor(base::milliseconds(600) + kStopDuration);
   CHECK(child.readEventsUntil('r') == "tor");
 }
 
-TEST_CASE("a process that was stopped in the middle of a turn hears of it before it reads more") {
+TEST_CASE("a stall within an iteration is reported before more input is read") {
   Child child([](EventLoop& loop, int in, const auto& report) {
     loop.onStall([report](base::Duration late) { report(late > kStopDuration ? 'o' : '?'); });
     loop.watchFile(in, [&loop, in, report, reads = 0]() mutable {
@@ -124,7 +124,7 @@
       if (::read(in, &byte, 1) != 1) return;
       report('r');
       if (++reads == 2) return loop.stop();
-      ::usleep(300'000);  // is stopped in it
+      ::usleep(300'000);  // the child is stopped during this sleep
     });
   });
   child.write();
@@ -133,7 +133,7 @@
   CHECK(child.readEventsUntil('r') == "or");
 }
 
-TEST_CASE("a turn that takes long, and a wait without timers, are no sleep") {
+TEST_CASE("a long event and a wait without timers are not reported as stalls") {
   Child child([](EventLoop& loop, int in, const auto& report) {
     loop.onStall([report](base::Duration /*late*/) { report('o'); });
     loop.watchFile(in, [&loop, in, report, reads = 0]() mutable {
@@ -151,7 +151,7 @@
   CHECK(child.readEventsUntil('r') == "r");
 }
 
-TEST_CASE("an event that keeps the loop from all others is counted, waiting is not") {
+TEST_CASE("a long event is counted, waiting is not") {
   EventLoop loop;
   loop.schedule(base::milliseconds(150), [&loop] {
     ::usleep(120'000);
@@ -162,12 +162,12 @@
   CHECK(loop.longEvents().longest >= base::milliseconds(120));
 }
 
-TEST_CASE("behind a long event the input counts as read up to its begin") {
+TEST_CASE("after a long event the input counts as read up to its beginning") {
   EventLoop loop;
   int ends[2] = {-1, -1};
   REQUIRE(::pipe2(ends, O_NONBLOCK | O_CLOEXEC) == 0);
   constexpr base::Duration kLong = base::milliseconds(200);
-  std::vector<base::Duration> unread;  // at timers: for how long nothing was read
+  std::vector<base::Duration> unread;  // age of inputReadUntil() in timer callbacks
   loop.watchFile(ends[0], [&] {
     char byte = 0;
     if (::read(ends[0], &byte, 1) != 1) return;
--- a/test/transport/frame_transport_test.cc
+++ b/test/transport/frame_transport_test.cc
@@ -12,7 +12,7 @@
 namespace driftlug::transport {
 namespace {
 
-/// Remembers what a transport told.
+/// Records the events of a transport.
 struct Recorder : public base::ConnectionHandler {
   void onOpen(base::ConnectionId connection, const wire::Hello& peer) override {
     open.push_back(connection);
@@ -55,7 +55,7 @@
       if (right.listen("127.0.0.1", port).ok()) break;
     }
     connection = left.connect({"127.0.0.1", port});
-    // Greetings cross within a millisecond; beside busy processes a turn of the loop may come 10 ms late.
+    // The Hellos take less than a millisecond, but on a busy machine an iteration may be 10 ms late.
     for (int i = 0; i < 100 && (leftRecorder.open.empty() || rightRecorder.open.empty()); ++i) settle(loop);
     REQUIRE(leftRecorder.open.size() == 1);
     REQUIRE(rightRecorder.open.size() == 1);
@@ -79,7 +79,7 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(Fixture, "frames between zones are compressed, and arrive as they were in both directions") {
+TEST_CASE_METHOD(Fixture, "frames between zones are compressed, and arrive unchanged in both directions") {
   const bool compress = GENERATE(false, true);
   begin("zone-a", "zone-b", compress);
   constexpr int kFrames = 50;
@@ -112,7 +112,7 @@
   REQUIRE(rightRecorder.messages.size() == 1);
   CHECK(rightRecorder.from[0] != own);
   CHECK(right.counters().bytesSent == sent);
-  // What comes back is heard on the side that connected.
+  // A reply arrives on the connection id of the side that connected.
   right.send(rightRecorder.from[0], request(10));
   settle(loop);
   REQUIRE(rightRecorder.messages.size() == 2);
@@ -123,7 +123,7 @@
   CHECK(rightRecorder.closed[0] == rightRecorder.from[0]);
 }
 
-TEST_CASE_METHOD(Fixture, "at the bound of accepted connections another one ends before its greeting") {
+TEST_CASE_METHOD(Fixture, "at the limit of accepted connections another one is closed before the Hello") {
   begin("zone-a", "zone-a", false);
   right.setMaxAcceptedConnections(2);
   const auto second = left.connect({"127.0.0.1", port});
@@ -137,7 +137,7 @@
   CHECK(right.counters().refused == 1);
   CHECK(right.accepted() == 2);
   CHECK(left.opened() == 2);
-  // A connection that ends makes room, and one to the own address takes none.
+  // A closed connection frees its place; a connection to the own address does not count.
   left.close(second);
   (void)right.connect({"127.0.0.1", port});
   settle(loop);
@@ -147,7 +147,7 @@
   CHECK(right.accepted() == 2);
 }
 
-TEST_CASE_METHOD(Fixture, "bytes that are no frames end the connection") {
+TEST_CASE_METHOD(Fixture, "bytes that are not a frame close the connection") {
   begin("zone-a", "zone-b", false);
   RawClient client(loop, port);
   client.send(std::string(200, '\xff'));
@@ -157,7 +157,8 @@
 
 namespace {
 
-/// A peer that greets, reads everything and may say nothing more: as a connection that fell silent on the way.
+/// A peer that sends a Hello and reads everything. Unless repliesToKeepAlives is set, it then stays silent, as if the
+/// path had failed.
 struct ScriptedPeer : public StreamHandler {
   ScriptedPeer(EventLoop& loop, bool returnsKeepAlives)
       : listener(loop, [this, returnsKeepAlives](auto accepted) {
@@ -191,7 +192,7 @@
 
 }  // namespace
 
-TEST_CASE("a message that has arrived in part is told as such") {
+TEST_CASE("a partially received message is reported") {
   EventLoop loop;
   FrameTransport transport(loop, "own");
   Recorder recorder;
@@ -231,15 +232,15 @@
     transport.send(connection, wire::encodeFrame(wire::KeepAlive()));
     runFor(loop, base::milliseconds(50));
   }
-  // From a peer that does not say that it returns them, nothing is expected.
+  // A peer that does not announce answers to keep-alives is not expected to send them.
   const bool closed = returns && !peer.repliesToKeepAlives;
   CHECK(recorder.closed.size() == (closed ? 1 : 0));
   CHECK(transport.counters().keepAliveTimeouts == (closed ? 1 : 0));
   loop.close();
 }
 
-TEST_CASE_METHOD(Fixture,
-                 "keep-alives are returned on connections that others opened, and end the silent among those") {
+TEST_CASE_METHOD(
+    Fixture, "keep-alives are answered on accepted connections, and an accepted connection without them is closed") {
   left.enableKeepAlives(kLimit);
   right.enableKeepAlives(kLimit);
   begin("zone-a", "zone-a", false);
@@ -249,14 +250,14 @@
   }
   CHECK(leftRecorder.closed.empty());
   CHECK(rightRecorder.closed.empty());
-  // Its opener has fallen silent: it opens another one, and this one is held for nothing.
+  // The left side sends no more keep-alives, as if its path had failed; the right side frees the connection.
   runFor(loop, kLimit * 6);
   CHECK(leftRecorder.closed.size() + rightRecorder.closed.size() >= 1);
   CHECK(right.counters().keepAliveTimeouts == 1);
 }
 
-TEST_CASE_METHOD(Fixture, "a connection that is slow to come up gets the time that was given") {
-  // A listener whose queue is full drops the openings of connections, as a link does whose queue is.
+TEST_CASE_METHOD(Fixture, "a connection that is slow to open gets the given connect timeout") {
+  // A listener with a full backlog drops SYNs, like a link with a full queue.
   const int listener = ::socket(AF_INET, SOCK_STREAM, 0);
   sockaddr_in address{};
   address.sin_family = AF_INET;
@@ -279,9 +280,8 @@
   ::close(listener);
 }
 
-TEST_CASE_METHOD(Fixture,
-                 "a peer that stands still keeps its connection unless more waits for it than its window takes") {
-  // The system acknowledges for a process that stands still, until what it holds for it is full.
+TEST_CASE_METHOD(Fixture, "a stalled peer keeps its connection unless more bytes are unsent than its window holds") {
+  // The kernel acknowledges bytes for a stalled process until its receive buffer is full.
   const int listener = ::socket(AF_INET, SOCK_STREAM, 0);
   sockaddr_in address{};
   address.sin_family = AF_INET;
--- a/test/transport/http_client_test.cc
+++ b/test/transport/http_client_test.cc
@@ -10,7 +10,7 @@
 namespace driftlug::transport {
 namespace {
 
-/// A server and a client of one connection on one loop.
+/// A server and a client pool with one connection on the same loop.
 struct Fixture {
   Fixture()
       : server(
@@ -20,7 +20,7 @@
               server.respond(exchange, answer(requests.back()));
             },
             [](ExchangeId) {}) {
-    // Any free port will do; the range is tried in order.
+    // Uses the first free port of the range.
     constexpr int kFirstPort = 39'000;
     constexpr int kLastPort = 39'200;
     for (port = kFirstPort; port < kLastPort; ++port) {
@@ -96,7 +96,7 @@
 
 namespace {
 
-/// A server that answers with bytes written by hand, and a pool that knows its requests by a header.
+/// A server that answers with scripted bytes, and a pool that matches responses by a correlation header.
 struct ScriptedServer {
   ScriptedServer()
       : listener(loop, [this](std::shared_ptr<TcpStream> stream) {
@@ -148,7 +148,8 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(ScriptedServer, "an answer to an earlier request is dropped, and the own one is waited for") {
+TEST_CASE_METHOD(ScriptedServer,
+                 "a response to an earlier request is dropped, and the pool waits for the matching one") {
   onRequest = [](TcpStream& stream) { stream.write(std::string(kOther) + kOwn); };
   const auto result = send("1");
   CHECK(result.outcome == HttpOutcome::kCompleted);
@@ -158,14 +159,14 @@
   CHECK(connections.size() == 2);
 }
 
-TEST_CASE_METHOD(ScriptedServer, "a connection with bytes behind its answer is not used again") {
+TEST_CASE_METHOD(ScriptedServer, "a connection with bytes after its response is not reused") {
   onRequest = [](TcpStream& stream) { stream.write(std::string(kOwn) + kOther); };
   CHECK(send("1").response.body == "own");
   CHECK(send("1").response.body == "own");
   CHECK(connections.size() == 2);
 }
 
-TEST_CASE_METHOD(ScriptedServer, "bytes on an idle connection end it and belong to nobody") {
+TEST_CASE_METHOD(ScriptedServer, "bytes on an idle connection close it and are dropped") {
   onRequest = [](TcpStream& stream) { stream.write(kOwn); };
   CHECK(send("1").response.body == "own");
   connections[0]->stream->write(kOther);
@@ -176,16 +177,16 @@
   CHECK(connections.size() == 2);
 }
 
-TEST_CASE_METHOD(ScriptedServer, "a connection is kept no longer than the server says") {
+TEST_CASE_METHOD(ScriptedServer, "a connection is kept no longer than the server's Keep-Alive timeout") {
   onRequest = [](TcpStream& stream) {
     stream.write("HTTP/1.1 200 OK\r\nkeep-alive: timeout=0\r\ncontent-length: 0\r\n\r\n");
   };
-  SECTION("it says no time") {
+  SECTION("a timeout of 0 counts as none") {
     (void)send("1");
     (void)send("1");
     CHECK(connections.size() == 1);
   }
-  SECTION("it says that it closes") {
+  SECTION("the server announces a close") {
     onRequest = [](TcpStream& stream) {
       stream.write("HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: 0\r\n\r\n");
     };
@@ -193,7 +194,7 @@
     (void)send("1");
     CHECK(connections.size() == 2);
   }
-  SECTION("the time that it states is shorter than the margin") {
+  SECTION("the timeout is little longer than the margin") {
     onRequest = [](TcpStream& stream) {
       stream.write("HTTP/1.1 200 OK\r\nkeep-alive: timeout=1\r\ncontent-length: 0\r\n\r\n");
     };
@@ -206,7 +207,7 @@
   }
 }
 
-TEST_CASE_METHOD(ScriptedServer, "an answer that breaks off is unknown, whatever of it has come") {
+TEST_CASE_METHOD(ScriptedServer, "a truncated response gives an unknown outcome") {
   onRequest = [this](TcpStream& stream) {
     stream.write("HTTP/1.1 200 OK\r\ncontent-length: 30\r\n\r\npart");
     loop.schedule(base::milliseconds(5), [&stream] { stream.close(); });
@@ -214,7 +215,8 @@
   CHECK(send("1").outcome == HttpOutcome::kUnknown);
 }
 
-TEST_CASE_METHOD(ScriptedServer, "bytes that are no answer are unknown, and the connection ends") {
+TEST_CASE_METHOD(ScriptedServer,
+                 "bytes that are not a response give an unknown outcome, and the connection is closed") {
   onRequest = [](TcpStream& stream) { stream.write("garbage\r\n\r\n"); };
   CHECK(send("1").outcome == HttpOutcome::kUnknown);
   onRequest = [](TcpStream& stream) { stream.write(kOwn); };
@@ -224,7 +226,7 @@
 
 namespace {
 
-/// Connections that all fall silent at a moment, while new ones work.
+/// Idle connections that all fail at the same moment, while new ones work.
 struct UnresponsiveServer : ScriptedServer {
   UnresponsiveServer() {
     onRequest = [this](TcpStream& stream) {
@@ -251,20 +253,21 @@
     while (!over) loop.runOnce();
   }
 
-  size_t unresponsiveConnections = 0;  // that many of the first connections give no answer
+  size_t unresponsiveConnections = 0;  // so many of the first connections get no response
 };
 
 }  // namespace
 
-TEST_CASE_METHOD(UnresponsiveServer, "behind a request that got no answer, idle connections of its time are not used") {
+TEST_CASE_METHOD(UnresponsiveServer,
+                 "after an unanswered request, connections that were idle meanwhile are not reused") {
   std::optional<HttpResult> first;
   const auto id = start(base::milliseconds(900), [&](const HttpResult& result) { first = result; });
-  SECTION("its time is over") {
+  SECTION("it has timed out") {
     while (!first) loop.runOnce();
     CHECK(first->outcome == HttpOutcome::kUnknown);
     CHECK(first->timedOut);
   }
-  SECTION("it is given up since another endpoint has answered") {
+  SECTION("it is cancelled because another endpoint has answered") {
     runFor(base::milliseconds(800));
     pool->cancel(id);
   }
@@ -275,7 +278,7 @@
   CHECK(connections.size() == 4);
 }
 
-TEST_CASE_METHOD(UnresponsiveServer, "a request that is given up soon tells nothing of other connections") {
+TEST_CASE_METHOD(UnresponsiveServer, "a request that is cancelled early does not affect other connections") {
   unresponsiveConnections = 0;
   onRequest = [this](TcpStream& stream) {
     if (requests > 4) stream.write(kOwn);
--- a/test/transport/http_reader_test.cc
+++ b/test/transport/http_reader_test.cc
@@ -9,15 +9,15 @@
 
 constexpr size_t kMaxBody = 4096;
 
-/// What a reader made of a stream.
+/// Result of reading a stream.
 struct ReadResult {
-  std::vector<std::string> messages;  ///< start line, headers and body of each whole message
+  std::vector<std::string> messages;  ///< start line, headers and body of each complete message
   HttpProgress last = HttpProgress::kIncomplete;
 
   bool operator==(const ReadResult&) const = default;
 };
 
-/// Feeds a stream in pieces of random sizes.
+/// Feeds a stream in pieces of random sizes, or in one piece if `random` is null.
 ReadResult readInPieces(HttpReader::Kind kind, const std::string& stream, base::RandomSource* random) {
   HttpReader reader(kind, {2048, kMaxBody});
   ReadResult outcome;
@@ -54,7 +54,7 @@
 
 }  // namespace
 
-TEST_CASE("how a stream is cut into pieces changes nothing") {
+TEST_CASE("the result does not depend on how a stream is split into pieces") {
   const auto kind = GENERATE(HttpReader::Kind::kRequests, HttpReader::Kind::kResponses);
   base::RandomSource random(11);
   for (int round = 0; round < 300; ++round) {
@@ -93,7 +93,7 @@
   }
 }
 
-TEST_CASE("an answer without a length is whole only when its connection ended in order") {
+TEST_CASE("a response without a length is complete only after an orderly end of the connection") {
   HttpReader reader(HttpReader::Kind::kResponses, {});
   const std::string text = "HTTP/1.1 200 OK\r\n\r\nsome bytes";
   std::string_view bytes = text;
@@ -102,7 +102,7 @@
   CHECK(reader.takeBody() == "some bytes");
 }
 
-TEST_CASE("an answer that is cut short is not whole, also when its connection ended in order") {
+TEST_CASE("a truncated response is not complete, even after an orderly end of the connection") {
   const std::string text = GENERATE("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nsome bytes",
                                     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n", "HTTP/1.1 20");
   HttpReader reader(HttpReader::Kind::kResponses, {});
--- a/test/transport/http_server_test.cc
+++ b/test/transport/http_server_test.cc
@@ -7,7 +7,7 @@
 namespace driftlug::transport {
 namespace {
 
-/// A server that keeps what it is asked until the test answers.
+/// A server that keeps its requests until the test answers.
 struct Fixture {
   Fixture()
       : server(
@@ -73,7 +73,7 @@
   CHECK(second < third);
 }
 
-TEST_CASE_METHOD(Fixture, "more pipelined requests than are taken at once wait, and none is lost") {
+TEST_CASE_METHOD(Fixture, "pipelined requests over the limit wait, and none is lost") {
   RawClient client(loop, server.port());
   constexpr size_t kRequests = 150;
   std::string bytes;
@@ -88,7 +88,7 @@
   }
 }
 
-TEST_CASE_METHOD(Fixture, "a request that could be read in two ways is refused, and the connection ends") {
+TEST_CASE_METHOD(Fixture, "an ambiguous request is rejected, and the connection is closed") {
   const std::string ambiguous = GENERATE(
       "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
       "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd",
@@ -102,7 +102,7 @@
   CHECK(client.ended());
 }
 
-TEST_CASE_METHOD(Fixture, "what is over a limit is refused by its own status") {
+TEST_CASE_METHOD(Fixture, "a request over a limit is rejected with a status for that limit") {
   RawClient client(loop, server.port());
   SECTION("a head") {
     client.send("GET / HTTP/1.1\r\nHost: h\r\nX-Long: " + std::string(600, 'x') + "\r\n\r\n");
@@ -129,7 +129,7 @@
   CHECK(requests[0].body.size() == 1001);
 }
 
-TEST_CASE_METHOD(Fixture, "a caller that closes is noticed while its answers are pending") {
+TEST_CASE_METHOD(Fixture, "a close by the client is detected while its responses are pending") {
   RawClient client(loop, server.port());
   client.send("GET /1 HTTP/1.1\r\nHost: h\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\n\r\n");
   REQUIRE(requests.size() == 2);
@@ -140,7 +140,7 @@
   CHECK(server.pending() == 0);
 }
 
-TEST_CASE_METHOD(Fixture, "a caller that ends its sending direction counts as one that has closed") {
+TEST_CASE_METHOD(Fixture, "a client that closes its sending direction counts as disconnected") {
   RawClient client(loop, server.port());
   client.send("GET /1 HTTP/1.1\r\nHost: h\r\n\r\n");
   REQUIRE(requests.size() == 1);
@@ -149,7 +149,7 @@
   CHECK(aborted == exchanges);
 }
 
-TEST_CASE_METHOD(Fixture, "a request is not taken when its caller has closed before it was read") {
+TEST_CASE_METHOD(Fixture, "a request is not delivered if its client closed before it was read") {
   RawClient client(loop, server.port());
   client.send("GET /1 HTTP/1.1\r\nHost: h\r\n\r\n");
   REQUIRE(requests.size() == 1);
@@ -162,7 +162,7 @@
   CHECK(server.pending() == 0);
 }
 
-TEST_CASE_METHOD(Fixture, "a request on a new connection that was closed before it was accepted is not taken") {
+TEST_CASE_METHOD(Fixture, "a request on a connection that was closed before it was accepted is not delivered") {
   std::vector<std::unique_ptr<RawClient>> clients;
   for (int i = 0; i < 5; ++i) {
     clients.push_back(std::make_unique<RawClient>(loop, server.port(), RawClient::Accepted::kLater));
@@ -173,13 +173,13 @@
   CHECK(requests.size() == 1);
 }
 
-TEST_CASE_METHOD(Fixture, "a close is seen also while the server has paused to read") {
+TEST_CASE_METHOD(Fixture, "a close is detected while the server has paused reading") {
   RawClient client(loop, server.port());
   constexpr size_t kChunkBytes = 64U << 10;
   std::string chunk;
   while (chunk.size() < kChunkBytes) chunk += "GET /x HTTP/1.1\r\nHost: h\r\n\r\n";
-  // The server stops to read at 256 KiB behind what it takes: with five chunks it has read all, and the system holds
-  // nothing back that would keep the client's close from arriving.
+  // The server pauses reading with more than 256 KiB unparsed. It has read all five chunks by then, so that no unread
+  // bytes in the kernel keep the client's close from arriving.
   for (int i = 0; i < 5; ++i) client.send(chunk);
   REQUIRE(requests.size() == server.options().maxPipelined);
   SECTION("in order") { client.close(); }
@@ -191,7 +191,7 @@
   CHECK(requests.size() == server.options().maxPipelined);
 }
 
-TEST_CASE_METHOD(Fixture, "headers of one connection are not passed on") {
+TEST_CASE_METHOD(Fixture, "hop-by-hop headers are not passed on") {
   RawClient client(loop, server.port());
   client.send(
       "GET / HTTP/1.1\r\nHost: h\r\nConnection: keep-alive, X-Own\r\nX-Own: 1\r\nKeep-Alive: 5\r\nX-Kept: 2\r\n\r\n");
@@ -202,7 +202,7 @@
   CHECK(requests[0].header("x-kept") == "2");
 }
 
-TEST_CASE_METHOD(Fixture, "the last answer says so, and the connection ends behind it") {
+TEST_CASE_METHOD(Fixture, "the last response announces the close, and the connection is closed after it") {
   RawClient client(loop, server.port());
   SECTION("because the caller asked for it") { client.send("GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"); }
   SECTION("because the server drains") {
@@ -218,7 +218,7 @@
   CHECK(client.ended());
 }
 
-TEST_CASE_METHOD(Fixture, "answers to HEAD have no body, and a caller that waits for 100 is told to go on") {
+TEST_CASE_METHOD(Fixture, "responses to HEAD have no body, and Expect: 100-continue is answered") {
   RawClient client(loop, server.port());
   client.send("HEAD / HTTP/1.1\r\nHost: h\r\n\r\n");
   answer(0, "hidden");
@@ -232,7 +232,7 @@
   CHECK(requests[1].body == "ok");
 }
 
-TEST_CASE_METHOD(Fixture, "an answer counts as unsent until its caller has taken all of it") {
+TEST_CASE_METHOD(Fixture, "a response counts as unsent until its client has acknowledged all of it") {
   constexpr size_t kMoreThanWindows = 16U << 20;
   RawClient client(loop, server.port());
   client.send("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -240,15 +240,15 @@
   settle(loop);
   CHECK(server.pending() == 0);
   CHECK(server.unsentBytes() > 0);
-  SECTION("and the connection stays until then when the server reads no more") { server.stopReadingRequests(); }
-  SECTION("and a kept connection is as good as one that ends") {}
+  SECTION("and the connection stays open until then if the server stops reading") { server.stopReadingRequests(); }
+  SECTION("on a connection that is kept alive too") {}
   std::string text;
   for (int i = 0; i < 300 && server.unsentBytes() > 0; ++i) text += client.receive();
   CHECK(text.size() > kMoreThanWindows);
   CHECK(server.unsentBytes() == 0);
 }
 
-TEST_CASE_METHOD(Fixture, "a server that reads no more ends what is idle, and answers what it has read") {
+TEST_CASE_METHOD(Fixture, "a server that stops reading closes idle connections, and answers complete requests") {
   RawClient idle(loop, server.port());
   RawClient used(loop, server.port());
   RawClient half(loop, server.port());
@@ -269,17 +269,11 @@
   CHECK(requests.size() == 1);
 }
 
-// Symptom: during planned stops callers that send requests behind each other got the first answer only; requests behind
-// it had run, and ended without an answer.
-//
-// Sequence: three requests of a connection are read and passed on. The server is told to drain. The first answer leaves
-// with "connection: close", and the server forgets what it has read behind it; its calls are cancelled.
-//
-// Cause: the answer that ends a connection was the next one to be sent, not the one to the last request that was taken.
-//
-// What settled it: with callers that use open connections until the process is gone, each planned stop of every node in
-// turn left requests without an answer, all of them behind another on their connection, and none of those sent alone.
-TEST_CASE_METHOD(Fixture, "a server that drains answers all requests that it has taken on a connection") {
+// Guards against lost responses during planned stops: with pipelined requests only the first one got a response, though
+// the others had run. The draining server sent "connection: close" with the next response instead of the one to the
+// last accepted request, and cancelled the requests after it. With clients that use open connections until the process
+// exits, every planned stop lost requests, all of them pipelined after another one.
+TEST_CASE_METHOD(Fixture, "a draining server answers all accepted requests of a connection") {
   RawClient client(loop, server.port());
   client.send("GET /1 HTTP/1.1\r\nHost: h\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\n\r\n");
   REQUIRE(requests.size() == 2);
@@ -293,7 +287,7 @@
     server.setDraining();
     answer(0, "first");
   }
-  SECTION("and takes no more on it") {
+  SECTION("and accepts no more on it") {
     server.setDraining();
     client.send("GET /3 HTTP/1.1\r\nHost: h\r\n\r\n");
     REQUIRE(requests.size() == 2);
@@ -311,7 +305,7 @@
   CHECK(aborted.empty());
 }
 
-TEST_CASE_METHOD(Fixture, "a server that drains takes one more request on a connection that is idle") {
+TEST_CASE_METHOD(Fixture, "a draining server accepts one more request on an idle connection") {
   RawClient client(loop, server.port());
   server.setDraining();
   client.send("GET /1 HTTP/1.1\r\nHost: h\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -323,7 +317,7 @@
   CHECK(client.ended());
 }
 
-TEST_CASE_METHOD(Fixture, "a caller that does not read for two seconds gets its answer whole") {
+TEST_CASE_METHOD(Fixture, "a client that does not read for two seconds gets its complete response") {
   constexpr size_t kMoreThanWindows = 16U << 20;
   RawClient client(loop, server.port());
   client.send("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -335,7 +329,8 @@
   CHECK(text.size() > kMoreThanWindows);
 }
 
-TEST_CASE_METHOD(Fixture, "an answer that the system holds survives the end of reading and a request that crosses it") {
+TEST_CASE_METHOD(
+    Fixture, "a response in the kernel's buffer is not lost if the server stops reading and another request arrives") {
   constexpr size_t kLessThanWindows = 3U << 20;
   RawClient client(loop, server.port());
   client.send("GET /1 HTTP/1.1\r\nHost: h\r\n\r\n");
--- a/test/transport/raw_client.h
+++ b/test/transport/raw_client.h
@@ -1,4 +1,4 @@
-/// A plain socket that a test drives by hand against a server on the same loop.
+/// A blocking client socket for tests of a server on the same loop.
 #pragma once
 
 #include <arpa/inet.h>
@@ -13,7 +13,7 @@
 
 namespace driftlug::transport {
 
-/// Runs a loop until nothing has happened on it for a moment.
+/// Runs a loop for 10 ms, so that pending events are handled.
 inline void settle(EventLoop& loop) {
   bool over = false;
   loop.schedule(base::milliseconds(10), [&] { over = true; });
@@ -23,7 +23,7 @@
 /// One connection to 127.0.0.1.
 class RawClient {
  public:
-  /// When the server accepts the connection: before the constructor returns, or when its loop runs next.
+  /// Whether the constructor runs the loop until the server has accepted, or leaves that to the next run of the loop.
   enum class Accepted { kAtOnce, kLater };
 
   RawClient(EventLoop& loop, int port, Accepted accepted = Accepted::kAtOnce)
@@ -39,18 +39,18 @@
   RawClient(const RawClient&) = delete;
   RawClient& operator=(const RawClient&) = delete;
 
-  /// Sends bytes and lets the server deal with them.
+  /// Sends bytes and runs the loop, so that the server handles them.
   void send(const std::string& bytes) {
     REQUIRE(::send(socket_, bytes.data(), bytes.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(bytes.size()));
     settle(loop_);
   }
 
-  /// Sends bytes that the server has not read when this returns.
+  /// Sends bytes without running the loop, so that the server has not read them yet.
   void sendUnread(const std::string& bytes) {
     REQUIRE(::send(socket_, bytes.data(), bytes.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(bytes.size()));
   }
 
-  /// Ends the sending direction only.
+  /// Closes the sending direction only.
   void endSending() { ::shutdown(socket_, SHUT_WR); }
 
   /// Closes with a reset.
@@ -60,7 +60,7 @@
     close();
   }
 
-  /// @return everything that has arrived since the last call.
+  /// @return all bytes received since the last call.
   std::string receive() {
     settle(loop_);
     std::string all;
@@ -73,7 +73,7 @@
     return all;
   }
 
-  /// @return whether the server has ended the connection.
+  /// @return whether the server has closed the connection without a reset.
   bool ended() {
     (void)receive();
     return ended_;
--- a/test/transport/tcp_stream_test.cc
+++ b/test/transport/tcp_stream_test.cc
@@ -13,7 +13,7 @@
 namespace driftlug::transport {
 namespace {
 
-/// Counts what arrives, and remembers how the stream ended.
+/// Counts received bytes and records how the stream ended.
 struct Recorder : public StreamHandler {
   void onConnected() override { connected = true; }
   void onBytes(std::string_view bytes) override { received += bytes.size(); }
@@ -21,10 +21,10 @@
 
   bool connected = false;
   size_t received = 0;
-  std::optional<bool> closed;  // set once the stream ended: whether in order
+  std::optional<bool> closed;  // set when the stream has ended: whether without a reset
 };
 
-/// A listener, and a blocking client socket connected to it with a small receive window.
+/// A listener with one connected blocking client socket that has a small receive window.
 struct Fixture {
   Fixture()
       : listener(loop, [this](std::shared_ptr<TcpStream> stream) {
@@ -48,7 +48,7 @@
     loop.close();
   }
 
-  /// Runs the loop until nothing has happened for a moment.
+  /// Runs the loop for 20 ms, so that pending events are handled.
   void settle() {
     bool over = false;
     loop.schedule(base::milliseconds(20), [&] { over = true; });
@@ -64,7 +64,7 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(Fixture, "a connection that nobody listens for is told from one that was lost") {
+TEST_CASE_METHOD(Fixture, "a refused connection is distinguished from a lost one") {
   Recorder outgoing;
   const auto up = TcpStream::connect(loop, {"127.0.0.1", listener.port()}, &outgoing, {});
   while (!outgoing.connected) loop.runOnce();
@@ -73,7 +73,7 @@
   while (!outgoing.closed) loop.runOnce();
   CHECK_FALSE(up->refused());
 
-  // A port that was bound a moment ago and is free again.
+  // A port that was just released, so that nothing listens on it.
   const int probe = ::socket(AF_INET, SOCK_STREAM, 0);
   sockaddr_in address{};
   address.sin_family = AF_INET;
@@ -89,14 +89,14 @@
   CHECK(none->refused());
 }
 
-TEST_CASE_METHOD(Fixture, "what does not fit the window leaves as the peer reads") {
+TEST_CASE_METHOD(Fixture, "bytes beyond the receive window are sent as the peer reads") {
   constexpr size_t kBytes = 24U << 20;
   accepted->write(std::string(kBytes, 'x'));
   size_t got = 0;
   std::string buffer(10'000, '\0');
   while (got < kBytes) {
     settle();
-    // As much as there is, so that the window opens only now and then.
+    // Reads all available bytes, so that the window opens only from time to time.
     ssize_t count = 0;
     size_t before = got;
     while ((count = ::recv(client, buffer.data(), buffer.size(), MSG_DONTWAIT)) > 0) got += static_cast<size_t>(count);
@@ -105,7 +105,7 @@
   CHECK(got == kBytes);
 }
 
-TEST_CASE_METHOD(Fixture, "an end in order is told from a reset") {
+TEST_CASE_METHOD(Fixture, "an orderly close is distinguished from a reset") {
   SECTION("in order") {
     ::close(client);
     client = -1;
@@ -128,7 +128,7 @@
   CHECK(base::errorCodeOf(status) == base::ErrorCode::kConnectFailed);
 }
 
-TEST_CASE_METHOD(Fixture, "an address that is no IP number is a typed error") {
+TEST_CASE_METHOD(Fixture, "an address that is not an IP address is a typed error") {
   TcpListener second(loop, [](std::shared_ptr<TcpStream>) {});
   CHECK(base::errorCodeOf(second.listen("nowhere", 0, {})) == base::ErrorCode::kConnectFailed);
 }
