--- a/test/storage/log_store_test.cc
+++ b/test/storage/log_store_test.cc
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-TEST_CASE("entries and hard state are recovered; later entries replace a truncated suffix") {
+TEST_CASE("entries and hard state are recovered; later entries replace a cut suffix") {
   test::MemoryDisk disk;
   storage::LogStore store(disk);
   REQUIRE(store.open().ok());
@@ -48,7 +48,7 @@
   CHECK(state.entries[1].term == 2);
 }
 
-TEST_CASE("concurrent sync() calls share one sync") {
+TEST_CASE("calls that wait share one sync") {
   test::MemoryDisk disk;
   storage::LogStore store(disk);
   REQUIRE(store.open().ok());
@@ -63,7 +63,7 @@
   CHECK(done == 3);
 }
 
-TEST_CASE("a full disk rejects entries and keeps the earlier ones") {
+TEST_CASE("a full disk refuses entries and leaves what was there") {
   test::MemoryDisk disk;
   storage::LogStore store(disk);
   REQUIRE(store.open().ok());
@@ -138,7 +138,7 @@
   CHECK(std::count(disk.synced.begin(), disk.synced.end(), "log-0000000000000002") == 1);
 }
 
-TEST_CASE("a log opens after a loss of power during the start of a segment") {
+TEST_CASE("a log whose machine lost power while a segment began opens again") {
   constexpr uint64_t kSeeds = 200;  // each determines which unsynced writes survive the loss of power
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     simulation::EventQueue queue;
@@ -250,7 +250,7 @@
 
 }  // namespace
 
-TEST_CASE("a loss of power at any step of repeated rotations loses no acknowledged entry") {
+TEST_CASE("power may be lost at any step of a rotation, and of the next one") {
   constexpr uint64_t kSeeds = 40;
   constexpr int kSteps = 12;  // more events than a rotation has
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
@@ -325,7 +325,7 @@
   CHECK(base::errorCodeOf(damaged.open().status()) == base::ErrorCode::kStorageCorrupt);
 }
 
-TEST_CASE("a log is recovered after a crash at any byte of the last segment") {
+TEST_CASE("a crash at every byte of the last segment is recovered") {
   test::MemoryDisk disk;
   storage::LogStore store(disk);
   REQUIRE(store.open().ok());
--- a/test/transport/descriptors_test.cc
+++ b/test/transport/descriptors_test.cc
@@ -102,7 +102,7 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(Fixture, "without free descriptors a listener waits, and accepts once there are some") {
+TEST_CASE_METHOD(Fixture, "without descriptors a listener waits, and accepts once there are some") {
   const int client = ::socket(AF_INET, SOCK_STREAM, 0);
   {
     DescriptorExhaustion none;
--- a/test/transport/frame_transport_test.cc
+++ b/test/transport/frame_transport_test.cc
@@ -79,7 +79,7 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(Fixture, "frames between zones are compressed, and arrive unchanged in both directions") {
+TEST_CASE_METHOD(Fixture, "frames between zones are compressed, and arrive as they were in both directions") {
   const bool compress = GENERATE(false, true);
   begin("zone-a", "zone-b", compress);
   constexpr int kFrames = 50;
--- a/test/transport/http_client_test.cc
+++ b/test/transport/http_client_test.cc
@@ -159,7 +159,7 @@
   CHECK(connections.size() == 2);
 }
 
-TEST_CASE_METHOD(ScriptedServer, "a connection with bytes after its response is not reused") {
+TEST_CASE_METHOD(ScriptedServer, "a connection with bytes behind its answer is not used again") {
   onRequest = [](TcpStream& stream) { stream.write(std::string(kOwn) + kOther); };
   CHECK(send("1").response.body == "own");
   CHECK(send("1").response.body == "own");
--- a/test/transport/http_server_test.cc
+++ b/test/transport/http_server_test.cc
@@ -88,7 +88,7 @@
   }
 }
 
-TEST_CASE_METHOD(Fixture, "an ambiguous request is rejected, and the connection is closed") {
+TEST_CASE_METHOD(Fixture, "a request that could be read in two ways is refused, and the connection ends") {
   const std::string ambiguous = GENERATE(
       "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
       "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd",
@@ -129,7 +129,7 @@
   CHECK(requests[0].body.size() == 1001);
 }
 
-TEST_CASE_METHOD(Fixture, "a close by the client is detected while its responses are pending") {
+TEST_CASE_METHOD(Fixture, "a caller that closes is noticed while its answers are pending") {
   RawClient client(loop, server.port());
   client.send("GET /1 HTTP/1.1\r\nHost: h\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\n\r\n");
   REQUIRE(requests.size() == 2);
@@ -140,7 +140,7 @@
   CHECK(server.pending() == 0);
 }
 
-TEST_CASE_METHOD(Fixture, "a client that closes its sending direction counts as disconnected") {
+TEST_CASE_METHOD(Fixture, "a caller that ends its sending direction counts as one that has closed") {
   RawClient client(loop, server.port());
   client.send("GET /1 HTTP/1.1\r\nHost: h\r\n\r\n");
   REQUIRE(requests.size() == 1);
@@ -149,7 +149,7 @@
   CHECK(aborted == exchanges);
 }
 
-TEST_CASE_METHOD(Fixture, "a request is not delivered if its client closed before it was read") {
+TEST_CASE_METHOD(Fixture, "a request is not taken when its caller has closed before it was read") {
   RawClient client(loop, server.port());
   client.send("GET /1 HTTP/1.1\r\nHost: h\r\n\r\n");
   REQUIRE(requests.size() == 1);
@@ -162,7 +162,7 @@
   CHECK(server.pending() == 0);
 }
 
-TEST_CASE_METHOD(Fixture, "a request on a connection that was closed before it was accepted is not delivered") {
+TEST_CASE_METHOD(Fixture, "a request on a new connection that was closed before it was accepted is not taken") {
   std::vector<std::unique_ptr<RawClient>> clients;
   for (int i = 0; i < 5; ++i) {
     clients.push_back(std::make_unique<RawClient>(loop, server.port(), RawClient::Accepted::kLater));
@@ -273,7 +273,7 @@
 // the others had run. The draining server sent "connection: close" with the next response instead of the one to the
 // last accepted request, and cancelled the requests after it. With clients that use open connections until the process
 // exits, every planned stop lost requests, all of them pipelined after another one.
-TEST_CASE_METHOD(Fixture, "a draining server answers all accepted requests of a connection") {
+TEST_CASE_METHOD(Fixture, "a server that drains answers all requests that it has taken on a connection") {
   RawClient client(loop, server.port());
   client.send("GET /1 HTTP/1.1\r\nHost: h\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\n\r\n");
   REQUIRE(requests.size() == 2);
@@ -287,7 +287,7 @@
     server.setDraining();
     answer(0, "first");
   }
-  SECTION("and accepts no more on it") {
+  SECTION("and takes no more on it") {
     server.setDraining();
     client.send("GET /3 HTTP/1.1\r\nHost: h\r\n\r\n");
     REQUIRE(requests.size() == 2);
@@ -305,7 +305,7 @@
   CHECK(aborted.empty());
 }
 
-TEST_CASE_METHOD(Fixture, "a draining server accepts one more request on an idle connection") {
+TEST_CASE_METHOD(Fixture, "a server that drains takes one more request on a connection that is idle") {
   RawClient client(loop, server.port());
   server.setDraining();
   client.send("GET /1 HTTP/1.1\r\nHost: h\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -317,7 +317,7 @@
   CHECK(client.ended());
 }
 
-TEST_CASE_METHOD(Fixture, "a client that does not read for two seconds gets its complete response") {
+TEST_CASE_METHOD(Fixture, "a caller that does not read for two seconds gets its answer whole") {
   constexpr size_t kMoreThanWindows = 16U << 20;
   RawClient client(loop, server.port());
   client.send("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
