--- a/src/base/settings.cc
+++ b/src/base/settings.cc
@@ -12,7 +12,7 @@
 #include <map>
 #include <set>
 
-DEFINE_string(config, "", "TOML file with settings; flags win over it");
+DEFINE_string(config, "", "TOML file with settings; flags override it");
 DEFINE_bool(check_config, false, "check the settings, print problems and exit");
 DEFINE_bool(log_json, false, "write logs as JSON lines");
 DEFINE_string(log_level, "info", "lowest level written: debug, info, warning, error");
@@ -43,7 +43,7 @@
   return gflags::GetCommandLineFlagInfo(name.c_str(), info) && isProjectFlag(*info);
 }
 
-/// Sets one flag and reports a value of the wrong type or out of range.
+/// Sets a flag; reports a value of the wrong type or out of range.
 void setFlag(const std::string& path, const gflags::CommandLineFlagInfo& info, const std::string& value,
              std::vector<SettingProblem>* problems) {
   if (gflags::SetCommandLineOption(info.name.c_str(), value.c_str()).empty()) {
@@ -75,7 +75,7 @@
   return parsed;
 }
 
-/// Reads the command line; remembers which flags were given.
+/// Reads the command line and collects the names of the given flags.
 class CommandLine {
  public:
   CommandLine(int argc, char** argv, bool allowPositional, SettingsResult* result)
@@ -94,11 +94,11 @@
     }
     auto parsed = splitArgument(argument);
     if (parsed.name == "help" || parsed.name == "h") {
-      result_->helpAsked = true;
+      result_->helpRequested = true;
       return;
     }
     if (parsed.name == "version") {
-      result_->versionAsked = true;
+      result_->versionRequested = true;
       return;
     }
     gflags::CommandLineFlagInfo info;
@@ -216,7 +216,7 @@
 SettingsResult loadSettings(int argc, char** argv, bool allowPositional) {
   SettingsResult result;
   const auto given = CommandLine(argc, argv, allowPositional, &result).read();
-  if (result.helpAsked || result.versionAsked) return result;
+  if (result.helpRequested || result.versionRequested) return result;
   if (!FLAGS_config.empty()) readFile(FLAGS_config, given, &result.problems);
   for (const auto& name : requiredNames()) {
     std::string value;
@@ -229,11 +229,11 @@
 
 std::vector<std::string> loadSettingsOrExit(int argc, char** argv, const std::string& summary, bool allowPositional) {
   auto result = loadSettings(argc, argv, allowPositional);
-  if (result.helpAsked) {
+  if (result.helpRequested) {
     printHelp(summary);
     std::exit(0);
   }
-  if (result.versionAsked) {
+  if (result.versionRequested) {
     std::printf("driftlug 0.1.0\n");
     std::exit(0);
   }
@@ -248,7 +248,7 @@
   return result.positional;
 }
 
-std::optional<std::string> rereadSetting(const std::string& name) {
+std::optional<std::string> reloadSetting(const std::string& name) {
   if (FLAGS_config.empty()) return std::nullopt;
   try {
     const toml::table table = toml::parse_file(FLAGS_config);
--- a/src/lifecycle/planned_stop.h
+++ b/src/lifecycle/planned_stop.h
@@ -21,7 +21,7 @@
 	virtual void refuseWaiting() = 0;
 
 	/// Stops reading requests: connections without a request are closed, requests already read are still answered.
-	virtual void readNoMore() = 0;
+	virtual void stopReadingRequests() = 0;
 
 	/// @returns Whether no request is in progress.
 	virtual bool idle() const = 0;
@@ -64,7 +64,7 @@
 
 	void refuse();
 	void abortPending();
-	void readNoMore();
+	void stopReadingRequests();
 	void poll();
 	bool allAnswered() const;
 
--- a/src/node/control_client.cc
+++ b/src/node/control_client.cc
@@ -381,7 +381,7 @@
   if (connection_ == 0) return;
   const auto readUntil = scheduler_.inputReadUntil();
   // On a slow link, heartbeats queue behind a large update; restarting the transfer elsewhere would take longer.
-  const auto part = network_.partArrivedAt(connection_);
+  const auto part = network_.partialMessageReceivedAt(connection_);
   if (open_ && part && readUntil - *part <= options_.relayTimeout) return;
   const bool silent = open_ && readUntil - lastReceivedAt_ > options_.relayTimeout;
   const bool noSlice = open_ && !sliceReceived_ && readUntil - openedAt_ > currentFirstSliceTimeout();
--- a/src/node/endpoint_links.cc
+++ b/src/node/endpoint_links.cc
@@ -68,7 +68,7 @@
       subsetSize_(options_.subset.endpoints),
       chooseTimer_(scheduler, [this] { applyPendingChanges(); }),
       livenessTimer_(scheduler, [this] { checkLiveness(); }),
-      linkLimitLog_("entry", scheduler, base::kOneLineASecond) {}
+      linkLimitLog_("entry", scheduler, base::kOneLinePerSecond) {}
 
 EndpointLinks::~EndpointLinks() { alive_.reset(); }
 
@@ -276,7 +276,7 @@
   }
   if (skipped == 0) return;
   skippedEndpoints_ += static_cast<int64_t>(skipped);
-  linkLimitLog_.write(base::LineWorth::kFailure, [&] {
+  linkLimitLog_.write(base::LinePriority::kFailure, [&] {
     return fmt::format("link limit reached, {} endpoints without a link, links={} max_links={}", skipped, links_.size(),
                        options_.maxLinks);
   });
--- a/src/node/entry_calls.cc
+++ b/src/node/entry_calls.cc
@@ -430,7 +430,7 @@
 std::string EntryCalls::fingerprintText(Call* call) { return quarantine::toText(fingerprintOfCall(call)); }
 
 void EntryCalls::logAttemptFailed(Call* failed, AttemptProgress progress, bool willRetry, const char* reason) {
-  decisionLog_.write(base::LineWorth::kFailure, [&] {
+  decisionLog_.write(base::LinePriority::kFailure, [&] {
     const auto& call = *failed;
     const char* reached = progress == AttemptProgress::kBeforeBackend ? "node"
                           : progress == AttemptProgress::kMayHaveRun  ? "may_have_run"
@@ -446,7 +446,7 @@
 
 void EntryCalls::logOutcome(Call* finished, const CallAnswer& answer) {
   const bool completed = answer.outcome == CallOutcome::COMPLETED;
-  const auto worth = completed ? base::LineWorth::kRoutine : base::LineWorth::kFailure;
+  const auto worth = completed ? base::LinePriority::kRoutine : base::LinePriority::kFailure;
   decisionLog_.write(worth, [&] {
     const auto& call = *finished;
     const char* outcome = completed ? "completed" : answer.outcome == CallOutcome::NOT_RUN ? "not_run" : "unknown";
@@ -497,7 +497,7 @@
   }
   if (!call.done) {
     ++counters_.abandoned;
-    decisionLog_.write(base::LineWorth::kRoutine, [&] {
+    decisionLog_.write(base::LinePriority::kRoutine, [&] {
       return fmt::format("abandoned call={} route={} service={} endpoint={} elapsed_ms={}", requestIdOf(call),
                          call.route, call.service, call.endpoint, remainingMs(scheduler_.now(), call.startedAt));
     });
--- a/src/node/entry_calls_hedging.cc
+++ b/src/node/entry_calls_hedging.cc
@@ -22,7 +22,7 @@
   const auto* target = pickEndpoint(call);
   if (target == nullptr || !retryBudgets_[call.service].spend()) return;
   ++counters_.hedges;
-  decisionLog_.write(base::LineWorth::kRoutine, [&] {
+  decisionLog_.write(base::LinePriority::kRoutine, [&] {
     return fmt::format("second call={} route={} service={} first={} second={} elapsed_ms={} because={}",
                        requestIdOf(call), call.route, call.service, call.endpoint, target->name,
                        base::millisecondsOf(scheduler_.now() - call.startedAt), reason);
--- a/src/node/local_backend.cc
+++ b/src/node/local_backend.cc
@@ -19,7 +19,7 @@
 
 LocalBackend::LocalBackend(wire::EndpointState endpointState, base::Scheduler& scheduler, EndpointCalls& calls,
                            AnnounceFunction announce, const LocalBackendOptions& options)
-    : unreadableReportLog_("backend", scheduler, base::kOneLineASecond),
+    : unreadableReportLog_("backend", scheduler, base::kOneLinePerSecond),
       endpointState_(std::move(endpointState)),
       calls_(calls),
       announce_(std::move(announce)),
@@ -44,7 +44,7 @@
 
 void LocalBackend::onUnreadableReport(const std::string& what) {
   ++unreadableReports_;
-  unreadableReportLog_.write(base::LineWorth::kFailure, [&] { return fmt::format("report rejected: {}", what); });
+  unreadableReportLog_.write(base::LinePriority::kFailure, [&] { return fmt::format("report rejected: {}", what); });
 }
 
 ReportResult LocalBackend::onReport(const BackendReport& report) {
--- a/src/transport/event_loop.cc
+++ b/src/transport/event_loop.cc
@@ -21,18 +21,18 @@
 
 int signalWriteEnd = -1;
 
-/// Async-signal-safe: passes the signal's number to the loop.
+/// Writes the signal number to the pipe that the loop reads. Async-signal-safe.
 void onSignal(int number) {
   const auto byte = static_cast<unsigned char>(number);
   (void)!::write(signalWriteEnd, &byte, 1);
 }
 
-/// A stream stays alive as long as libwebsockets knows its socket.
+/// Keeps a stream alive while its socket is registered with libwebsockets.
 using StreamHolder = std::shared_ptr<TcpStream>;
 
 }  // namespace
 
-/// Two kinds of descriptors, each with a vhost and a protocol of its own.
+/// One vhost and protocol for watched files, another for stream sockets.
 struct EventLoop::Library {
   static int onFileEvent(lws* wsi, lws_callback_reasons reason, void* user, void* in, size_t length);
   static int onStreamEvent(lws* wsi, lws_callback_reasons reason, void* user, void* in, size_t length);
@@ -93,8 +93,8 @@
 base::TimerId EventLoop::schedule(base::Duration delay, std::function<void()> callback) {
   const auto id = nextId_++;
   const auto at = now() + std::max(delay, base::Duration(0));
-  due_[{at, id}] = std::move(callback);
-  timeOf_[id] = at;
+  timers_[{at, id}] = std::move(callback);
+  dueTimes_[id] = at;
   return id;
 }
 
@@ -103,16 +103,16 @@
 }
 
 void EventLoop::cancel(base::TimerId id) {
-  const auto found = timeOf_.find(id);
-  if (found == timeOf_.end()) return;
-  due_.erase({found->second, id});
-  timeOf_.erase(found);
+  const auto found = dueTimes_.find(id);
+  if (found == dueTimes_.end()) return;
+  timers_.erase({found->second, id});
+  dueTimes_.erase(found);
 }
 
 void EventLoop::armTimer() {
-  if (due_.empty()) return;
-  const auto first = due_.begin()->first.at;
-  // A timer that is armed for an earlier moment wakes the loop once too often, which costs less than arming anew.
+  if (timers_.empty()) return;
+  const auto first = timers_.begin()->first.at;
+  // A timer armed for an earlier time causes one spurious wakeup, which is cheaper than another timerfd_settime().
   if (armedFor_ != base::TimePoint{} && armedFor_ <= first) return;
   armedFor_ = first;
   const auto wait = std::max<int64_t>(1, std::chrono::nanoseconds(first - now()).count());
@@ -122,66 +122,68 @@
   timerfd_settime(timerFile_, 0, &spec, nullptr);
 }
 
-void EventLoop::runDue() {
-  // What callbacks schedule for now runs too, but a chain without end, or long work in steps, must not keep sockets
-  // waiting.
+void EventLoop::runDueTimers() {
+  // Timers that callbacks schedule without delay also run here. The limits keep an endless chain, or long work split
+  // into steps, from starving the sockets.
   constexpr int kMaxRounds = 16;
   constexpr base::Duration kMaxTime = base::milliseconds(10);
   const auto begun = now();
   for (int round = 0; round < kMaxRounds; ++round) {
     const auto until = now();
-    if (due_.empty() || due_.begin()->first.at > until || (round > 0 && until - begun > kMaxTime)) return;
-    while (!due_.empty() && due_.begin()->first.at <= until) {
-      watchClock();
-      auto node = due_.extract(due_.begin());
-      timeOf_.erase(node.key().id);
+    if (timers_.empty() || timers_.begin()->first.at > until || (round > 0 && until - begun > kMaxTime)) return;
+    while (!timers_.empty() && timers_.begin()->first.at <= until) {
+      updateClock();
+      auto node = timers_.extract(timers_.begin());
+      dueTimes_.erase(node.key().id);
       node.mapped()();
     }
   }
 }
 
-/// Called at each event and timer: whoever is stopped in the middle of a turn is so under load above all.
-void EventLoop::watchClock() {
-  /// Longer than one event takes: 59 ms of processor time by a leader's log, 0.9 s where it has 0.065 of a core.
-  constexpr base::Duration kStoodStill = base::seconds(2);
+/// Called at each event and timer, not only once per iteration: a process that is stopped under load is usually stopped
+/// in the middle of an iteration.
+void EventLoop::updateClock() {
+  /// Above the longest regular event: 59 ms of CPU time in the log of a leader, which take 0.9 s with 0.065 of a core.
+  constexpr base::Duration kEventStallThreshold = base::seconds(2);
   const auto time = now();
-  const auto late = time - std::exchange(expectedBy_, time);
+  const auto late = time - std::exchange(expectedWakeup_, time);
   const bool waited = std::exchange(waiting_, false);
   if (waited) {
-    wokeAt_ = time;
+    lastWakeupAt_ = time;
   } else {
-    noteEvent(late);
+    recordEvent(late);
   }
-  if (late >= (waited ? base::kOverslept : kStoodStill)) away_ = std::max(away_, late);
+  if (late >= (waited ? base::kStallThreshold : kEventStallThreshold)) pendingStall_ = std::max(pendingStall_, late);
 }
 
-/// Nothing is read or sent while an event is dealt with: a long one delays heartbeats and all that waits.
-void EventLoop::noteEvent(base::Duration took) {
-  constexpr base::Duration kLong = base::milliseconds(100);
-  const auto work = std::exchange(work_, {});
-  if (took < kLong) return;
+/// Counts and logs long events. Nothing is read or sent during an event, so that a long one delays heartbeats and all
+/// other work.
+void EventLoop::recordEvent(base::Duration took) {
+  constexpr base::Duration kLongEventThreshold = base::milliseconds(100);
+  const auto description = std::exchange(eventDescription_, {});
+  if (took < kLongEventThreshold) return;
   ++longEvents_.count;
   longEvents_.longest = std::max(longEvents_.longest, took);
-  log_.warn("{} ms in one event: {}", base::millisecondsOf(took), work.empty() ? "a timer" : work);
+  log_.warn("{} ms in one event: {}", base::millisecondsOf(took), description.empty() ? "a timer" : description);
 }
 
-/// What is due runs, and the process hears of it, before more is read.
-void EventLoop::tellAway() {
-  if (away_ == base::Duration(0)) return;
-  const auto late = std::exchange(away_, base::Duration(0));
-  runDue();
-  if (onOverslept_) onOverslept_(late);
+/// Runs expired timers and reports a pending stall before more input is read.
+void EventLoop::notifyStall() {
+  if (pendingStall_ == base::Duration(0)) return;
+  const auto late = std::exchange(pendingStall_, base::Duration(0));
+  runDueTimers();
+  if (onStall_) onStall_(late);
 }
 
 void EventLoop::beginEvent() {
-  watchClock();
-  tellAway();
+  updateClock();
+  notifyStall();
 }
 
 void EventLoop::flushStreams() {
-  while (!dirty_.empty()) {
+  while (!pendingFlushes_.empty()) {
     std::vector<std::weak_ptr<TcpStream>> streams;
-    streams.swap(dirty_);
+    streams.swap(pendingFlushes_);
     for (const auto& weak : streams) {
       if (const auto stream = weak.lock()) stream->flush();
     }
@@ -194,11 +196,11 @@
   flushStreams();
   armTimer();
   waiting_ = true;
-  expectedBy_ = armedFor_ == base::TimePoint{} ? base::TimePoint::max() : std::max(armedFor_, expectedBy_);
+  expectedWakeup_ = armedFor_ == base::TimePoint{} ? base::TimePoint::max() : std::max(armedFor_, expectedWakeup_);
   if (lws_service(context_, 0) < 0) stopped_ = true;
-  watchClock();
-  inputReadUntil_ = wokeAt_;
-  runDue();
+  updateClock();
+  inputReadUntil_ = lastWakeupAt_;
+  runDueTimers();
   flushStreams();
 }
 
@@ -260,7 +262,8 @@
 
 bool EventLoop::adopt(int socket, const std::shared_ptr<TcpStream>& stream) {
   if (context_ == nullptr) return false;
-  // As a file, the library only polls it: how a connection ended is then seen here, and a reset is no end of data.
+  // Registered as a file, the socket is only polled by libwebsockets. TcpStream reads it and can tell a reset from an
+  // orderly end of data.
   lws_sock_file_fd_type descriptor{};
   descriptor.filefd = socket;
   auto* wsi = lws_adopt_descriptor_vhost(library_->streamVhost, LWS_ADOPT_RAW_FILE_DESC, descriptor, "stream", nullptr);
--- a/test/node/recording_network.h
+++ b/test/node/recording_network.h
@@ -33,7 +33,7 @@
     closed.insert(connection);
   }
   size_t queuedBytes(base::ConnectionId) const override { return 0; }
-  std::optional<base::TimePoint> partArrivedAt(base::ConnectionId) const override { return partArrived; }
+  std::optional<base::TimePoint> partialMessageReceivedAt(base::ConnectionId) const override { return partArrived; }
 
   /// @return the sent messages of type T, in order.
   template <typename T>
@@ -46,7 +46,7 @@
   }
 
   std::map<base::ConnectionId, base::Address> connected;
-  std::optional<base::TimePoint> partArrived;  // returned by partArrivedAt() for every connection
+  std::optional<base::TimePoint> partArrived;  // returned by partialMessageReceivedAt() for every connection
   std::vector<Sent> sent;
   std::set<base::ConnectionId> closed;
 
--- a/test/storage/log_store_test.cc
+++ b/test/storage/log_store_test.cc
@@ -76,7 +76,7 @@
   CHECK(reopen(disk).entries.size() == 2);
 }
 
-TEST_CASE("a failed sync ends writing for good") {
+TEST_CASE("a failed sync disables writing permanently") {
   test::MemoryDisk disk;
   storage::LogStore store(disk);
   REQUIRE(store.open().ok());
@@ -117,9 +117,9 @@
   CHECK(disk.files.size() <= 3);
 }
 
-TEST_CASE("what was read from several segments is settled as a whole") {
+TEST_CASE("syncRecovered() syncs all segments that open() read") {
   test::MemoryDisk disk;
-  // The process died while it began the second segment: the entries stand in the first one only, not synced yet.
+  // The process died while it started the second segment: the entries are only in the first one, unsynced.
   for (const int64_t index : {1, 2, 3}) {
     const auto payload = wire::encodeStruct(entry(index, 1));
     disk.files["log-0000000000000001"] += storage::encodeRecord(storage::RecordType::kEntry, payload, 0);
@@ -129,17 +129,17 @@
   const auto state = store.open();
   REQUIRE(state.ok());
   REQUIRE(state->entries.size() == 3);
-  bool settled = false;
-  store.settle([&](const absl::Status& status) { settled = status.ok(); });
-  CHECK_FALSE(settled);
+  bool recoveredSynced = false;
+  store.syncRecovered([&](const absl::Status& status) { recoveredSynced = status.ok(); });
+  CHECK_FALSE(recoveredSynced);
   disk.finishSyncs();
-  CHECK(settled);
+  CHECK(recoveredSynced);
   CHECK(std::count(disk.synced.begin(), disk.synced.end(), "log-0000000000000001") == 1);
   CHECK(std::count(disk.synced.begin(), disk.synced.end(), "log-0000000000000002") == 1);
 }
 
 TEST_CASE("a log whose machine lost power while a segment began opens again") {
-  constexpr uint64_t kSeeds = 200;  // what a loss of power leaves is drawn
+  constexpr uint64_t kSeeds = 200;  // each determines which unsynced writes survive the loss of power
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     simulation::EventQueue queue;
     simulation::Process process(queue, "controller", {"zone-1", "region"}, {"10.0.0.1", 7000});
@@ -165,7 +165,7 @@
       return storage::CarriedState{{}, {log.begin() + 2, log.end()}};
     };
     store.saveSnapshot(snapshot, carry, [](const absl::Status&) {});
-    log.push_back(entry(4, 1));  // not synced when the segment begins
+    log.push_back(entry(4, 1));  // not synced when the segment is started
     REQUIRE(store.append({log.back()}).ok());
     runUntil(begun);
     process.kill();
@@ -182,9 +182,9 @@
 
 namespace {
 
-/// A log on a disk that loses power; remembers what was acknowledged.
-struct PoweredLog {
-  explicit PoweredLog(uint64_t seed)
+/// A log on a disk that loses power; tracks the acknowledged entries.
+struct PowerLossLog {
+  explicit PowerLossLog(uint64_t seed)
       : process(queue, "controller", {"zone-1", "region"}, {"10.0.0.1", 7000}),
         disk(process, base::RandomSource(seed), {}) {
     process.start();
@@ -200,11 +200,11 @@
     const int64_t base = state->snapshot ? state->snapshot->index : 0;
     CHECK(base + static_cast<int64_t>(entries.size()) >= acknowledged);
     last = base + static_cast<int64_t>(entries.size());
-    bool settled = false;
-    store->settle([&](const absl::Status& status) { settled = status.ok(); });
-    while (!settled && queue.runNext(queue.now() + base::seconds(1))) {
+    bool recoveredSynced = false;
+    store->syncRecovered([&](const absl::Status& status) { recoveredSynced = status.ok(); });
+    while (!recoveredSynced && queue.runNext(queue.now() + base::seconds(1))) {
     }
-    REQUIRE(settled);
+    REQUIRE(recoveredSynced);
     acknowledged = last;
   }
 
@@ -256,7 +256,7 @@
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     for (int steps = 0; steps < kSteps; ++steps) {
       INFO("seed " << seed << ", power lost after event " << steps);
-      PoweredLog log(seed);
+      PowerLossLog log(seed);
       for (int round = 0; round < 3; ++round) {
         for (int i = 0; i < 5; ++i) log.append();
         log.rotate();
@@ -271,7 +271,7 @@
   }
 }
 
-TEST_CASE("a folder of segments without marks opens as before") {
+TEST_CASE("a folder of segments without carry-over markers can be opened") {
   test::MemoryDisk disk;
   const auto record = [](int64_t index) {
     return storage::encodeRecord(storage::RecordType::kEntry, wire::encodeStruct(entry(index, 1)), 0);
@@ -284,9 +284,9 @@
   CHECK(base::errorCodeOf(store.open().status()) == base::ErrorCode::kStorageCorrupt);
 }
 
-/// Three entries, of which a snapshot replaces two; the second segment has taken over the third.
-struct TakenOverFixture {
-  TakenOverFixture() : store(disk) {
+/// Three entries, of which a snapshot replaces two; the second segment carries over the third.
+struct CarryOverFixture {
+  CarryOverFixture() : store(disk) {
     REQUIRE(store.open().ok());
     const std::vector<wire::LogEntry> log = {entry(1, 1), entry(2, 1), entry(3, 1)};
     REQUIRE(store.append(log).ok());
@@ -308,17 +308,17 @@
   std::string before;  // the first segment
 };
 
-TEST_CASE_METHOD(TakenOverFixture, "a segment that was taken over from is not read again, though it came back") {
+TEST_CASE_METHOD(CarryOverFixture, "a removed segment that reappears after a loss of power is not read") {
   REQUIRE(disk.files.count("log-0000000000000001") == 0);
-  // The removal was not durable, and its last write never was.
+  // Neither the removal of the segment nor its last write was durable.
   disk.files["log-0000000000000001"] = before.substr(0, before.size() - 1);
   const auto state = reopen(disk);
   REQUIRE(state.entries.size() == 1);
   CHECK(state.entries[0].index == 3);
 }
 
-TEST_CASE_METHOD(TakenOverFixture,
-                 "damage in what a segment took over is refused once something behind it proves that it was durable") {
+TEST_CASE_METHOD(CarryOverFixture,
+                 "damage in a carry-over is an error once a later record proves that it was durable") {
   REQUIRE(store.append({entry(4, 1)}).ok());
   disk.files["log-0000000000000002"][40] ^= 1;
   storage::LogStore damaged(disk);
--- a/test/transport/event_loop_test.cc
+++ b/test/transport/event_loop_test.cc
@@ -15,8 +15,8 @@
 namespace driftlug::transport {
 namespace {
 
-/// @return the clocks of all timers that this process has, as the system tells.
-std::string clocksOfTimers() {
+/// @return the clock ids of all timerfds of this process, from /proc.
+std::string timerClockIds() {
   std::string clocks;
   for (const auto& file : std::filesystem::directory_iterator("/proc/self/fdinfo")) {
     std::ifstream stream(file.path());
@@ -27,12 +27,12 @@
   return clocks;
 }
 
-constexpr base::Duration kStopped = base::milliseconds(1500);
+constexpr base::Duration kStopDuration = base::milliseconds(1500);
 
-/// A process of its own that runs a loop and says on a pipe what happens to it, in order: a letter for each event.
+/// A child process that runs a loop and reports its events on a pipe, in order, one letter each.
 class Child {
  public:
-  /// @param setUp what the loop of the process does; it gets the file that it reads from, and says letters
+  /// Sets up the loop of the child; receives its input descriptor and a function that reports a letter.
   using SetUp = std::function<void(EventLoop&, int, const std::function<void(char)>&)>;
 
   explicit Child(const SetUp& setUp) {
@@ -49,17 +49,17 @@
     for (const int end : {toChild_[0], toChild_[1], fromChild_[0], fromChild_[1]}) ::close(end);
   }
 
-  /// @return what was said up to a letter.
-  std::string saidUpTo(char last) {
-    std::string said;
+  /// @return the reported letters up to and including `last`.
+  std::string readEventsUntil(char last) {
+    std::string events;
     char letter = 0;
-    while (said.find(last) == std::string::npos && ::read(fromChild_[0], &letter, 1) == 1) said += letter;
-    return said;
+    while (events.find(last) == std::string::npos && ::read(fromChild_[0], &letter, 1) == 1) events += letter;
+    return events;
   }
 
   void write() { REQUIRE(::write(toChild_[1], "x", 1) == 1); }
 
-  /// Stops it for a while, in which something arrives.
+  /// Stops the child for a duration; input arrives meanwhile.
   void stopFor(base::Duration duration) {
     REQUIRE(::kill(process_, SIGSTOP) == 0);
     write();
@@ -70,10 +70,10 @@
  private:
   [[noreturn]] void run(const SetUp& setUp) {
     EventLoop loop;
-    const auto say = [this](char letter) { (void)!::write(fromChild_[1], &letter, 1); };
+    const auto report = [this](char letter) { (void)!::write(fromChild_[1], &letter, 1); };
     ::fcntl(toChild_[0], F_SETFL, O_NONBLOCK);
-    setUp(loop, toChild_[0], say);
-    say('.');
+    setUp(loop, toChild_[0], report);
+    report('.');
     loop.run();
     ::_exit(0);
   }
@@ -85,7 +85,7 @@
 
 }  // namespace
 
-TEST_CASE("time and timers count what a suspended machine does not see") {
+TEST_CASE("the clock and the timers include the time for which the machine was suspended") {
   EventLoop loop;
   const auto before = base::BootClock::now();
   const auto now = loop.now();
@@ -94,64 +94,64 @@
   timespec time{};
   ::clock_gettime(CLOCK_BOOTTIME, &time);
   CHECK(std::abs(now.time_since_epoch() / base::seconds(1) - time.tv_sec) <= 1);
-  CHECK(clocksOfTimers() == std::to_string(CLOCK_BOOTTIME) + ";");
+  CHECK(timerClockIds() == std::to_string(CLOCK_BOOTTIME) + ";");
   loop.close();
 }
 
-TEST_CASE("a process that was stopped does what is due, and hears of it, before it reads what has waited") {
-  Child child([](EventLoop& loop, int in, const auto& say) {
-    loop.onOverslept([say](base::Duration late) { say(late > kStopped / 2 ? 'o' : '?'); });
-    // Due while the process is stopped.
-    loop.schedule(base::milliseconds(600), [say] { say('t'); });
-    loop.watchFile(in, [&loop, in, say] {
+TEST_CASE("after a stop, expired timers run and the stall is reported before pending input is read") {
+  Child child([](EventLoop& loop, int in, const auto& report) {
+    loop.onStall([report](base::Duration late) { report(late > kStopDuration / 2 ? 'o' : '?'); });
+    // Expires while the process is stopped.
+    loop.schedule(base::milliseconds(600), [report] { report('t'); });
+    loop.watchFile(in, [&loop, in, report] {
       char byte = 0;
       if (::read(in, &byte, 1) != 1) return;
-      say('r');
+      report('r');
       loop.stop();
     });
   });
-  CHECK(child.saidUpTo('.') == ".");
-  ::usleep(100'000);  // it waits for an event now
-  child.stopFor(base::milliseconds(600) + kStopped);
-  CHECK(child.saidUpTo('r') == "tor");
+  CHECK(child.readEventsUntil('.') == ".");
+  ::usleep(100'000);  // now the child waits for an event
+  child.stopFor(base::milliseconds(600) + kStopDuration);
+  CHECK(child.readEventsUntil('r') == "tor");
 }
 
-TEST_CASE("a process that was stopped in the middle of a turn hears of it before it reads more") {
-  Child child([](EventLoop& loop, int in, const auto& say) {
-    loop.onOverslept([say](base::Duration late) { say(late > kStopped ? 'o' : '?'); });
-    loop.watchFile(in, [&loop, in, say, reads = 0]() mutable {
+TEST_CASE("a stall within an iteration is reported before more input is read") {
+  Child child([](EventLoop& loop, int in, const auto& report) {
+    loop.onStall([report](base::Duration late) { report(late > kStopDuration ? 'o' : '?'); });
+    loop.watchFile(in, [&loop, in, report, reads = 0]() mutable {
       char byte = 0;
       if (::read(in, &byte, 1) != 1) return;
-      say('r');
+      report('r');
       if (++reads == 2) return loop.stop();
-      ::usleep(300'000);  // is stopped in it
+      ::usleep(300'000);  // the child is stopped during this sleep
     });
   });
   child.write();
-  CHECK(child.saidUpTo('r') == ".r");
-  child.stopFor(kStopped + base::seconds(1));
-  CHECK(child.saidUpTo('r') == "or");
+  CHECK(child.readEventsUntil('r') == ".r");
+  child.stopFor(kStopDuration + base::seconds(1));
+  CHECK(child.readEventsUntil('r') == "or");
 }
 
-TEST_CASE("a turn that takes long, and a wait without timers, are no sleep") {
-  Child child([](EventLoop& loop, int in, const auto& say) {
-    loop.onOverslept([say](base::Duration /*late*/) { say('o'); });
-    loop.watchFile(in, [&loop, in, say, reads = 0]() mutable {
+TEST_CASE("a long event and a wait without timers are not reported as stalls") {
+  Child child([](EventLoop& loop, int in, const auto& report) {
+    loop.onStall([report](base::Duration /*late*/) { report('o'); });
+    loop.watchFile(in, [&loop, in, report, reads = 0]() mutable {
       char byte = 0;
       if (::read(in, &byte, 1) != 1) return;
-      say('r');
+      report('r');
       if (++reads == 2) return loop.stop();
       ::usleep(1'200'000);
     });
   });
   ::usleep(1'200'000);
   child.write();
-  CHECK(child.saidUpTo('r') == ".r");
+  CHECK(child.readEventsUntil('r') == ".r");
   child.write();
-  CHECK(child.saidUpTo('r') == "r");
+  CHECK(child.readEventsUntil('r') == "r");
 }
 
-TEST_CASE("an event that keeps the loop from all others is counted, waiting is not") {
+TEST_CASE("a long event is counted, waiting is not") {
   EventLoop loop;
   loop.schedule(base::milliseconds(150), [&loop] {
     ::usleep(120'000);
@@ -162,12 +162,12 @@
   CHECK(loop.longEvents().longest >= base::milliseconds(120));
 }
 
-TEST_CASE("behind a long event the input counts as read up to its begin") {
+TEST_CASE("after a long event the input counts as read up to its beginning") {
   EventLoop loop;
   int ends[2] = {-1, -1};
   REQUIRE(::pipe2(ends, O_NONBLOCK | O_CLOEXEC) == 0);
   constexpr base::Duration kLong = base::milliseconds(200);
-  std::vector<base::Duration> unread;  // at timers: for how long nothing was read
+  std::vector<base::Duration> unread;  // age of inputReadUntil() in timer callbacks
   loop.watchFile(ends[0], [&] {
     char byte = 0;
     if (::read(ends[0], &byte, 1) != 1) return;
