--- a/src/simulation/cluster.cc
+++ b/src/simulation/cluster.cc
@@ -4,8 +4,8 @@
 namespace {
 
 /// Longest time behind the name of a snapshot in which the steps of a rotation fall: some syncs of a simulated disk.
-constexpr base::Duration kRotationSteps = base::milliseconds(2);
-constexpr base::Duration kDownInRotation = base::seconds(1);  // of a machine that lost power in one
+constexpr base::Duration kRotationWindow = base::milliseconds(2);
+constexpr base::Duration kRotationDowntime = base::seconds(1);  // of a machine that lost power in one
 
 }  // namespace
 
@@ -21,14 +21,14 @@
   if (process_.alive()) return;
   process_.start();
   sockets_ = std::make_unique<ProcessNetwork>(network_, process_);
-  begin();
+  onStart();
 }
 
 void Machine::crash(bool powerLoss) {
   if (!process_.alive()) return;
-  network_.onDeath(sockets_.get(), powerLoss);
+  network_.onProcessExit(sockets_.get(), powerLoss);
   process_.kill();
-  end();
+  onStop();
   sockets_.reset();
   if (powerLoss) disk_.crash();
 }
@@ -38,7 +38,7 @@
               cluster.controllerAddress(position), cluster.newRandom(), cluster.plan().disk),
       cluster_(cluster) {}
 
-void ControllerMachine::begin() {
+void ControllerMachine::onStart() {
   const auto& plan = cluster_.plan();
   controller::ControllerOptions options;
   options.name = name();
@@ -59,7 +59,7 @@
     cluster_.checker().onApplied(name(), entry, controller_->state().table());
   });
   sockets_->setHandler(controller_.get());
-  if (plan.rotationPowerLoss > 0) losePowerInRotations(plan.rotationPowerLoss);
+  if (plan.rotationPowerLoss > 0) scheduleRotationPowerLoss(plan.rotationPowerLoss);
   controller_->start([this](const absl::Status& status) {
     if (!status.ok()) return onStartFailed(status);
     ready_ = true;
@@ -68,19 +68,20 @@
 }
 
 /// A snapshot has its name: the log is replaced from here on, in steps of a sync each.
-void ControllerMachine::losePowerInRotations(double share) {
+void ControllerMachine::scheduleRotationPowerLoss(double share) {
   disk_.onRename([this, share] {
     if (!random_.chance(share)) return;
-    queue_.after(random_.duration(kRotationSteps), [this, incarnation = process_.incarnation()] {
+    queue_.after(random_.duration(kRotationWindow), [this, incarnation = process_.incarnation()] {
       if (process_.incarnation() == incarnation) crash(true);
     });
-    queue_.after(kDownInRotation, [this] { start(); });
+    queue_.after(kRotationDowntime, [this] { start(); });
   });
 }
 
 void ControllerMachine::onStartFailed(const absl::Status& status) {
   if (base::errorCodeOf(status) == base::ErrorCode::kStorageCorrupt) {
-    cluster_.checker().violate(Guarantee::kAcceptedStays, name() + " can't recover: " + base::errorText(status));
+    cluster_.checker().reportViolation(Guarantee::kAcceptedIsDurable,
+                                       name() + " can't recover: " + base::errorText(status));
   }
   // The process exits; whatever watches over it starts it again.
   constexpr base::Duration kRestartDelay = base::seconds(1);
@@ -90,7 +91,7 @@
   queue_.after(kRestartDelay, [this] { start(); });
 }
 
-void ControllerMachine::end() {
+void ControllerMachine::onStop() {
   ready_ = false;
   controller_.reset();
 }
@@ -100,7 +101,7 @@
               cluster.newRandom(), cluster.plan().disk),
       cluster_(cluster) {}
 
-void RelayMachine::begin() {
+void RelayMachine::onStart() {
   const auto& plan = cluster_.plan();
   relay::RelayOptions options;
   options.id = name();
@@ -126,7 +127,7 @@
   process_.onAway([this] { relay_->onAway(); });
 }
 
-void RelayMachine::end() { relay_.reset(); }
+void RelayMachine::onStop() { relay_.reset(); }
 
 NodeMachine::NodeMachine(Cluster& cluster, size_t position)
     : Machine(cluster.queue(), cluster.network(),
@@ -136,7 +137,7 @@
       plan_(cluster.plan().nodes[position]),
       interest_{plan_.hosts, plan_.services} {}
 
-void NodeMachine::begin() {
+void NodeMachine::onStart() {
   node::ControlOptions options;
   options.nodeId = name();
   options.zone = process_.placement().zone;
@@ -164,7 +165,7 @@
   process_.onAway([this] { control_->onAway(); });
 }
 
-void NodeMachine::end() {
+void NodeMachine::onStop() {
   control_.reset();
   cluster_.checker().onNodeDown(name());
 }
--- a/src/simulation/cluster.h
+++ b/src/simulation/cluster.h
@@ -70,8 +70,8 @@
   bool running() const { return process_.alive() && !process_.frozen(); }
 
  protected:
-  virtual void begin() = 0;
-  virtual void end() = 0;
+  virtual void onStart() = 0;
+  virtual void onStop() = 0;
 
   EventQueue& queue_;
   SimulatedNetwork& network_;
@@ -94,12 +94,12 @@
   bool leads() const { return ready_ && controller_->raft().role() == consensus::RaftRole::kLeader; }
 
  protected:
-  void begin() override;
-  void end() override;
+  void onStart() override;
+  void onStop() override;
 
  private:
   void onStartFailed(const absl::Status& status);
-  void losePowerInRotations(double share);
+  void scheduleRotationPowerLoss(double share);
 
   Cluster& cluster_;
   std::unique_ptr<controller::Controller> controller_;
@@ -112,8 +112,8 @@
   relay::Relay* relay() { return relay_.get(); }
 
  protected:
-  void begin() override;
-  void end() override;
+  void onStart() override;
+  void onStop() override;
 
  private:
   Cluster& cluster_;
@@ -127,8 +127,8 @@
   const table::Interest& interest() const { return interest_; }
 
  protected:
-  void begin() override;
-  void end() override;
+  void onStart() override;
+  void onStop() override;
 
  private:
   Cluster& cluster_;
--- a/src/simulation/fault_plan.cc
+++ b/src/simulation/fault_plan.cc
@@ -7,9 +7,9 @@
 
 constexpr double kPairShare = 0.3;
 constexpr base::Duration kPairGap = base::milliseconds(400);
-constexpr base::Duration kShortest = base::milliseconds(50);
+constexpr base::Duration kMinFaultDuration = base::milliseconds(50);
 constexpr base::Duration kReplacementStep = base::milliseconds(200);
-constexpr base::Duration kHerdSpread = base::milliseconds(300);
+constexpr base::Duration kRestartSpread = base::milliseconds(300);
 constexpr double kSlowFactor = 20;
 constexpr double kLossShare = 0.2;
 
@@ -75,19 +75,19 @@
   std::vector<Fault> faults;
   if (options.classes.empty()) return faults;
   const auto draw = [&](base::TimePoint at) {
-    if (at + kShortest >= options.until) return;
+    if (at + kMinFaultDuration >= options.until) return;
     Fault fault;
     fault.kind = options.classes[random.below(options.classes.size())];
     fault.at = at;
-    fault.lasts = std::min(kShortest + random.duration(options.longest), options.until - at);
+    fault.lasts = std::min(kMinFaultDuration + random.duration(options.maxFaultDuration), options.until - at);
     fault.target = random.below(targetsOfClass(fault.kind, plan));
     fault.detail = random.bits();
     faults.push_back(fault);
   };
   auto at = options.from;
   while (true) {
-    at += kShortest + random.duration(2 * options.meanGap);
-    if (at + kShortest >= options.until) break;
+    at += kMinFaultDuration + random.duration(2 * options.meanGap);
+    if (at + kMinFaultDuration >= options.until) break;
     draw(at);
     if (random.chance(kPairShare)) draw(at + random.duration(kPairGap));
   }
@@ -104,10 +104,10 @@
   }
 }
 
-void FaultInjector::disturb(const std::string& node) { disturbed_[node] = cluster_.queue().now(); }
+void FaultInjector::markDisturbed(const std::string& node) { disturbed_[node] = cluster_.queue().now(); }
 
-void FaultInjector::disturbAll() {
-  for (const auto& machine : cluster_.nodes()) disturb(machine->name());
+void FaultInjector::markAllDisturbed() {
+  for (const auto& machine : cluster_.nodes()) markDisturbed(machine->name());
 }
 
 std::set<std::string> FaultInjector::disturbedNodes(base::Duration within) const {
@@ -202,31 +202,31 @@
   for (auto& machine : cluster_.relays()) {
     if (machine->sockets() != nullptr) machine->sockets()->resetAll();
   }
-  disturbAll();
+  markAllDisturbed();
 }
 
-void FaultInjector::setStanding(const Fault& fault, bool stands) {
+void FaultInjector::setLastingEffect(const Fault& fault, bool active) {
   auto& network = cluster_.network();
   const auto& controllers = cluster_.controllers();
   switch (fault.kind) {
     case FaultClass::kIsolateController:
-      isolate(*controllers[fault.target], stands, fault.detail);
+      isolate(*controllers[fault.target], active, fault.detail);
       return;
     case FaultClass::kOneWayController:
       network.setCut(controllers[fault.target]->name(), controllers[(fault.target + 1) % controllers.size()]->name(),
-                     stands);
+                     active);
       return;
     case FaultClass::kIsolateRelay:
-      isolate(*cluster_.relays()[fault.target], stands, 0);
+      isolate(*cluster_.relays()[fault.target], active, 0);
       break;
     case FaultClass::kCutZone:
-      cutZone(cluster_.plan().groups[fault.target].zone, stands);
+      cutZone(cluster_.plan().groups[fault.target].zone, active);
       break;
     case FaultClass::kSlowNetwork:
-      network.setSlowness(stands ? kSlowFactor : 1);
+      network.setLatencyFactor(active ? kSlowFactor : 1);
       break;
     case FaultClass::kLossyNetwork:
-      network.setLoss(stands ? kLossShare : 0);
+      network.setLoss(active ? kLossShare : 0);
       break;
     case FaultClass::kCrashRelay:
     case FaultClass::kHerdRelays:
@@ -235,7 +235,7 @@
       return;
   }
   // Nodes that depend on what was hit may lag for a while, at its begin and at its end.
-  disturbAll();
+  markAllDisturbed();
 }
 
 void FaultInjector::apply(const Fault& fault) {
@@ -256,26 +256,26 @@
     } else {
       machine->crash(power);
     }
-    disturb(machine->name());
+    markDisturbed(machine->name());
   }
-  setStanding(fault, true);
+  setLastingEffect(fault, true);
   if (fault.kind == FaultClass::kWipeController) wipe(fault);
   if (fault.kind == FaultClass::kReconnectStorm) breakAllConnections();
 }
 
-void FaultInjector::waitForCommit(const Fault& fault, base::Duration delay, std::function<void()> strike) {
+void FaultInjector::waitForCommit(const Fault& fault, base::Duration delay, std::function<void()> action) {
   const auto until = fault.at + fault.lasts;
-  armed_.push_back([this, delay, until, strike = std::move(strike)] {
-    cluster_.queue().after(delay, [this, until, strike] {
-      if (cluster_.queue().now() < until) strike();
+  commitActions_.push_back([this, delay, until, action = std::move(action)] {
+    cluster_.queue().after(delay, [this, until, action] {
+      if (cluster_.queue().now() < until) action();
     });
   });
 }
 
 void FaultInjector::onCommit() {
-  std::vector<std::function<void()>> armed;
-  armed.swap(armed_);
-  for (const auto& strike : armed) strike();
+  std::vector<std::function<void()>> actions;
+  actions.swap(commitActions_);
+  for (const auto& action : actions) action();
 }
 
 void FaultInjector::crashAllControllers(const Fault& fault) {
@@ -298,18 +298,18 @@
 }
 
 void FaultInjector::beginStaleRelays(const Fault& fault) {
-  constexpr base::Duration kReachNodes = base::milliseconds(20);
-  disturbAll();
+  constexpr base::Duration kNodePropagation = base::milliseconds(20);
+  markAllDisturbed();
   const auto& group = cluster_.plan().groups[fault.target];
   // The first relay goes on; one other, or all others, miss what is committed from now on.
   const size_t missing = fault.detail % 2 == 0 ? 1 : group.members.size() - 1;
   for (size_t i = 1; i <= missing && i < group.members.size(); ++i) {
     isolate(*cluster_.relays()[cluster_.relayPosition(group.members[i])], true, 0);
   }
-  waitForCommit(fault, kReachNodes, [this, fault] { strikeStaleRelays(fault); });
+  waitForCommit(fault, kNodePropagation, [this, fault] { triggerStaleRelays(fault); });
 }
 
-void FaultInjector::strikeStaleRelays(const Fault& fault) {
+void FaultInjector::triggerStaleRelays(const Fault& fault) {
   const auto& group = cluster_.plan().groups[fault.target];
   for (auto& machine : cluster_.controllers()) machine->crash(false);
   cluster_.relays()[cluster_.relayPosition(group.members.front())]->crash(true);
@@ -332,11 +332,11 @@
       isolate(*cluster_.relays()[cluster_.relayPosition(member)], false, 0);
       restartLater(cluster_.relays()[cluster_.relayPosition(member)].get(), base::milliseconds(1));
     }
-    disturbAll();
+    markAllDisturbed();
   }
   size_t position = 0;
   for (auto* machine : targetsOf(fault)) {
-    disturb(machine->name());
+    markDisturbed(machine->name());
     if (fault.kind == FaultClass::kFreeze) {
       machine->process().setFrozen(false);
       continue;
@@ -351,15 +351,15 @@
     }
     // A herd returns within a moment, in an order of its own.
     restartLater(machine, base::Duration(static_cast<int64_t>((fault.detail >> (position++ % 8)) %
-                                                              static_cast<uint64_t>(kHerdSpread.count()))));
+                                                              static_cast<uint64_t>(kRestartSpread.count()))));
   }
-  setStanding(fault, false);
+  setLastingEffect(fault, false);
 }
 
 void FaultInjector::restartLater(Machine* machine, base::Duration delay) {
   cluster_.queue().after(delay, [this, machine] {
     machine->start();
-    disturb(machine->name());
+    markDisturbed(machine->name());
   });
 }
 
--- a/src/simulation/fault_plan.h
+++ b/src/simulation/fault_plan.h
@@ -66,7 +66,7 @@
   base::TimePoint from{};
   base::TimePoint until{};  ///< every fault has healed by then
   base::Duration meanGap = base::seconds(6);
-  base::Duration longest = base::seconds(8);
+  base::Duration maxFaultDuration = base::seconds(8);
 };
 
 /// Draws the faults of a run; some come in pairs at almost the same moment.
@@ -92,7 +92,7 @@
  private:
   void apply(const Fault& fault);
   void heal(const Fault& fault);
-  void setStanding(const Fault& fault, bool stands);
+  void setLastingEffect(const Fault& fault, bool active);
   void breakAllConnections();
   void restartLater(Machine* machine, base::Duration delay);
   void isolate(const Machine& machine, bool cut, uint64_t detail);
@@ -101,13 +101,13 @@
   void wipe(const Fault& fault);
   void crashAllControllers(const Fault& fault);
   void beginStaleRelays(const Fault& fault);
-  void strikeStaleRelays(const Fault& fault);
+  void triggerStaleRelays(const Fault& fault);
   std::vector<Machine*> nodesOf(const std::string& zone);
-  void waitForCommit(const Fault& fault, base::Duration delay, std::function<void()> strike);
+  void waitForCommit(const Fault& fault, base::Duration delay, std::function<void()> action);
   void stepReplacement();
   bool wipeAllowed();
-  void disturb(const std::string& node);
-  void disturbAll();
+  void markDisturbed(const std::string& node);
+  void markAllDisturbed();
   std::vector<Machine*> allMachines();
   void addNodes(const Fault& fault, std::vector<Machine*>* targets);
   std::vector<Machine*> targetsOf(const Fault& fault);
@@ -116,7 +116,7 @@
   std::vector<Fault> faults_;
   std::map<std::string, base::TimePoint> disturbed_;  // by node
   std::map<std::string, base::TimePoint> heldUntil_;  // processes that must stay as they are until then
-  std::vector<std::function<void()>> armed_;          // strike at the next commit
+  std::vector<std::function<void()>> commitActions_;  // strike at the next commit
   std::string replacing_;                             // controller being replaced, empty when none
   bool removed_ = false;                              // whether its old identity has left the members
 };
--- a/src/simulation/invariants.cc
+++ b/src/simulation/invariants.cc
@@ -23,15 +23,15 @@
 
 InvariantChecker::InvariantChecker(const base::TimeSource& time) : time_(time) {}
 
-void InvariantChecker::violate(Guarantee guarantee, std::string sentence) {
+void InvariantChecker::reportViolation(Guarantee guarantee, std::string sentence) {
   if (violations_.size() < kMaxViolations) violations_.push_back({guarantee, time_.now(), std::move(sentence)});
 }
 
 InvariantChecker::SliceHistory& InvariantChecker::historyOf(const table::Interest& interest) {
   auto& history = slices_[interest];
   if (history.slice) return history;
-  history.slice = std::make_unique<table::Slice>(interest, truth_);
-  history.digests[truth_.revision()] = history.slice->digest();
+  history.slice = std::make_unique<table::Slice>(interest, committedTable_);
+  history.digests[committedTable_.revision()] = history.slice->digest();
   return history;
 }
 
@@ -43,52 +43,55 @@
     entryHashes_[entry.index] = hash;
     appliedIndex_ = std::max(appliedIndex_, entry.index);
     if (entry.kind != wire::EntryKind::EDIT) return;
-    if (result.revision() == entry.index) takeEffect(entry);
-    tableDigests_[entry.index] = truth_.digest();
+    if (result.revision() == entry.index) applyEdit(entry);
+    tableDigests_[entry.index] = committedTable_.digest();
   } else if (known->second != hash) {
-    violate(Guarantee::kAcceptedStays,
-            absl::StrFormat("%s applied another entry at index %d than was committed", controller, entry.index));
+    reportViolation(
+        Guarantee::kAcceptedIsDurable,
+        absl::StrFormat("%s applied another entry at index %d than was committed", controller, entry.index));
     return;
   }
   const auto digest = tableDigests_.find(entry.index);
   if (digest != tableDigests_.end() && !(digest->second == result.digest())) {
-    violate(Guarantee::kWholeVersion,
-            absl::StrFormat("the table of %s differs at revision %d", controller, entry.index));
+    reportViolation(Guarantee::kConsistentVersion,
+                    absl::StrFormat("the table of %s differs at revision %d", controller, entry.index));
   }
 }
 
-void InvariantChecker::takeEffect(const wire::LogEntry& entry) {
+void InvariantChecker::applyEdit(const wire::LogEntry& entry) {
   const auto [effect, first] = effects_.emplace(entry.edit.requestId, Effect{entry.index, time_.now()});
   if (!first) {
-    violate(Guarantee::kAcceptedStays, absl::StrFormat("edit %s took effect at revisions %d and %d",
-                                                       entry.edit.requestId, effect->second.revision, entry.index));
+    reportViolation(Guarantee::kAcceptedIsDurable,
+                    absl::StrFormat("edit %s took effect at revisions %d and %d", entry.edit.requestId,
+                                    effect->second.revision, entry.index));
   }
   std::vector<table::RowPtr> changed;
   for (const auto& mutation : entry.edit.mutations) {
-    const auto live = truth_.find(mutation.row.key);
+    const auto live = committedTable_.find(mutation.row.key);
     const int64_t current = live ? live->revision : 0;
     if (mutation.expectedRevision >= 0 && mutation.expectedRevision != current) {
-      violate(Guarantee::kAcceptedStays,
-              absl::StrFormat("edit %s expected %s at revision %d and replaced revision %d", entry.edit.requestId,
-                              table::keyText(mutation.row.key), mutation.expectedRevision, current));
+      reportViolation(
+          Guarantee::kAcceptedIsDurable,
+          absl::StrFormat("edit %s expected %s at revision %d and replaced revision %d", entry.edit.requestId,
+                          table::keyText(mutation.row.key), mutation.expectedRevision, current));
     }
   }
   for (const auto& mutation : entry.edit.mutations) {
     changed.push_back(table::storeRow(mutation.row, entry.index));
-    truth_.put(changed.back());
+    committedTable_.put(changed.back());
   }
   auto& edit = committed_[entry.edit.requestId];
   edit = {entry.edit.requestId, entry.index, time_.now(), {}, false, {}};
   for (auto& [interest, history] : slices_) {
-    if (!history.slice->refresh(truth_)) continue;
+    if (!history.slice->refresh(committedTable_)) continue;
     history.digests[entry.index] = history.slice->digest();
     edit.lagging.insert(history.nodes.begin(), history.nodes.end());
   }
-  const auto problems = table::checkEdit(truth_, changed);
+  const auto problems = table::checkEdit(committedTable_, changed);
   if (!problems.empty()) {
-    violate(Guarantee::kReferencesPresent,
-            absl::StrFormat("revision %d leaves %s: %s", entry.index, table::keyText(problems.front().row),
-                            problems.front().sentence));
+    reportViolation(Guarantee::kReferencesPresent,
+                    absl::StrFormat("revision %d leaves %s: %s", entry.index, table::keyText(problems.front().row),
+                                    problems.front().sentence));
   }
   converging_.push_back(entry.edit.requestId);
   finishConverged();
@@ -98,24 +101,26 @@
 void InvariantChecker::onActivated(const std::string& node, const table::Interest& interest,
                                    const node::SliceStore& slices) {
   const auto revision = slices.revision();
-  auto& newest = newestActive_[node];
+  auto& newest = newestActivated_[node];
   if (revision < newest) {
-    violate(Guarantee::kNeverBackwards, absl::StrFormat("%s went from revision %d back to %d", node, newest, revision));
+    reportViolation(Guarantee::kMonotonicVersion,
+                    absl::StrFormat("%s went from revision %d back to %d", node, newest, revision));
   }
   newest = std::max(newest, revision);
   auto& history = historyOf(interest);
   const auto later = history.digests.upper_bound(revision);
   const bool unknown = later == history.digests.begin();
   if (!unknown && !(std::prev(later)->second == slices.rows().digest())) {
-    violate(Guarantee::kWholeVersion, absl::StrFormat("%s runs rows that revision %d does not have", node, revision));
+    reportViolation(Guarantee::kConsistentVersion,
+                    absl::StrFormat("%s runs rows that revision %d does not have", node, revision));
   }
   for (const auto& [key, row] : slices.rows().rows()) {
     if (measureOnly_) break;
     std::vector<table::Problem> problems;
     table::checkReferences(*row, slices.rows(), &problems);
     if (problems.empty()) continue;
-    violate(Guarantee::kReferencesPresent, absl::StrFormat("%s at revision %d, %s: %s", node, revision,
-                                                           table::keyText(key), problems.front().sentence));
+    reportViolation(Guarantee::kReferencesPresent, absl::StrFormat("%s at revision %d, %s: %s", node, revision,
+                                                                   table::keyText(key), problems.front().sentence));
     break;
   }
   auto& serving = serving_[node];
@@ -128,9 +133,9 @@
   if (outcome.code != static_cast<int>(base::ErrorCode::kNone)) return;
   const auto effect = effects_.find(requestId);
   if (effect == effects_.end() || effect->second.revision != outcome.revision) {
-    violate(Guarantee::kAcceptedStays,
-            absl::StrFormat("edit %s was answered as accepted at revision %d but is not committed there", requestId,
-                            outcome.revision));
+    reportViolation(Guarantee::kAcceptedIsDurable,
+                    absl::StrFormat("edit %s was answered as accepted at revision %d but is not committed there",
+                                    requestId, outcome.revision));
     return;
   }
 }
@@ -167,33 +172,33 @@
   });
 }
 
-void InvariantChecker::onSaidEverywhere(int64_t revision, const std::set<std::string>& excused) {
+void InvariantChecker::onConvergenceReported(int64_t revision, const std::set<std::string>& exempt) {
   for (const auto& [node, serving] : serving_) {
     const auto& digests = serving.history->digests;
     const auto needed = digests.upper_bound(revision);
     const bool current = needed == digests.begin() || serving.revision >= std::prev(needed)->first;
-    if (current || excused.count(node) > 0) continue;
-    violate(Guarantee::kAcceptedStays,
-            absl::StrFormat("revision %d was said to be in force everywhere while %s ran revision %d, not %d", revision,
-                            node, serving.revision, std::prev(needed)->first));
+    if (current || exempt.count(node) > 0) continue;
+    reportViolation(Guarantee::kAcceptedIsDurable,
+                    absl::StrFormat("revision %d was said to be in force everywhere while %s ran revision %d, not %d",
+                                    revision, node, serving.revision, std::prev(needed)->first));
   }
 }
 
 void InvariantChecker::checkEnd(const std::map<std::string, const table::Table*>& controllers,
                                 const std::map<std::string, const node::SliceStore*>& nodes) {
   for (const auto& [name, table] : controllers) {
-    if (table->digest() == truth_.digest()) continue;
-    violate(Guarantee::kAcceptedStays,
-            absl::StrFormat("%s ends at revision %d with another table than was committed up to %d", name,
-                            table->revision(), truth_.revision()));
+    if (table->digest() == committedTable_.digest()) continue;
+    reportViolation(Guarantee::kAcceptedIsDurable,
+                    absl::StrFormat("%s ends at revision %d with another table than was committed up to %d", name,
+                                    table->revision(), committedTable_.revision()));
   }
   for (const auto& [name, slices] : nodes) {
     const auto serving = serving_.find(name);
     if (serving == serving_.end()) {
-      violate(Guarantee::kAcceptedStays, absl::StrFormat("%s ends without a version", name));
+      reportViolation(Guarantee::kAcceptedIsDurable, absl::StrFormat("%s ends without a version", name));
     } else if (!(slices->rows().digest() == serving->second.history->slice->digest())) {
-      violate(Guarantee::kAcceptedStays,
-              absl::StrFormat("%s ends at revision %d, behind the committed table", name, slices->revision()));
+      reportViolation(Guarantee::kAcceptedIsDurable,
+                      absl::StrFormat("%s ends at revision %d, behind the committed table", name, slices->revision()));
     }
   }
 }
--- a/src/simulation/invariants.h
+++ b/src/simulation/invariants.h
@@ -17,15 +17,15 @@
 
 /// The guarantees of the product, by the numbers that the documents use.
 enum class Guarantee : int {
-  kNeverBackwards = 1,
+  kMonotonicVersion = 1,
   kReferencesPresent = 2,
-  kWholeVersion = 3,
-  kWholeAnswer = 4,
-  kNotRunIsTrue = 5,
+  kConsistentVersion = 3,
+  kCompleteAnswer = 4,
+  kNotRunIsAccurate = 5,
   kAtMostOnce = 6,
-  kLeavingGetsNoWork = 7,
-  kStopCutsNothing = 8,
-  kAcceptedStays = 9,
+  kDrainingGetsNoCalls = 7,
+  kShutdownDropsNothing = 8,
+  kAcceptedIsDurable = 9,
 };
 
 /// One broken guarantee.
@@ -70,21 +70,21 @@
 
   /// A controller says that a revision is in force everywhere.
   /// @param excused nodes that were cut off, frozen or restarted a short time ago
-  void onSaidEverywhere(int64_t revision, const std::set<std::string>& excused);
+  void onConvergenceReported(int64_t revision, const std::set<std::string>& exempt);
 
   /// At the end of a run, after all faults were healed.
   void checkEnd(const std::map<std::string, const table::Table*>& controllers,
                 const std::map<std::string, const node::SliceStore*>& nodes);
 
   /// Reports a broken guarantee.
-  void violate(Guarantee guarantee, std::string sentence);
+  void reportViolation(Guarantee guarantee, std::string sentence);
 
   /// Leaves out the checks whose cost grows with the square of the cluster; convergence is still measured.
   void measureOnly() { measureOnly_ = true; }
 
   const std::vector<Violation>& violations() const { return violations_; }
   const std::map<std::string, CommittedEdit>& committed() const { return committed_; }
-  const table::Table& table() const { return truth_; }
+  const table::Table& table() const { return committedTable_; }
 
  private:
   struct SliceHistory {
@@ -104,18 +104,18 @@
   };
 
   SliceHistory& historyOf(const table::Interest& interest);
-  void takeEffect(const wire::LogEntry& entry);
+  void applyEdit(const wire::LogEntry& entry);
   void updateLagging(const std::string& node, const Serving* serving);
   void finishConverged();
 
   const base::TimeSource& time_;
-  table::Table truth_;
+  table::Table committedTable_;
   int64_t appliedIndex_ = 0;
   std::map<int64_t, uint64_t> entryHashes_;
   std::map<int64_t, table::Digest> tableDigests_;  // after each edit, by its log index
   std::map<std::string, Effect> effects_;          // by request id
   std::map<table::Interest, SliceHistory> slices_;
-  std::map<std::string, int64_t> newestActive_;     // by node, across its restarts
+  std::map<std::string, int64_t> newestActivated_;  // by node, across its restarts
   std::map<std::string, Serving> serving_;          // nodes with an active version now
   std::map<std::string, CommittedEdit> committed_;  // by request id
   std::vector<std::string> converging_;             // committed, not yet in force everywhere
--- a/src/simulation/operators.cc
+++ b/src/simulation/operators.cc
@@ -11,7 +11,7 @@
 using table::RowKind;
 
 constexpr base::Duration kRetryGap = base::milliseconds(50);
-constexpr char kBundlePrefix[] = "extra-";
+constexpr char kBundleNamePrefix[] = "extra-";
 
 wire::Mutation mutationOf(wire::Row row, int64_t expectedRevision) {
   wire::Mutation mutation;
@@ -52,7 +52,7 @@
 void Operators::submit(wire::EditCommand edit) {
   ++counters_.edits;
   const auto requestId = edit.requestId;
-  open_[requestId].edit = std::move(edit);
+  pendingEdits_[requestId].edit = std::move(edit);
   attempt(requestId);
 }
 
@@ -111,7 +111,7 @@
 
 void Operators::addBundle(wire::EditCommand* edit) {
   // A service, its secret and a route to it, all at once: no node may see one without the others.
-  const auto name = kBundlePrefix + edit->requestId;
+  const auto name = kBundleNamePrefix + edit->requestId;
   wire::Row secret;
   secret.key = table::makeKey(RowKind::SECRET, name);
   secret.__isset.secretRow = true;
@@ -139,7 +139,7 @@
   std::vector<table::RowPtr> bundle;
   std::string name;
   for (const auto& [key, row] : known.rows()) {
-    if (key.name.rfind(kBundlePrefix, 0) != 0) continue;
+    if (key.name.rfind(kBundleNamePrefix, 0) != 0) continue;
     if (name.empty()) name = key.name;
     if (key.name == name) bundle.push_back(row);
   }
@@ -161,7 +161,7 @@
   edit.requestId = nextRequestId();
   edit.author = "operator";
   edit.baseRevision = known.revision();
-  if (random_.chance(options_.badEdits)) {
+  if (random_.chance(options_.invalidEdits)) {
     breakReference(known, &edit);
     if (!edit.mutations.empty()) return edit;
   }
@@ -183,18 +183,18 @@
 }
 
 void Operators::attempt(const std::string& requestId) {
-  const auto found = open_.find(requestId);
-  if (found == open_.end()) return;
-  auto& open = found->second;
-  if (open.attempts++ > 0) ++counters_.resends;
-  const int attempt = open.attempts;
+  const auto found = pendingEdits_.find(requestId);
+  if (found == pendingEdits_.end()) return;
+  auto& pending = found->second;
+  if (pending.attempts++ > 0) ++counters_.resends;
+  const int attempt = pending.attempts;
   const auto position = preferred_;
   auto& machine = *cluster_.controllers()[position];
-  const auto edit = open.edit;
+  const auto edit = pending.edit;
   auto& queue = cluster_.queue();
   const auto tryNext = [this, requestId, attempt, position] {
-    const auto still = open_.find(requestId);
-    if (still == open_.end() || still->second.attempts != attempt) return;
+    const auto still = pendingEdits_.find(requestId);
+    if (still == pendingEdits_.end() || still->second.attempts != attempt) return;
     if (preferred_ == position) preferred_ = (position + 1) % cluster_.controllers().size();
     this->attempt(requestId);
   };
@@ -221,7 +221,7 @@
   auto outcome = answer.outcome;
   outcome.code = static_cast<int>(answer.code);
   cluster_.checker().onOutcome(requestId, outcome);
-  if (open_.erase(requestId) == 0) return;
+  if (pendingEdits_.erase(requestId) == 0) return;
   if (answer.code == ErrorCode::kNone) ++counters_.accepted;
   if (answer.code == ErrorCode::kNone && acceptedHook_) acceptedHook_();
   if (answer.code == ErrorCode::kRevisionConflict) ++counters_.conflicts;
--- a/src/simulation/operators.h
+++ b/src/simulation/operators.h
@@ -19,7 +19,7 @@
   base::Duration answerTimeout = base::milliseconds(1500);  ///< before an edit is sent again
   double lostAnswers = 0.1;                                 ///< share of answers that never arrive
   double races = 0.2;                                       ///< share of edits sent as two that compete
-  double badEdits = 0.1;                                    ///< share of edits that must be refused
+  double invalidEdits = 0.1;                                ///< share of edits that must be refused
   base::Duration oneWay = base::milliseconds(1);            ///< between an operator and a controller
 };
 
@@ -30,7 +30,7 @@
   int64_t accepted = 0;
   int64_t conflicts = 0;
   int64_t invalid = 0;
-  int64_t undecided = 0;  ///< still without an answer at the end
+  int64_t unanswered = 0;  ///< still without an answer at the end
 };
 
 /// Sends edits until each has a final answer, and reports every answer to the checker.
@@ -42,7 +42,7 @@
   void start();
 
   /// @return edits without a final answer.
-  size_t undecided() const { return open_.size(); }
+  size_t unanswered() const { return pendingEdits_.size(); }
 
   const OperatorCounters& counters() const { return counters_; }
 
@@ -53,7 +53,7 @@
   void submit(wire::EditCommand edit);
 
  private:
-  struct Open {
+  struct PendingEdit {
     wire::EditCommand edit;
     int attempts = 0;
   };
@@ -72,7 +72,7 @@
   Cluster& cluster_;
   OperatorOptions options_;
   base::RandomSource random_;
-  std::map<std::string, Open> open_;  // by request id
+  std::map<std::string, PendingEdit> pendingEdits_;  // by request id
   int64_t sequence_ = 0;
   size_t preferred_ = 0;  // controller that answered last
   OperatorCounters counters_;
--- a/src/simulation/process.cc
+++ b/src/simulation/process.cc
@@ -14,9 +14,9 @@
 }
 
 void Process::cancel(base::TimerId id) {
-  const auto moved = moved_.extract(id);
+  const auto moved = rescheduledEvents_.extract(id);
   queue_.cancel(moved ? moved.mapped() : id);
-  for (auto* timers : {&dueTimers_, &busyTimers_}) {
+  for (auto* timers : {&dueWhileFrozen_, &dueWhileBusy_}) {
     for (auto& timer : *timers) {
       if (timer->id == id) timer->callback = nullptr;
     }
@@ -25,7 +25,7 @@
 
 base::TimePoint Process::inputReadUntil() const {
   if (readUntil_) return *readUntil_;
-  return processor_ == nullptr ? now() : processor_->inputReadUntil() - slept_;
+  return processor_ == nullptr ? now() : processor_->inputReadUntil() - clockLag_;
 }
 
 void Process::start() {
@@ -38,10 +38,10 @@
   alive_ = false;
   frozen_ = false;
   ++incarnation_;
-  dueTimers_.clear();
-  busyTimers_.clear();
-  waiting_.clear();
-  moved_.clear();
+  dueWhileFrozen_.clear();
+  dueWhileBusy_.clear();
+  pendingActions_.clear();
+  rescheduledEvents_.clear();
   onAway_ = nullptr;
 }
 
@@ -56,18 +56,18 @@
 
 void Process::thaw() {
   const auto away = queue_.now() - frozenAt_;
-  readUntil_ = frozenAt_ - slept_;
-  if (clockStands_) slept_ += away;
-  while (!dueTimers_.empty()) {
-    const auto timer = std::move(dueTimers_.front());
-    dueTimers_.pop_front();
+  readUntil_ = frozenAt_ - clockLag_;
+  if (clockStopsWhileFrozen_) clockLag_ += away;
+  while (!dueWhileFrozen_.empty()) {
+    const auto timer = std::move(dueWhileFrozen_.front());
+    dueWhileFrozen_.pop_front();
     runTimer(timer);
   }
-  if (onAway_ && !clockStands_ && away >= base::kOverslept) runNow(onAway_);
+  if (onAway_ && !clockStopsWhileFrozen_ && away >= base::kOverslept) runNow(onAway_);
   readUntil_.reset();
-  while (!waiting_.empty()) {
-    const auto action = std::move(waiting_.front());
-    waiting_.pop_front();
+  while (!pendingActions_.empty()) {
+    const auto action = std::move(pendingActions_.front());
+    pendingActions_.pop_front();
     run(incarnation_, action);
   }
 }
@@ -75,11 +75,11 @@
 void Process::run(uint64_t incarnation, std::function<void()> action) {
   if (!alive_ || incarnation != incarnation_) return;
   if (frozen_) {
-    waiting_.push_back(std::move(action));
+    pendingActions_.push_back(std::move(action));
   } else if (processor_ != nullptr) {
     processor_->run(false, [this, incarnation, action = std::move(action)] {
       if (!alive_ || incarnation != incarnation_) return;
-      if (frozen_) return waiting_.push_back(action);
+      if (frozen_) return pendingActions_.push_back(action);
       runNow(action);
     });
   } else {
@@ -87,9 +87,9 @@
   }
 }
 
-void Process::afterwards(std::function<void()> action) {
+void Process::runAfterCurrentEvent(std::function<void()> action) {
   if (processor_ == nullptr) return action();
-  processor_->afterwards([this, incarnation = incarnation_, action = std::move(action)] {
+  processor_->runAfterCurrentEvent([this, incarnation = incarnation_, action = std::move(action)] {
     if (alive_ && incarnation == incarnation_) action();
   });
 }
@@ -97,11 +97,11 @@
 void Process::runTimer(const std::shared_ptr<Timer>& timer) {
   if (!alive_ || timer->incarnation != incarnation_ || !timer->callback) return;
   if (frozen_) {
-    dueTimers_.push_back(timer);
+    dueWhileFrozen_.push_back(timer);
   } else if (now() < timer->due) {
-    moved_[timer->id] = queue_.after(timer->due - now(), [this, timer] { runTimer(timer); });
+    rescheduledEvents_[timer->id] = queue_.after(timer->due - now(), [this, timer] { runTimer(timer); });
   } else if (processor_ != nullptr) {
-    busyTimers_.push_back(timer);
+    dueWhileBusy_.push_back(timer);
     processor_->run(true, [this, timer] { fire(timer); });
   } else {
     fire(timer);
@@ -109,9 +109,9 @@
 }
 
 void Process::fire(const std::shared_ptr<Timer>& timer) {
-  std::erase(busyTimers_, timer);
+  std::erase(dueWhileBusy_, timer);
   if (!alive_ || timer->incarnation != incarnation_ || !timer->callback) return;
-  moved_.erase(timer->id);
+  rescheduledEvents_.erase(timer->id);
   runNow(timer->callback);
 }
 
--- a/src/simulation/process.h
+++ b/src/simulation/process.h
@@ -31,7 +31,7 @@
       : queue_(queue), name_(std::move(name)), placement_(std::move(placement)), address_(std::move(address)) {}
 
   // base::Scheduler
-  base::TimePoint now() const override { return queue_.now() - slept_; }
+  base::TimePoint now() const override { return queue_.now() - clockLag_; }
   base::TimerId schedule(base::Duration delay, std::function<void()> callback) override;
   void cancel(base::TimerId id) override;
   base::WallTime wallTime() const override { return base::WallTime(queue_.now().time_since_epoch()); }
@@ -48,13 +48,13 @@
 
   /// Whether the process's own clock doesn't count the time for which it is frozen, as a steady clock on a suspended
   /// machine. For tests that show what such a clock costs.
-  void letClockStand(bool stands) { clockStands_ = stands; }
+  void setClockStopsWhileFrozen(bool stops) { clockStopsWhileFrozen_ = stops; }
 
   /// Has what the process does take time on a processor, which outlives it; without one, work takes none.
   void useProcessor(Processor* processor) { processor_ = processor; }
 
   /// Runs an action when what the process does now has ended.
-  void afterwards(std::function<void()> action);
+  void runAfterCurrentEvent(std::function<void()> action);
 
   /// Calls back when a process thaws that was frozen for longer than transport::EventLoop lets pass; forgotten with the
   /// incarnation.
@@ -93,17 +93,17 @@
   base::Address address_;
   bool alive_ = false;
   bool frozen_ = false;
-  bool clockStands_ = false;
+  bool clockStopsWhileFrozen_ = false;
   uint64_t incarnation_ = 0;
   base::TimePoint frozenAt_{};
-  std::optional<base::TimePoint> readUntil_;          // on the own clock, while it thaws
-  base::Duration slept_{};                            // what the own clock didn't count
-  std::deque<std::shared_ptr<Timer>> dueTimers_;      // came due while frozen; cancelled ones have no callback
-  std::deque<std::shared_ptr<Timer>> busyTimers_;     // came due while the processor was at work; the same
-  std::deque<std::function<void()>> waiting_;         // arrived while frozen
-  std::unordered_map<base::TimerId, EventId> moved_;  // timers whose event is another than their first
-  std::function<void()> onAway_;                      // may be empty
-  std::function<void()> eventHook_;                   // may be empty
+  std::optional<base::TimePoint> readUntil_;           // on the own clock, while it thaws
+  base::Duration clockLag_{};                          // what the own clock didn't count
+  std::deque<std::shared_ptr<Timer>> dueWhileFrozen_;  // came due while frozen; cancelled ones have no callback
+  std::deque<std::shared_ptr<Timer>> dueWhileBusy_;    // came due while the processor was at work; the same
+  std::deque<std::function<void()>> pendingActions_;   // arrived while frozen
+  std::unordered_map<base::TimerId, EventId> rescheduledEvents_;  // timers whose event is another than their first
+  std::function<void()> onAway_;                                  // may be empty
+  std::function<void()> eventHook_;                               // may be empty
 };
 
 }  // namespace driftlug::simulation
--- a/src/simulation/processor.cc
+++ b/src/simulation/processor.cc
@@ -13,26 +13,26 @@
   } else {
     messages_.push_back({queue_.now(), std::move(action)});
   }
-  wake();
+  scheduleWakeUp();
 }
 
-void Processor::afterwards(std::function<void()> action) {
+void Processor::runAfterCurrentEvent(std::function<void()> action) {
   if (!working_) return action();
-  atEndOfTurn_.push_back(std::move(action));
+  deferred_.push_back(std::move(action));
 }
 
 void Processor::runNow(const std::function<void()>& action) {
   working_ = true;
   (void)meter_();
   action();
-  const auto took = meter_();
+  const auto duration = meter_();
   working_ = false;
-  longest_ = std::max(longest_, took);
-  freeAt_ = queue_.now() + took;
-  auto ending = std::exchange(atEndOfTurn_, {});
-  if (ending.empty()) return;
-  queue_.after(took, [ending = std::move(ending)] {
-    for (const auto& end : ending) end();
+  longestAction_ = std::max(longestAction_, duration);
+  freeAt_ = queue_.now() + duration;
+  auto deferred = std::exchange(deferred_, {});
+  if (deferred.empty()) return;
+  queue_.after(duration, [deferred = std::move(deferred)] {
+    for (const auto& end : deferred) end();
   });
 }
 
@@ -48,15 +48,15 @@
   return action;
 }
 
-void Processor::wake() {
-  if (waking_) return;
-  waking_ = true;
+void Processor::scheduleWakeUp() {
+  if (wakeUpScheduled_) return;
+  wakeUpScheduled_ = true;
   queue_.at(std::max(freeAt_, queue_.now()), [this] {
-    waking_ = false;
+    wakeUpScheduled_ = false;
     while (queue_.now() >= freeAt_ && (!timers_.empty() || !messages_.empty())) {
       runNow(takeNext());
     }
-    if (!timers_.empty() || !messages_.empty()) wake();
+    if (!timers_.empty() || !messages_.empty()) scheduleWakeUp();
   });
 }
 
--- a/src/simulation/processor.h
+++ b/src/simulation/processor.h
@@ -23,33 +23,33 @@
   void run(bool isTimer, std::function<void()> action);
 
   /// Runs an action at the end of the one in progress: what is written to a socket leaves at the end of a turn.
-  void afterwards(std::function<void()> action);
+  void runAfterCurrentEvent(std::function<void()> action);
 
   /// @return when the oldest message that waits came, or now.
-  base::TimePoint inputReadUntil() const { return messages_.empty() ? queue_.now() : messages_.front().cameAt; }
+  base::TimePoint inputReadUntil() const { return messages_.empty() ? queue_.now() : messages_.front().arrivedAt; }
 
   /// @return longest time that a single action took.
-  base::Duration longest() const { return longest_; }
+  base::Duration longestAction() const { return longestAction_; }
 
  private:
   struct Message {
-    base::TimePoint cameAt;
+    base::TimePoint arrivedAt;
     std::function<void()> action;
   };
 
   void runNow(const std::function<void()>& action);
-  void wake();
+  void scheduleWakeUp();
   std::function<void()> takeNext();
 
   EventQueue& queue_;
   Meter meter_;
   bool working_ = false;
-  bool waking_ = false;  // wake() is scheduled
+  bool wakeUpScheduled_ = false;  // wake() is scheduled
   base::TimePoint freeAt_{};
-  base::Duration longest_{0};
-  std::deque<std::function<void()>> timers_;       // came due while it was at work
-  std::deque<Message> messages_;                   // came while it was at work
-  std::deque<std::function<void()>> atEndOfTurn_;  // of the action in progress
+  base::Duration longestAction_{0};
+  std::deque<std::function<void()>> timers_;    // came due while it was at work
+  std::deque<Message> messages_;                // came while it was at work
+  std::deque<std::function<void()>> deferred_;  // of the action in progress
 };
 
 }  // namespace driftlug::simulation
--- a/src/simulation/run.cc
+++ b/src/simulation/run.cc
@@ -6,12 +6,12 @@
 namespace {
 
 /// Time from the start in which the cluster forms and the first rows are accepted.
-constexpr base::Duration kFormation = base::seconds(8);
+constexpr base::Duration kFormationTime = base::seconds(8);
 /// Time at the end without faults or edits, in which everything must converge.
-constexpr base::Duration kSettle = base::seconds(20);
+constexpr base::Duration kSettleTime = base::seconds(20);
 constexpr base::Duration kProbeInterval = base::milliseconds(250);
 /// Nodes hit by a fault within this time may differ from what a controller says of them.
-constexpr base::Duration kExcuse = base::seconds(12);
+constexpr base::Duration kExemptionWindow = base::seconds(12);
 
 /// Asks the leader now and then whether the newest revision is in force everywhere.
 class ConvergenceProbe {
@@ -21,27 +21,27 @@
   void start() {
     cluster_.queue().after(kProbeInterval, [this] {
       start();
-      ask();
+      checkConvergence();
     });
   }
 
   /// Asks as an operator does who waits for a change: at once, and again and again.
-  void askOften() {
-    constexpr int kQuestions = 8;
-    for (int i = 0; i < kQuestions; ++i) {
-      cluster_.queue().after(i * base::microseconds(500), [this] { ask(); });
+  void probeRepeatedly() {
+    constexpr int kProbes = 8;
+    for (int i = 0; i < kProbes; ++i) {
+      cluster_.queue().after(i * base::microseconds(500), [this] { checkConvergence(); });
     }
   }
 
  private:
-  void ask() {
+  void checkConvergence() {
     auto* leader = cluster_.leader();
     if (leader == nullptr) return;
     auto* controller = leader->controller();
     const auto revision = controller->state().table().revision();
     controller->confirmLeadership([this, controller, revision](bool confirmed) {
       if (!confirmed || !controller->convergence().inForceEverywhere(revision)) return;
-      cluster_.checker().onSaidEverywhere(revision, faults_.disturbedNodes(kExcuse));
+      cluster_.checker().onConvergenceReported(revision, faults_.disturbedNodes(kExemptionWindow));
     });
   }
 
@@ -77,9 +77,9 @@
     if (machine->control() != nullptr) nodes[machine->name()] = &machine->control()->slices();
   }
   checker.checkEnd(controllers, nodes);
-  if (operators.undecided() > 0) {
-    checker.violate(Guarantee::kAcceptedStays,
-                    std::to_string(operators.undecided()) + " edits have no answer though all faults have healed");
+  if (operators.unanswered() > 0) {
+    checker.reportViolation(Guarantee::kAcceptedIsDurable, std::to_string(operators.unanswered()) +
+                                                               " edits have no answer though all faults have healed");
   }
 }
 
@@ -89,22 +89,22 @@
   Cluster cluster(options.plan, options.seed);
   const base::TimePoint begin{};
   const auto end = begin + options.duration;
-  const auto calm = end - kSettle;
+  const auto faultsEnd = end - kSettleTime;
   FaultOptions faultOptions;
   faultOptions.classes = options.faults;
-  faultOptions.from = begin + kFormation;
-  faultOptions.until = calm;
+  faultOptions.from = begin + kFormationTime;
+  faultOptions.until = faultsEnd;
   faultOptions.meanGap = options.meanFaultGap;
   const auto drawn = drawFaults(faultOptions, cluster.newRandom(), cluster.plan());
   FaultInjector faults(cluster, selectFaults(options, drawn));
   OperatorOptions operatorOptions;
-  operatorOptions.from = begin + kFormation;
-  operatorOptions.until = calm + kSettle / 4;
+  operatorOptions.from = begin + kFormationTime;
+  operatorOptions.until = faultsEnd + kSettleTime / 4;
   operatorOptions.meanGap = options.meanEditGap;
   Operators operators(cluster, operatorOptions);
   ConvergenceProbe probe(cluster, faults);
 
-  operators.onAccepted([&probe] { probe.askOften(); });
+  operators.onAccepted([&probe] { probe.probeRepeatedly(); });
   cluster.checker().onCommit([&faults] { faults.onCommit(); });
   cluster.start();
   operators.start();
@@ -119,14 +119,14 @@
   result.events = cluster.queue().executed();
   result.violations = cluster.checker().violations();
   result.operators = operators.counters();
-  result.operators.undecided = static_cast<int64_t>(operators.undecided());
+  result.operators.unanswered = static_cast<int64_t>(operators.unanswered());
   result.traffic = cluster.network().traffic();
   result.controlBytes = controlBytesOf(result.traffic);
   result.faultsDrawn = drawn.size();
   result.faults = drawn;
   for (const auto& [requestId, edit] : cluster.checker().committed()) {
     // The rows of the start are in force when the cluster has formed, which is no convergence.
-    if (!edit.inForce || edit.committedAt < begin + kFormation) continue;
+    if (!edit.inForce || edit.committedAt < begin + kFormationTime) continue;
     result.convergenceMs.push_back(
         std::chrono::duration<double, std::milli>(edit.inForceAt - edit.committedAt).count());
   }
--- a/src/simulation/simulated_network.cc
+++ b/src/simulation/simulated_network.cc
@@ -29,7 +29,7 @@
   } else if (from.zone != to.zone) {
     base = options_.betweenZones;
   }
-  const double factor = slowness_ * (1 + options_.jitter * random_.unit());
+  const double factor = latencyFactor_ * (1 + options_.jitter * random_.unit());
   auto delay = base::Duration(static_cast<int64_t>(static_cast<double>(base.count()) * factor));
   if (loss_ > 0 && random_.chance(loss_)) delay += options_.retransmit;
   return delay;
@@ -39,7 +39,7 @@
   if (cut) {
     cuts_.insert({from, to});
   } else if (cuts_.erase({from, to}) > 0) {
-    releaseHealed();
+    releaseHeldFrames();
   }
 }
 
@@ -47,7 +47,7 @@
   if (cut) {
     cutRegions_.insert(region);
   } else if (cutRegions_.erase(region) > 0) {
-    releaseHealed();
+    releaseHeldFrames();
   }
 }
 
@@ -63,7 +63,7 @@
   return from != nullptr && to != nullptr && isCut(*from, *to);
 }
 
-void SimulatedNetwork::releaseHealed() {
+void SimulatedNetwork::releaseHeldFrames() {
   for (const auto& weak : connections_) {
     const auto connection = weak.lock();
     if (!connection) continue;
@@ -154,7 +154,7 @@
   deliver(connection, 1, {EventKind::kOpen, nullptr, caller.network->hello_});
 }
 
-void SimulatedNetwork::onDeath(ProcessNetwork* network, bool silent) {
+void SimulatedNetwork::onProcessExit(ProcessNetwork* network, bool silent) {
   const auto found = listeners_.find(network->process().address());
   if (found != listeners_.end() && found->second == network) listeners_.erase(found);
   for (const auto& [id, end] : network->ends_) {
@@ -170,7 +170,7 @@
 
 ProcessNetwork::~ProcessNetwork() {
   constexpr bool kSilent = true;
-  network_.onDeath(this, kSilent);
+  network_.onProcessExit(this, kSilent);
 }
 
 base::ConnectionId ProcessNetwork::connect(const base::Address& address) {
@@ -207,7 +207,7 @@
 }
 
 void ProcessNetwork::send(base::ConnectionId id, const wire::FramePtr& frame) {
-  process_.afterwards([this, id, frame] { transmit(id, frame); });
+  process_.runAfterCurrentEvent([this, id, frame] { transmit(id, frame); });
 }
 
 void ProcessNetwork::transmit(base::ConnectionId id, const wire::FramePtr& frame) {
--- a/src/simulation/simulated_network.h
+++ b/src/simulation/simulated_network.h
@@ -44,7 +44,7 @@
 
   /// Ends all connections of a process that died.
   /// @param silent whether its peers get no reset, as when the machine is gone
-  void onDeath(ProcessNetwork* network, bool silent);
+  void onProcessExit(ProcessNetwork* network, bool silent);
 
   /// Cuts or heals the way from one process to another.
   void setCut(const std::string& from, const std::string& to, bool cut);
@@ -59,7 +59,7 @@
   void setLoss(double share) { loss_ = share; }
 
   /// Multiplies all latencies.
-  void setSlowness(double factor) { slowness_ = factor; }
+  void setLatencyFactor(double factor) { latencyFactor_ = factor; }
 
   /// @return the latency from one place to another, drawn with jitter.
   base::Duration latency(const Placement& from, const Placement& to);
@@ -106,7 +106,7 @@
   void closeFrom(const ConnectionPtr& connection, int side);
   bool cutBetween(const Connection& connection, int toSide) const;
   void completeConnect(const ConnectionPtr& connection, const base::Address& address);
-  void releaseHealed();
+  void releaseHeldFrames();
 
   EventQueue& queue_;
   base::RandomSource random_;
@@ -117,7 +117,7 @@
   std::vector<std::weak_ptr<Connection>> connections_;  // swept now and then
   size_t sweepAt_ = 1024;
   double loss_ = 0;
-  double slowness_ = 1;
+  double latencyFactor_ = 1;
   uint64_t traceHash_ = 0;
   Traffic traffic_;
 };
--- a/test/controller/controller_host.h
+++ b/test/controller/controller_host.h
@@ -54,7 +54,7 @@
   }
 
   void losePower() {
-    network_.onDeath(sockets_.get(), true);
+    network_.onProcessExit(sockets_.get(), true);
     process_.kill();
     controller_.reset();
     sockets_.reset();
--- a/test/fleet/fleet_node.cc
+++ b/test/fleet/fleet_node.cc
@@ -107,8 +107,8 @@
 
 void fleet_node::kill()
 {
-	m_simulated.onDeath(m_calls.get(), false);
-	m_simulated.onDeath(m_control.get(), false);
+	m_simulated.onProcessExit(m_calls.get(), false);
+	m_simulated.onProcessExit(m_control.get(), false);
 	m_process.kill();
 	if (m_backEnd)
 	{
--- a/test/fleet/fleet_relay.cc
+++ b/test/fleet/fleet_relay.cc
@@ -37,7 +37,7 @@
 
 void fleet_relay::kill()
 {
-	m_simulated.onDeath(m_network.get(), false);
+	m_simulated.onProcessExit(m_network.get(), false);
 	m_process.kill();
 	m_relay.reset();
 	m_network.reset();
--- a/test/incidents/crash_figures_test.cc
+++ b/test/incidents/crash_figures_test.cc
@@ -15,12 +15,12 @@
 constexpr base::Duration kUntil = base::seconds(60);
 constexpr base::Duration kEnd = base::seconds(65);
 
-struct sums
+struct scenario_totals
 {
 	double crashes = 0;
 	double worst = 0;
-	double plain = 0;
-	double pastThird = 0;
+	double externalCrashes = 0;
+	double afterThirdCrash = 0;
 	double inTime = 0;
 	double lost = 0;
 	double held = 0;
@@ -32,14 +32,14 @@
 			const auto crashes = static_cast<double>(_fleet.backEnds.crashesBy(path));
 			worst = std::max(worst, crashes);
 			this->crashes += crashes / static_cast<double>(_fatal.size());
-			pastThird =
-				std::max(pastThird, static_cast<double>(_fleet.backEnds.arrivalsPastThird(path, base::seconds(3))));
+			afterThirdCrash = std::max(
+				afterThirdCrash, static_cast<double>(_fleet.backEnds.arrivalsAfterThirdCrash(path, base::seconds(3))));
 		}
-		const auto asked = static_cast<double>(_fleet.callers.asked);
-		plain += static_cast<double>(_fleet.backEnds.plain.size());
-		inTime += _fleet.callers.inTime / asked;
-		lost += static_cast<double>(_fleet.callers.lostOthers(_fleet.backEnds)) / asked;
-		held += _fleet.callers.heldOthers;
+		const auto requests = static_cast<double>(_fleet.callers.requests);
+		externalCrashes += static_cast<double>(_fleet.backEnds.externalCrashes.size());
+		inTime += _fleet.callers.inTime / requests;
+		lost += static_cast<double>(_fleet.callers.otherRequestsLost(_fleet.backEnds)) / requests;
+		held += _fleet.callers.otherRequestsHeld;
 	}
 
 	void print(const char* _name) const
@@ -48,44 +48,46 @@
 			"%-34s ends a guilty request %.2f (most %.0f, past third %.0f), plain %.1f, in time %.4f, lost %.5f, "
 			"innocents "
 			"held %.2f\n",
-			_name, crashes / kSeeds, worst, pastThird, plain / kSeeds, inTime / kSeeds, lost / kSeeds, held / kSeeds);
+			_name, crashes / kSeeds, worst, afterThirdCrash, externalCrashes / kSeeds, inTime / kSeeds, lost / kSeeds,
+			held / kSeeds);
 	}
 };
 
-void crashPlainly(crash_fleet* _fleet, base::Duration _gap)
+void crashExternally(crash_fleet* _fleet, base::Duration _gap)
 {
 	if (_fleet->now() > kUntil)
 	{
 		return;
 	}
-	_fleet->backEnd(_fleet->random().below(4)).crashPlainly();
+	_fleet->backEnd(_fleet->random().below(4)).crashExternally();
 	_fleet->queue().after(_gap / 2 + _fleet->random().duration(_gap),
 						  [_fleet, _gap]
 						  {
-							  crashPlainly(_fleet, _gap);
+							  crashExternally(_fleet, _gap);
 						  });
 }
 
-void play(const char* _name, double _perSecond, size_t _guilty, bool _plain, size_t _backEnds = 4)
+void runScenario(const char* _name, double _perSecond, size_t _fatalRequests, bool _externalCrashes,
+				 size_t _backEnds = 4)
 {
-	sums total;
+	scenario_totals total;
 	for (int seed = 1; seed <= kSeeds; ++seed)
 	{
 		crash_fleet fleet(static_cast<uint64_t>(seed), _backEnds);
-		for (size_t i = 0; i < _guilty; ++i)
+		for (size_t i = 0; i < _fatalRequests; ++i)
 		{
 			fleet.backEnds.fatal.push_back("/tiles/fatal-" + std::to_string(i));
 		}
-		fleet.callAllTheTime(_perSecond, kUntil);
+		fleet.startBackgroundTraffic(_perSecond, kUntil);
 		fleet.runUntil(kFrom);
 		for (const auto& path : fleet.backEnds.fatal)
 		{
 			fleet.repeat(path, base::milliseconds(2500), kUntil);
 			fleet.runUntil(fleet.now() + fleet.random().duration(base::seconds(2)));
 		}
-		if (_plain)
+		if (_externalCrashes)
 		{
-			crashPlainly(&fleet, base::seconds(4));
+			crashExternally(&fleet, base::seconds(4));
 		}
 		fleet.runUntil(kEnd);
 		total.add(fleet, fleet.backEnds.fatal);
@@ -93,20 +95,20 @@
 	total.print(_name);
 }
 
-void spread(size_t _guilty)
+void measureReportTraffic(size_t _fatalRequests)
 {
 	crash_fleet fleet(3, 60, 240);
 	const auto kind = wire::Message(wire::CrashReports()).index();
-	for (size_t i = 0; i < _guilty; ++i)
+	for (size_t i = 0; i < _fatalRequests; ++i)
 	{
 		fleet.backEnds.fatal.push_back("/tiles/fatal-" + std::to_string(i));
 	}
-	fleet.callAllTheTime(2000, base::seconds(40));
+	fleet.startBackgroundTraffic(2000, base::seconds(40));
 	fleet.runUntil(kFrom);
 	for (const auto& path : fleet.backEnds.fatal)
 	{
 		fleet.repeat(path, base::milliseconds(2500), base::seconds(40));
-		fleet.runUntil(fleet.now() + base::seconds(30) / static_cast<int>(_guilty));
+		fleet.runUntil(fleet.now() + base::seconds(30) / static_cast<int>(_fatalRequests));
 	}
 	fleet.runUntil(base::seconds(45));
 	const auto& traffic = fleet.network().traffic();
@@ -117,8 +119,8 @@
 	}
 	std::printf(
 		"%zu guilty, 300 nodes, 40 s: %lld frames, %lld bytes of crash reports, %.2f ends a request, marks %zu\n",
-		_guilty, static_cast<long long>(traffic.frames[kind]), static_cast<long long>(traffic.bytes[kind]),
-		crashes / static_cast<double>(_guilty), fleet.node(0).quarantine()->history().marks());
+		_fatalRequests, static_cast<long long>(traffic.frames[kind]), static_cast<long long>(traffic.bytes[kind]),
+		crashes / static_cast<double>(_fatalRequests), fleet.node(0).quarantine()->history().marks());
 	fleet.runUntil(std::chrono::minutes(3));
 	const auto reports = fleet.node(0).quarantine()->all();
 	wire::CrashReports all;
@@ -130,8 +132,8 @@
 
 TEST_CASE("figures of the spread", "[.spread]")
 {
-	spread(1);
-	spread(100);
+	measureReportTraffic(1);
+	measureReportTraffic(100);
 }
 
 TEST_CASE("figures of fingerprints", "[.fingerprints]")
@@ -159,16 +161,16 @@
 
 TEST_CASE("figures of crashes", "[.figures]")
 {
-	play("nothing crashes", 170, 0, false);
-	play("one guilty request, 170 a second", 170, 1, false);
-	play("one guilty request, 250 a second", 250, 1, false);
-	play("one guilty, three back ends, 150", 150, 1, false, 3);
-	play("one guilty, two back ends, 80", 80, 1, false, 2);
-	play("one guilty, one back end, 40", 40, 1, false, 1);
-	play("ten guilty requests", 170, 10, false);
-	play("plain crashes", 170, 0, true);
-	play("plain crashes, 250 a second", 250, 0, true);
-	play("both", 170, 1, true);
+	runScenario("nothing crashes", 170, 0, false);
+	runScenario("one guilty request, 170 a second", 170, 1, false);
+	runScenario("one guilty request, 250 a second", 250, 1, false);
+	runScenario("one guilty, three back ends, 150", 150, 1, false, 3);
+	runScenario("one guilty, two back ends, 80", 80, 1, false, 2);
+	runScenario("one guilty, one back end, 40", 40, 1, false, 1);
+	runScenario("ten guilty requests", 170, 10, false);
+	runScenario("plain crashes", 170, 0, true);
+	runScenario("plain crashes, 250 a second", 250, 0, true);
+	runScenario("both", 170, 1, true);
 }
 
 }  // namespace driftlug::test
--- a/test/incidents/crash_fleet.cc
+++ b/test/incidents/crash_fleet.cc
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-size_t caller_record::lostOthers(const back_end_record& _record) const
+size_t caller_record::otherRequestsLost(const back_end_record& _record) const
 {
 	return static_cast<size_t>(std::count_if(lost.begin(), lost.end(),
 											 [&](const auto& _request)
@@ -80,7 +80,7 @@
 	base::showLogTime(nullptr);
 }
 
-void crash_fleet::callAllTheTime(double _perSecond, base::Duration _until)
+void crash_fleet::startBackgroundTraffic(double _perSecond, base::Duration _until)
 {
 	const auto gap = std::chrono::duration_cast<base::Duration>(std::chrono::duration<double>(1 / _perSecond));
 	m_queue.after(m_random.duration(gap * 2),
@@ -91,7 +91,7 @@
 						  return;
 					  }
 					  call("/tiles/" + std::to_string(++m_paths));
-					  callAllTheTime(_perSecond, _until);
+					  startBackgroundTraffic(_perSecond, _until);
 				  });
 }
 
@@ -111,17 +111,17 @@
 
 void crash_fleet::call(const std::string& _path)
 {
-	++callers.asked;
-	ask(_path, m_random.below(m_nodes.size()), m_queue.now(), 1);
+	++callers.requests;
+	sendAttempt(_path, m_random.below(m_nodes.size()), m_queue.now(), 1);
 }
 
-void crash_fleet::ask(const std::string& _path, size_t _node, base::TimePoint _begunAt, int _triesLeft)
+void crash_fleet::sendAttempt(const std::string& _path, size_t _node, base::TimePoint _begunAt, int _triesLeft)
 {
 	auto* entry = m_nodes[_node]->entry();
 	const auto waited = std::chrono::duration_cast<base::milliseconds>(m_queue.now() - _begunAt);
 	if (nullptr == entry || waited.count() >= kDeadlineMs)
 	{
-		return lose(_path);
+		return recordLost(_path);
 	}
 	node::InboundCall inbound;
 	inbound.method = "GET";
@@ -135,12 +135,12 @@
 	entry->begin(std::move(inbound),
 				 [this, _path, _begunAt, _triesLeft](const node::CallAnswer& _answer)
 				 {
-					 onAnswer(_path, _begunAt, _triesLeft, _answer);
+					 onAttemptAnswer(_path, _begunAt, _triesLeft, _answer);
 				 });
 }
 
-void crash_fleet::onAnswer(const std::string& _path, base::TimePoint _begunAt, int _triesLeft,
-						   const node::CallAnswer& _answer)
+void crash_fleet::onAttemptAnswer(const std::string& _path, base::TimePoint _begunAt, int _triesLeft,
+								  const node::CallAnswer& _answer)
 {
 	const auto waited = m_queue.now() - _begunAt;
 	if (backEnds.isFatal(_path))
@@ -149,7 +149,7 @@
 	}
 	else if (base::ErrorCode::kRequestHeld == _answer.error)
 	{
-		++callers.heldOthers;
+		++callers.otherRequestsHeld;
 	}
 	if (wire::CallOutcome::COMPLETED == _answer.outcome)
 	{
@@ -159,14 +159,14 @@
 	}
 	if (0 == _triesLeft)
 	{
-		return lose(_path);
+		return recordLost(_path);
 	}
 	const auto left = base::milliseconds(kDeadlineMs) - waited;
 	const auto pause = std::min<base::Duration>(base::milliseconds(_answer.retryAfterMs), left / 3);
 	m_queue.after(pause + base::milliseconds(2),
 				  [this, _path, _begunAt, _triesLeft]
 				  {
-					  ask(_path, m_random.below(m_nodes.size()), _begunAt, _triesLeft - 1);
+					  sendAttempt(_path, m_random.below(m_nodes.size()), _begunAt, _triesLeft - 1);
 				  });
 }
 
--- a/test/incidents/crash_fleet.h
+++ b/test/incidents/crash_fleet.h
@@ -17,15 +17,15 @@
 /// What became of the requests of callers, with the tries that they made themselves.
 struct caller_record
 {
-	int asked = 0;
+	int requests = 0;
 	int served = 0;
 	int inTime = 0;
 	std::vector<std::pair<base::TimePoint, std::string>> lost;  //!< Requests that were not served.
 	std::vector<node::CallAnswer> fatalAnswers;                 //!< To requests that crash what runs them.
-	int heldOthers = 0;                                         //!< Answers to others that were held back.
+	int otherRequestsHeld = 0;                                  //!< Answers to others that were held back.
 
 	/// @returns How many requests that crash nothing were not served.
-	size_t lostOthers(const back_end_record& _record) const;
+	size_t otherRequestsLost(const back_end_record& _record) const;
 };
 
 /// Relays, nodes, back ends and callers.
@@ -44,7 +44,7 @@
 	}
 
 	/// Callers ask for different things all the time, at all nodes.
-	void callAllTheTime(double _perSecond, base::Duration _until);
+	void startBackgroundTraffic(double _perSecond, base::Duration _until);
 
 	/// The same request comes again and again, at any node.
 	void repeat(const std::string& _path, base::Duration _gap, base::Duration _until);
@@ -91,11 +91,12 @@
 	caller_record callers;
 
 private:
-	void ask(const std::string& _path, size_t _node, base::TimePoint _begunAt, int _triesLeft);
+	void sendAttempt(const std::string& _path, size_t _node, base::TimePoint _begunAt, int _triesLeft);
 
-	void onAnswer(const std::string& _path, base::TimePoint _begunAt, int _triesLeft, const node::CallAnswer& _answer);
+	void onAttemptAnswer(const std::string& _path, base::TimePoint _begunAt, int _triesLeft,
+						 const node::CallAnswer& _answer);
 
-	void lose(const std::string& _path)
+	void recordLost(const std::string& _path)
 	{
 		callers.lost.emplace_back(m_queue.now(), _path);
 	}
--- a/test/incidents/crashing_back_end.cc
+++ b/test/incidents/crashing_back_end.cc
@@ -4,13 +4,13 @@
 
 namespace driftlug::test
 {
-std::vector<base::Duration> back_end_record::untilFirstCall() const
+std::vector<base::Duration> back_end_record::restartToFirstCall() const
 {
 	std::vector<base::Duration> times;
 	for (const auto& start : starts)
 	{
 		const auto first = std::find_if(arrivals.begin(), arrivals.end(),
-										[&](const arrival& _arrival)
+										[&](const back_end_event& _arrival)
 										{
 											return _arrival.node == start.node && _arrival.time >= start.time;
 										});
@@ -22,13 +22,13 @@
 size_t back_end_record::crashesBy(const std::string& _path) const
 {
 	return static_cast<size_t>(std::count_if(crashes.begin(), crashes.end(),
-											 [&](const arrival& _crash)
+											 [&](const back_end_event& _crash)
 											 {
 												 return _crash.path == _path;
 											 }));
 }
 
-size_t back_end_record::arrivalsPastThird(const std::string& _path, base::Duration _slack) const
+size_t back_end_record::arrivalsAfterThirdCrash(const std::string& _path, base::Duration _slack) const
 {
 	size_t seen = 0;
 	base::TimePoint third = base::TimePoint::max() - _slack;
@@ -40,7 +40,7 @@
 		}
 	}
 	return static_cast<size_t>(std::count_if(arrivals.begin(), arrivals.end(),
-											 [&](const arrival& _arrival)
+											 [&](const back_end_event& _arrival)
 											 {
 												 return _arrival.path == _path && _arrival.time > third + _slack;
 											 }));
@@ -61,7 +61,7 @@
 	const auto id = ++m_last;
 	if (!m_up)
 	{
-		m_process.schedule(kNotices,
+		m_process.schedule(kCloseDetectionDelay,
 						   [_done]
 						   {
 							   _done({node::BackendOutcome::kNotSent, false, 0, {}, {}});
@@ -96,13 +96,13 @@
 	m_running.clear();
 	for (auto& [id, run] : running)
 	{
-		m_process.schedule(kNotices,
+		m_process.schedule(kCloseDetectionDelay,
 						   [done = run.done]
 						   {
 							   done({node::BackendOutcome::kUnknown, false, 0, {}, {}});
 						   });
 	}
-	m_process.schedule(kBackAfter,
+	m_process.schedule(kRestartDelay,
 					   [this]
 					   {
 						   m_up = true;
@@ -114,11 +114,11 @@
 					   });
 }
 
-void crashing_back_end::crashPlainly()
+void crashing_back_end::crashExternally()
 {
 	if (m_up)
 	{
-		m_record.plain.push_back(m_process.now());
+		m_record.externalCrashes.push_back(m_process.now());
 		crash();
 	}
 }
@@ -146,7 +146,7 @@
 {
 	node::BackendReport report;
 	report.incarnation = "i-" + std::to_string(m_node);
-	report.incarnation += m_record.sameName ? "" : "-" + std::to_string(m_incarnation);
+	report.incarnation += m_record.keepIncarnationName ? "" : "-" + std::to_string(m_incarnation);
 	report.startedAtMs = kClockAtStart + m_startedAt.time_since_epoch() / base::milliseconds(1);
 	report.sequence = ++m_sequence;
 	report.slots = kSlots;
--- a/test/incidents/crashing_back_end.h
+++ b/test/incidents/crashing_back_end.h
@@ -25,7 +25,7 @@
 }
 
 /// Something that a back end saw.
-struct arrival
+struct back_end_event
 {
 	base::TimePoint time;
 	std::string path;
@@ -35,16 +35,16 @@
 /// What all back ends of the fleet saw, and which requests crash them.
 struct back_end_record
 {
-	std::vector<arrival> arrivals;
-	std::vector<arrival> crashes;        //!< By requests.
-	std::vector<base::TimePoint> plain;  //!< From outside.
-	std::vector<std::string> fatal;      //!< Paths of requests that crash what runs them.
-	std::vector<arrival> starts;         //!< First reports of back ends that have started again.
-	bool sameName = false;               //!< Back ends start again under the name that they had.
-	base::Duration clockStep{0};         //!< Between two starts, on the clock that they tell their starts by.
+	std::vector<back_end_event> arrivals;
+	std::vector<back_end_event> crashes;           //!< By requests.
+	std::vector<base::TimePoint> externalCrashes;  //!< From outside.
+	std::vector<std::string> fatal;                //!< Paths of requests that crash what runs them.
+	std::vector<back_end_event> starts;            //!< First reports of back ends that have started again.
+	bool keepIncarnationName = false;              //!< Back ends start again under the name that they had.
+	base::Duration clockStep{0};                   //!< Between two starts, on the clock that they tell their starts by.
 
 	/// @returns How long after its first report each back end that started again got its first call.
-	std::vector<base::Duration> untilFirstCall() const;
+	std::vector<base::Duration> restartToFirstCall() const;
 
 	bool isFatal(const std::string& _path) const
 	{
@@ -54,7 +54,7 @@
 	size_t crashesBy(const std::string& _path) const;
 
 	/// @returns How often a request reached a back end later than _slack after it had crashed the third.
-	size_t arrivalsPastThird(const std::string& _path, base::Duration _slack) const;
+	size_t arrivalsAfterThirdCrash(const std::string& _path, base::Duration _slack) const;
 };
 
 /// A back end that works on some requests at once, and is away for some seconds when one of them crashes it.
@@ -63,8 +63,9 @@
 public:
 	static constexpr base::Duration kRun = base::milliseconds(90);       //!< Mean; drawn from a third to five thirds.
 	static constexpr base::Duration kFatalRun = base::milliseconds(40);  //!< Until the crash.
-	static constexpr base::Duration kNotices = base::milliseconds(1);    //!< Until its node sees a closed connection.
-	static constexpr base::Duration kBackAfter = base::milliseconds(3000);  //!< The next incarnation.
+	static constexpr base::Duration kCloseDetectionDelay =
+		base::milliseconds(1);  //!< Until its node sees a closed connection.
+	static constexpr base::Duration kRestartDelay = base::milliseconds(3000);  //!< The next incarnation.
 
 	crashing_back_end(simulation::Process& _process, uint64_t _seed, size_t _node, back_end_record& _record);
 
@@ -85,7 +86,7 @@
 	/// Ends, with all that it works on.
 	void crash();
 
-	void crashPlainly();
+	void crashExternally();
 
 	/// Tells its node of itself, now and then.
 	void heartbeat() override;
@@ -96,7 +97,7 @@
 	}
 
 private:
-	struct running
+	struct running_request
 	{
 		std::function<void(node::BackendAnswer)> done;
 		std::string path;
@@ -110,7 +111,7 @@
 	base::RandomSource m_random;
 	size_t m_node;
 	back_end_record& m_record;
-	std::map<uint64_t, running> m_running;
+	std::map<uint64_t, running_request> m_running;
 	uint64_t m_last = 0;
 	int m_incarnation = 1;
 	base::TimePoint m_startedAt{};
--- a/test/incidents/crashing_request_test.cc
+++ b/test/incidents/crashing_request_test.cc
@@ -25,9 +25,9 @@
 {
 constexpr char kFatal[] = "/tiles/fatal";
 /// What a fleet knows after the third crash, it knows everywhere within this time.
-constexpr base::Duration kKnownWithin = base::seconds(3);
+constexpr base::Duration kPropagationLimit = base::seconds(3);
 /// Times that a request may reach a back end after that.
-constexpr size_t kMostPastThird = 3;
+constexpr size_t kMaxArrivalsAfterThirdCrash = 3;
 constexpr double kCallsPerSecond = 170;
 
 }  // namespace
@@ -36,24 +36,24 @@
 {
 	crash_fleet fleet(7);
 	fleet.backEnds.fatal = {kFatal};
-	fleet.callAllTheTime(kCallsPerSecond, base::seconds(60));
+	fleet.startBackgroundTraffic(kCallsPerSecond, base::seconds(60));
 	fleet.runUntil(base::seconds(5));
 	fleet.repeat(kFatal, base::milliseconds(2500), base::seconds(60));
 	fleet.runUntil(base::seconds(65));
 
-	CHECK(kMostPastThird >= fleet.backEnds.arrivalsPastThird(kFatal, kKnownWithin));
+	CHECK(kMaxArrivalsAfterThirdCrash >= fleet.backEnds.arrivalsAfterThirdCrash(kFatal, kPropagationLimit));
 	CHECK(6 >= fleet.backEnds.crashesBy(kFatal));
 	// Callers of everything else: nine in ten are served in time, also with two back ends of four away for some
 	// seconds.
-	CHECK(9 * fleet.callers.asked <= 10 * fleet.callers.inTime);
-	CHECK(fleet.callers.lost.size() * 50 <= static_cast<size_t>(fleet.callers.asked));
+	CHECK(9 * fleet.callers.requests <= 10 * fleet.callers.inTime);
+	CHECK(fleet.callers.lost.size() * 50 <= static_cast<size_t>(fleet.callers.requests));
 }
 
 TEST_CASE("a crash on probation is known to all nodes within a tenth of a second")
 {
 	crash_fleet fleet(11);
 	fleet.backEnds.fatal = {kFatal};
-	fleet.callAllTheTime(kCallsPerSecond, base::seconds(10));
+	fleet.startBackgroundTraffic(kCallsPerSecond, base::seconds(10));
 	fleet.runUntil(base::seconds(5));
 	fleet.repeat(kFatal, base::milliseconds(500), base::seconds(10));
 	while (2 > fleet.backEnds.crashesBy(kFatal))
@@ -71,7 +71,7 @@
 {
 	crash_fleet fleet(13);
 	fleet.backEnds.fatal = {kFatal};
-	fleet.callAllTheTime(kCallsPerSecond, base::seconds(60));
+	fleet.startBackgroundTraffic(kCallsPerSecond, base::seconds(60));
 	fleet.runUntil(base::seconds(5));
 	fleet.repeat(kFatal, base::milliseconds(500), base::seconds(60));
 	fleet.runUntil(base::seconds(10));
@@ -113,7 +113,7 @@
 			fleet.network().setCut(relay, fleet.node(cutOff).process().name(), _cut);
 		}
 	};
-	fleet.callAllTheTime(kCallsPerSecond, base::seconds(40));
+	fleet.startBackgroundTraffic(kCallsPerSecond, base::seconds(40));
 	fleet.runUntil(base::seconds(5));
 	setCut(true);
 	fleet.runUntil(base::seconds(8));
@@ -141,14 +141,14 @@
 	fleet.repeat(kFatal, base::milliseconds(300), base::seconds(40));
 	fleet.runUntil(base::seconds(45));
 	CHECK(5 >= fleet.backEnds.crashesBy(kFatal));
-	CHECK(0 == fleet.backEnds.arrivalsPastThird(kFatal, kKnownWithin));
+	CHECK(0 == fleet.backEnds.arrivalsAfterThirdCrash(kFatal, kPropagationLimit));
 }
 
 TEST_CASE("of two back ends a request that crashes what runs it never ends both at a time")
 {
 	crash_fleet fleet(21, 2);
 	fleet.backEnds.fatal = {kFatal};
-	fleet.callAllTheTime(80, base::seconds(40));
+	fleet.startBackgroundTraffic(80, base::seconds(40));
 	fleet.runUntil(base::seconds(5));
 	fleet.repeat(kFatal, base::milliseconds(500), base::seconds(40));
 	while (fleet.now() < base::seconds(45))
@@ -162,36 +162,36 @@
 TEST_CASE("crashes of back ends that no request is to blame for hold nothing back")
 {
 	crash_fleet fleet(23);
-	fleet.callAllTheTime(kCallsPerSecond, base::seconds(60));
+	fleet.startBackgroundTraffic(kCallsPerSecond, base::seconds(60));
 	fleet.runUntil(base::seconds(5));
 	// A path that callers ask for all the time is at work on every back end that crashes.
 	fleet.repeat("/tiles/favourite", base::milliseconds(20), base::seconds(60));
 	for (size_t i = 0; i < 14; ++i)
 	{
-		fleet.backEnd(i % 4).crashPlainly();
+		fleet.backEnd(i % 4).crashExternally();
 		fleet.runUntil(fleet.now() + base::milliseconds(3900));
 	}
 	fleet.runUntil(base::seconds(65));
-	CHECK(14 == fleet.backEnds.plain.size());
-	CHECK(0 == fleet.callers.heldOthers);
+	CHECK(14 == fleet.backEnds.externalCrashes.size());
+	CHECK(0 == fleet.callers.otherRequestsHeld);
 	CHECK(fleet.callers.lost.empty());
-	CHECK(99 * fleet.callers.asked <= 100 * fleet.callers.inTime);
+	CHECK(99 * fleet.callers.requests <= 100 * fleet.callers.inTime);
 }
 
 TEST_CASE("two back ends of four that crash at the same moment hold nothing back")
 {
 	crash_fleet fleet(29);
-	fleet.callAllTheTime(100, base::seconds(60));
+	fleet.startBackgroundTraffic(100, base::seconds(60));
 	fleet.repeat("/tiles/favourite", base::milliseconds(20), base::seconds(60));
 	for (size_t i = 0; i < 7; ++i)
 	{
 		fleet.runUntil(base::seconds(5 + 7 * static_cast<int>(i)));
-		fleet.backEnd(i % 4).crashPlainly();
-		fleet.backEnd((i + 1) % 4).crashPlainly();
+		fleet.backEnd(i % 4).crashExternally();
+		fleet.backEnd((i + 1) % 4).crashExternally();
 	}
 	fleet.runUntil(base::seconds(65));
-	CHECK(0 == fleet.callers.heldOthers);
-	CHECK(50 * fleet.callers.lost.size() <= static_cast<size_t>(fleet.callers.asked));
+	CHECK(0 == fleet.callers.otherRequestsHeld);
+	CHECK(50 * fleet.callers.lost.size() <= static_cast<size_t>(fleet.callers.requests));
 }
 
 TEST_CASE("a request that is held is refused at once, as not run, until long after")
@@ -247,23 +247,23 @@
 	{
 		INFO("their clocks step by " << step / base::milliseconds(1) << " ms between two starts");
 		crash_fleet fleet(41);
-		fleet.backEnds.sameName = true;
+		fleet.backEnds.keepIncarnationName = true;
 		fleet.backEnds.clockStep = step;
 		fleet.backEnds.fatal = {kFatal};
-		fleet.callAllTheTime(kCallsPerSecond, base::seconds(60));
+		fleet.startBackgroundTraffic(kCallsPerSecond, base::seconds(60));
 		fleet.runUntil(base::seconds(15));  // so that a sequence from 1 is far behind
 		fleet.repeat(kFatal, base::milliseconds(2500), base::seconds(60));
 		for (size_t i = 0; i < 8; ++i)
 		{
 			fleet.runUntil(base::seconds(20 + 5 * static_cast<int>(i)));
-			fleet.backEnd(i % 4).crashPlainly();
+			fleet.backEnd(i % 4).crashExternally();
 		}
 		fleet.runUntil(base::seconds(65));
 		CHECK(2 == fleet.backEnds.crashesBy(kFatal));
-		const auto times = fleet.backEnds.untilFirstCall();
+		const auto times = fleet.backEnds.restartToFirstCall();
 		REQUIRE(10 == times.size());
 		CHECK(base::milliseconds(150) > *std::max_element(times.begin(), times.end()));
-		CHECK(99 * fleet.callers.asked <= 100 * fleet.callers.inTime);
+		CHECK(99 * fleet.callers.requests <= 100 * fleet.callers.inTime);
 	}
 }
 
--- a/test/incidents/narrow_link_test.cc
+++ b/test/incidents/narrow_link_test.cc
@@ -31,17 +31,17 @@
 constexpr int64_t kLinkBytesPerSecond = 975'000;  // 7.8 Mbit/s
 constexpr size_t kBodyBytes = 60'000;
 constexpr int kNodes = 70;
-constexpr int kBodiesOfEach = 2;  // 8.4 MB, 8.6 s of the link
+constexpr int kBodiesPerNode = 2;  // 8.4 MB, 8.6 s of the link
 constexpr base::Duration kRun = base::milliseconds(50);
-constexpr base::Duration kLinger = base::seconds(3);                // A stop takes calls for so long,
-constexpr base::Duration kLastRefusals = base::milliseconds(5300);  // gives up what waits,
-constexpr base::Duration kStopEnds = base::milliseconds(5500);      // and ends.
+constexpr base::Duration kAcceptUntil = base::seconds(3);              // A stop takes calls for so long,
+constexpr base::Duration kRefuseWaitingAt = base::milliseconds(5300);  // gives up what waits,
+constexpr base::Duration kExitAt = base::milliseconds(5500);           // and ends.
 
 /// Answers each request after a fixed time.
-class steady_back_end : public BackendClient
+class fixed_delay_back_end : public BackendClient
 {
 public:
-	explicit steady_back_end(base::Scheduler& _scheduler)
+	explicit fixed_delay_back_end(base::Scheduler& _scheduler)
 		: m_scheduler(_scheduler)
 	{
 	}
@@ -86,19 +86,19 @@
 	{
 		const auto microseconds = static_cast<int64_t>(_bytes) * 1'000'000 / kLinkBytesPerSecond;
 		m_freeAt = m_queue.now() + backlog() + base::Duration(microseconds);
-		m_longest = std::max(m_longest, backlog());
+		m_longestBacklog = std::max(m_longestBacklog, backlog());
 		m_queue.at(m_freeAt, std::move(_arrive));
 	}
 
-	base::Duration longest() const
+	base::Duration longestBacklog() const
 	{
-		return m_longest;
+		return m_longestBacklog;
 	}
 
 private:
 	simulation::EventQueue& m_queue;
 	base::TimePoint m_freeAt{};
-	base::Duration m_longest{0};
+	base::Duration m_longestBacklog{0};
 };
 
 wire::Row routeOf(const std::string& _name, bool _repeatable, int _targetMs)
@@ -132,13 +132,13 @@
 		, m_answers(*this)
 	{
 		m_process.start();
-		m_backEnd = std::make_unique<steady_back_end>(m_process);
+		m_backEnd = std::make_unique<fixed_delay_back_end>(m_process);
 		EndpointOptions options;
 		options.service = "deliveries";
 		options.dynamicEndpoint = true;
 		options.waitWithinTarget = true;
 		options.bodies.linkBytesPerSecond = kLinkBytesPerSecond;
-		options.defaultQueue = kNodes * kBodiesOfEach;  // calls whose bodies are on their way have their places there
+		options.defaultQueue = kNodes * kBodiesPerNode;  // calls whose bodies are on their way have their places there
 		m_endpoint = std::make_unique<EndpointCalls>(options, m_process, m_answers, *m_backEnd, nullptr);
 		m_endpoint->useIncarnation("receiver", 12);
 		for (int i = 0; i <= kNodes; ++i)
@@ -165,7 +165,7 @@
 
 	void uploadFromAll()
 	{
-		for (int i = 0; i < kNodes * kBodiesOfEach; ++i)
+		for (int i = 0; i < kNodes * kBodiesPerNode; ++i)
 		{
 			call(static_cast<size_t>(i % kNodes), "/uploads/" + std::to_string(i), kBodyBytes);
 		}
@@ -179,24 +179,24 @@
 	}
 
 	/// All nodes are told to stop at the start.
-	/// @param[in] _givesUp Whether what waits is given up before the end.
-	void stopAll(bool _givesUp = true)
+	/// @param[in] _refusesWaiting Whether what waits is given up before the end.
+	void stopAll(bool _refusesWaiting = true)
 	{
-		runUntil(kLinger);
+		runUntil(kAcceptUntil);
 		for (const auto& node : m_nodes)
 		{
 			node->entry->refuseNew();
 		}
-		runUntil(kLastRefusals);
+		runUntil(kRefuseWaitingAt);
 		for (const auto& node : m_nodes)
 		{
-			if (!_givesUp)
+			if (!_refusesWaiting)
 			{
 				break;
 			}
 			node->entry->refuseWaiting();
 		}
-		runUntil(kStopEnds);
+		runUntil(kExitAt);
 	}
 
 	const narrow_link& link() const
@@ -219,10 +219,10 @@
 
 private:
 	/// What a node sends crosses the narrow link.
-	class to_receiver : public base::Network
+	class receiver_network : public base::Network
 	{
 	public:
-		to_receiver(fleet& _fleet, base::ConnectionId _node)
+		receiver_network(fleet& _fleet, base::ConnectionId _node)
 			: m_fleet(_fleet)
 			, m_node(_node)
 		{
@@ -261,10 +261,10 @@
 	};
 
 	/// What the receiver sends is small, and its own direction of the link is free.
-	class to_nodes : public base::Network
+	class node_network : public base::Network
 	{
 	public:
-		explicit to_nodes(fleet& _fleet)
+		explicit node_network(fleet& _fleet)
 			: m_fleet(_fleet)
 		{
 		}
@@ -302,7 +302,7 @@
 
 	struct node
 	{
-		std::unique_ptr<to_receiver> network;
+		std::unique_ptr<receiver_network> network;
 		std::unique_ptr<EntryCalls> entry;
 	};
 
@@ -316,7 +316,7 @@
 	void addNode(bool _flowControl, int _targetMs)
 	{
 		auto added = std::make_unique<node>();
-		added->network = std::make_unique<to_receiver>(*this, m_nodes.size());
+		added->network = std::make_unique<receiver_network>(*this, m_nodes.size());
 		EntryOptions options;
 		options.nodeId = "node-" + std::to_string(m_nodes.size());
 		options.zone = "zone";
@@ -374,15 +374,15 @@
 	simulation::EventQueue m_queue;
 	simulation::Process m_process;
 	narrow_link m_link;
-	to_nodes m_answers;
-	std::unique_ptr<steady_back_end> m_backEnd;
+	node_network m_answers;
+	std::unique_ptr<fixed_delay_back_end> m_backEnd;
 	std::unique_ptr<EndpointCalls> m_endpoint;
 	std::vector<std::unique_ptr<node>> m_nodes;
 };
 
-constexpr size_t kUploads = static_cast<size_t>(kNodes) * kBodiesOfEach;
+constexpr size_t kUploads = static_cast<size_t>(kNodes) * kBodiesPerNode;
 /// What a small frame may wait in front of a link: two windows of bodies, and less than the rest of the way takes.
-constexpr base::Duration kLongestBacklog = base::milliseconds(100);
+constexpr base::Duration kMaxBacklog = base::milliseconds(100);
 
 }  // namespace
 
@@ -396,7 +396,7 @@
 	CHECK(nodes.runs().end() != std::find(nodes.runs().begin(), nodes.runs().end(), "/small/1"));
 
 	nodes.stopAll();
-	CHECK(kLongestBacklog > nodes.link().longest());
+	CHECK(kMaxBacklog > nodes.link().longestBacklog());
 	CHECK(kUploads + 1 == nodes.answers.size());
 	const auto unknown = std::count_if(nodes.answers.begin(), nodes.answers.end(),
 									   [](const fleet::answer& _answer)
@@ -416,22 +416,22 @@
 	CHECK(nodes.runs().end() == std::find(nodes.runs().begin(), nodes.runs().end(), "/small/1"));
 
 	nodes.stopAll();
-	CHECK(base::seconds(5) < nodes.link().longest());
+	CHECK(base::seconds(5) < nodes.link().longestBacklog());
 	CHECK(kUploads + 1 > nodes.answers.size());
 }
 
 TEST_CASE("what still waits when a stop ends is answered as not run, and only what waits")
 {
-	const bool givesUp = GENERATE(true, false);
+	const bool refusesWaiting = GENERATE(true, false);
 	fleet nodes(true, 0);
 	nodes.uploadFromAll();
-	nodes.stopAll(givesUp);
+	nodes.stopAll(refusesWaiting);
 	const auto notRun = std::count_if(nodes.answers.begin(), nodes.answers.end(),
 									  [](const fleet::answer& _answer)
 									  {
 										  return wire::CallOutcome::NOT_RUN == _answer.outcome;
 									  });
-	if (givesUp)
+	if (refusesWaiting)
 	{
 		CHECK(kUploads == nodes.answers.size());
 		CHECK(kUploads == nodes.runs().size() + static_cast<size_t>(notRun));
--- a/test/node/control_client_suspended_test.cc
+++ b/test/node/control_client_suspended_test.cc
@@ -53,7 +53,7 @@
 
 TEST_CASE_METHOD(SuspendedFixture,
                  "on a clock that stands while the machine is suspended the same node believes old word") {
-  process.letClockStand(true);
+  process.setClockStopsWhileFrozen(true);
   suspendFor(base::seconds(10));
   CHECK(client->fresh());
 }
--- a/test/node/slice_store_test.cc
+++ b/test/node/slice_store_test.cc
@@ -2,7 +2,7 @@
 
 #include <catch2/catch.hpp>
 
-#include "row_draw.h"
+#include "random_rows.h"
 
 using namespace driftlug;
 using node::SliceResult;
@@ -50,7 +50,7 @@
 
 TEST_CASE("a version that follows a change is as one built anew") {
   for (uint64_t seed = 1; seed <= 30; ++seed) {
-    test::RowDraw draw(seed);
+    test::RandomRowGenerator draw(seed);
     table::Table table;
     SliceStore store;
     store.setChecks({true, true, false});  // rows refer to any others here
--- a/test/row_draw.h
+++ b/test/random_rows.h
@@ -10,9 +10,9 @@
 namespace driftlug::test {
 
 /// Draws changes of all kinds of rows, references to rows that are not there among them.
-class RowDraw {
+class RandomRowGenerator {
  public:
-  explicit RowDraw(uint64_t seed) : random_(seed) {}
+  explicit RandomRowGenerator(uint64_t seed) : random_(seed) {}
 
   table::RowPtr next(int64_t revision) {
     switch (random_.below(10)) {
--- a/test/relay/controller_links_test.cc
+++ b/test/relay/controller_links_test.cc
@@ -64,7 +64,7 @@
 }
 
 TEST_CASE_METHOD(Fixture, "a relay on a clock that stands while the machine is suspended believes old word") {
-  process.letClockStand(true);
+  process.setClockStopsWhileFrozen(true);
   process.setFrozen(true);
   runFor(base::seconds(10));
   process.setFrozen(false);
--- a/test/slow_fleet/core_machine.cc
+++ b/test/slow_fleet/core_machine.cc
@@ -108,12 +108,12 @@
 
 void core_machine::kill()
 {
-	m_simulated.onDeath(m_controllerSockets.get(), false);
+	m_simulated.onProcessExit(m_controllerSockets.get(), false);
 	m_controllerProcess.kill();
 	m_relayProcess.kill();
 	if (m_relaySockets)
 	{
-		m_simulated.onDeath(m_relaySockets.get(), false);
+		m_simulated.onProcessExit(m_relaySockets.get(), false);
 	}
 	m_ready = false;
 	m_relay.reset();
--- a/test/slow_fleet/growing_table_test.cc
+++ b/test/slow_fleet/growing_table_test.cc
@@ -9,8 +9,8 @@
 constexpr size_t kFirstRoutes = 1600;
 constexpr size_t kMoreRoutes = 1640;
 constexpr int kChanges = 4;
-constexpr base::Duration kInForce = base::seconds(2);    // behind an acknowledgement, on all nodes
-constexpr base::Duration kRecovery = base::seconds(15);  // behind the start of all processes
+constexpr base::Duration kMaxConvergenceTime = base::seconds(2);  // behind an acknowledgement, on all nodes
+constexpr base::Duration kRecoveryTime = base::seconds(15);       // behind the start of all processes
 constexpr base::Duration kElectionTimeout = base::milliseconds(400);
 constexpr base::Duration kBetweenChanges = base::seconds(5);
 
@@ -26,11 +26,11 @@
 	for (int i = 0; i < kChanges; ++i)
 	{
 		REQUIRE(fleet.addRoutes(kMoreRoutes));
-		CHECK(fleet.waitForNodes() <= kInForce);
+		CHECK(fleet.waitForNodes() <= kMaxConvergenceTime);
 		fleet.runFor(kBetweenChanges);
 	}
 	CHECK(fleet.term() == term);
-	CHECK(fleet.longestEvent() < kElectionTimeout);
+	CHECK(fleet.longestCoreAction() < kElectionTimeout);
 }
 
 TEST_CASE("a large table is in force again in time after all processes were killed")
@@ -44,8 +44,8 @@
 	}
 	const auto term = fleet.term();
 	fleet.killAll(base::seconds(1));
-	fleet.runFor(kRecovery);
-	CHECK(fleet.readBack());
+	fleet.runFor(kRecoveryTime);
+	CHECK(fleet.configReadable());
 	CHECK(fleet.nodesUpToDate() == fleet.nodes());
 	CHECK(fleet.term() <= term + 3);
 }
--- a/test/slow_fleet/slow_fleet.cc
+++ b/test/slow_fleet/slow_fleet.cc
@@ -11,9 +11,9 @@
 {
 constexpr size_t kZones = 4;
 constexpr size_t kSeeds = 3;
-constexpr base::Duration kFormation = base::seconds(8);
-constexpr base::Duration kAcceptance = base::seconds(10);
-constexpr base::Duration kNever = base::seconds(20);
+constexpr base::Duration kFormationTime = base::seconds(8);
+constexpr base::Duration kAcceptanceTimeout = base::seconds(10);
+constexpr base::Duration kConvergenceTimeout = base::seconds(20);
 constexpr base::Duration kStep = base::milliseconds(5);
 const std::vector<std::string> kServices = {"archive", "intake", "vehicles"};
 
@@ -73,7 +73,7 @@
 													  i + 100));
 		m_nodes.back()->start();
 	}
-	runFor(kFormation);
+	runFor(kFormationTime);
 	for (const auto& service : kServices)
 	{
 		m_resources.push_back(serviceResource(service));
@@ -124,21 +124,21 @@
 		   + absl::StrJoin(m_resources, ",") + "]}";
 }
 
-std::optional<transport::HttpResponse> slow_fleet::ask(const transport::HttpRequest& _request)
+std::optional<transport::HttpResponse> slow_fleet::sendToLeader(const transport::HttpRequest& _request)
 {
 	std::optional<transport::HttpResponse> answer;
-	bool asking = false;
-	const auto until = m_queue.now() + kAcceptance;
+	bool requestPending = false;
+	const auto until = m_queue.now() + kAcceptanceTimeout;
 	while (m_queue.now() < until)
 	{
-		auto* machine = leading();
-		if (machine != nullptr && !asking)
+		auto* machine = leaderMachine();
+		if (machine != nullptr && !requestPending)
 		{
-			asking = true;
+			requestPending = true;
 			machine->request(_request,
 							 [&](transport::HttpResponse _response)
 							 {
-								 asking = false;
+								 requestPending = false;
 								 answer = std::move(_response);
 							 });
 		}
@@ -157,7 +157,7 @@
 	request.method = "PUT";
 	request.path = "/config";
 	request.body = nextConfig(_count);
-	const auto answer = ask(request);
+	const auto answer = sendToLeader(request);
 	m_acknowledgedAt = m_queue.now();
 	if (leader() != nullptr)
 	{
@@ -166,12 +166,12 @@
 	return answer.has_value();
 }
 
-bool slow_fleet::readBack()
+bool slow_fleet::configReadable()
 {
 	transport::HttpRequest request;
 	request.method = "GET";
 	request.path = "/config";
-	const auto answer = ask(request);
+	const auto answer = sendToLeader(request);
 	return answer && answer->body.find(versionText(m_version)) != std::string::npos;
 }
 
@@ -186,14 +186,14 @@
 
 base::Duration slow_fleet::waitForNodes()
 {
-	while (nodesUpToDate() < m_nodes.size() && m_queue.now() - m_acknowledgedAt < kNever)
+	while (nodesUpToDate() < m_nodes.size() && m_queue.now() - m_acknowledgedAt < kConvergenceTimeout)
 	{
 		runFor(kStep);
 	}
 	return m_queue.now() - m_acknowledgedAt;
 }
 
-core_machine* slow_fleet::leading()
+core_machine* slow_fleet::leaderMachine()
 {
 	core_machine* newest = nullptr;
 	for (auto& machine : m_core)
@@ -213,24 +213,24 @@
 
 controller::Controller* slow_fleet::leader()
 {
-	auto* machine = leading();
+	auto* machine = leaderMachine();
 	return machine == nullptr ? nullptr : machine->controller();
 }
 
 int64_t slow_fleet::term()
 {
-	const auto* leading = leader();
-	return leading == nullptr ? 0 : leading->raft().term();
+	const auto* current = leader();
+	return current == nullptr ? 0 : current->raft().term();
 }
 
-base::Duration slow_fleet::longestEvent() const
+base::Duration slow_fleet::longestCoreAction() const
 {
-	base::Duration longest{0};
+	base::Duration longestAction{0};
 	for (const auto& machine : m_core)
 	{
-		longest = std::max(longest, machine->processor().longest());
+		longestAction = std::max(longestAction, machine->processor().longestAction());
 	}
-	return longest;
+	return longestAction;
 }
 
 }  // namespace driftlug::test
--- a/test/slow_fleet/slow_fleet.h
+++ b/test/slow_fleet/slow_fleet.h
@@ -37,7 +37,7 @@
 
 	/// An operator reads the configuration.
 	/// @returns Whether it came whole within 10 s.
-	bool readBack();
+	bool configReadable();
 
 	/// @returns How long behind the acknowledgement of the last change the last node ran it; 20 s for never.
 	base::Duration waitForNodes();
@@ -57,15 +57,15 @@
 	}
 
 	/// @returns The longest that a core machine dealt with a single event.
-	base::Duration longestEvent() const;
+	base::Duration longestCoreAction() const;
 
 private:
 	std::string nextConfig(size_t _count);
-	core_machine* leading();
+	core_machine* leaderMachine();
 
 	/// Asks whoever leads, again after each refusal.
 	/// @returns The first good answer, if one comes in time.
-	std::optional<transport::HttpResponse> ask(const transport::HttpRequest& _request);
+	std::optional<transport::HttpResponse> sendToLeader(const transport::HttpRequest& _request);
 
 	slow_fleet_options m_options;
 	simulation::EventQueue m_queue;
--- a/test/slow_fleet/slow_node.cc
+++ b/test/slow_fleet/slow_node.cc
@@ -36,7 +36,7 @@
 
 void slow_node::kill()
 {
-	m_simulated.onDeath(m_sockets.get(), false);
+	m_simulated.onProcessExit(m_sockets.get(), false);
 	m_process.kill();
 	m_control.reset();
 	m_sockets.reset();
--- a/test/table/slice_test.cc
+++ b/test/table/slice_test.cc
@@ -4,7 +4,7 @@
 #include <catch2/catch.hpp>
 
 #include "base/random.h"
-#include "row_draw.h"
+#include "random_rows.h"
 #include "table_rows.h"
 
 using namespace driftlug;
@@ -82,7 +82,7 @@
 TEST_CASE("a slice that follows changes holds what a walk over the whole table finds") {
   const std::vector<table::Interest> interests = {{{"a"}, {}}, {{"a", "b"}, {"c"}}, {{}, {"a"}}, {{"*"}, {}}};
   for (uint64_t seed = 1; seed <= 40; ++seed) {
-    test::RowDraw draw(seed);
+    test::RandomRowGenerator draw(seed);
     table::Table table;
     table::Slice slice(interests[seed % interests.size()], table);
     for (int64_t revision = 1; revision <= 120; ++revision) {
--- a/test/work/allocation_meter.cc
+++ b/test/work/allocation_meter.cc
@@ -15,14 +15,14 @@
 
 }  // namespace
 
-allocations allocationsSoFar()
+allocations currentAllocations()
 {
 	return g_allocations;
 }
 
 base::Duration allocation_meter::operator()()
 {
-	const auto now = allocationsSoFar();
+	const auto now = currentAllocations();
 	const auto count = static_cast<double>(now.count - m_before.count);
 	const auto kib = static_cast<double>(now.bytes - m_before.bytes) / kBytesPerKib;
 	m_before = now;
--- a/test/work/allocation_meter.h
+++ b/test/work/allocation_meter.h
@@ -15,7 +15,7 @@
 	uint64_t bytes = 0;
 };
 
-allocations allocationsSoFar();
+allocations currentAllocations();
 
 /// Tells the processor time that work would take on a share of a processor.
 class allocation_meter
--- a/test/work/log_work_test.cc
+++ b/test/work/log_work_test.cc
@@ -31,7 +31,7 @@
 
 	void apply(const wire::LogEntry& _entry) override
 	{
-		rowsInTurn[m_queue.executed()] += _entry.edit.mutations.size();
+		rowsPerTurn[m_queue.executed()] += _entry.edit.mutations.size();
 	}
 
 	std::string takeSnapshot() override
@@ -51,7 +51,7 @@
 	{
 	}
 
-	std::map<uint64_t, size_t> rowsInTurn;  //!< By the number of the event.
+	std::map<uint64_t, size_t> rowsPerTurn;  //!< By the number of the event.
 
 private:
 	simulation::EventQueue& m_queue;
@@ -124,9 +124,9 @@
 {
 	auto request = append(1, 0);
 	wire::Message message = std::move(request);
-	const auto start = allocationsSoFar().count;
+	const auto start = currentAllocations().count;
 	raft->onMessage("leader", std::move(message));
-	CHECK(allocationsSoFar().count - start < kRows / 10);
+	CHECK(currentAllocations().count - start < kRows / 10);
 	CHECK(raft->lastIndex() == 1);
 }
 
@@ -136,8 +136,8 @@
 	raft->onMessage("leader", append(kEntries, kEntries));
 	settle();
 	CHECK(raft->appliedIndex() == kEntries);
-	CHECK(listener.rowsInTurn.size() >= 2);
-	for (const auto& [turn, rows] : listener.rowsInTurn)
+	CHECK(listener.rowsPerTurn.size() >= 2);
+	for (const auto& [turn, rows] : listener.rowsPerTurn)
 	{
 		CHECK(rows <= 2 * kRows);
 	}
--- a/test/work/node_work_test.cc
+++ b/test/work/node_work_test.cc
@@ -8,9 +8,9 @@
 {
 namespace
 {
-constexpr size_t kSmall = 1'000;
-constexpr size_t kLarge = 16'000;
-constexpr size_t kChange = 50;
+constexpr size_t kSmallTableRoutes = 1'000;
+constexpr size_t kLargeTableRoutes = 16'000;
+constexpr size_t kChangedRoutes = 50;
 
 wire::SliceUpdate updateTo(const large_table& _rows, int64_t _from)
 {
@@ -34,25 +34,25 @@
 }
 
 /// @returns Allocations with which a node switches to a version that differs in some routes.
-uint64_t workOfChange(size_t _routes)
+uint64_t allocationsPerChange(size_t _routes)
 {
 	large_table rows(_routes);
 	node::SliceStore store;
 	REQUIRE(node::SliceResult::kActivated == store.apply(updateTo(rows, 0)));
 	const int64_t before = rows.table.revision();
-	rows.addRoutes(kChange);
+	rows.addRoutes(kChangedRoutes);
 	const auto update = updateTo(rows, before);
-	const auto start = allocationsSoFar().count;
+	const auto start = currentAllocations().count;
 	REQUIRE(node::SliceResult::kActivated == store.apply(update));
-	return allocationsSoFar().count - start;
+	return currentAllocations().count - start;
 }
 
 }  // namespace
 
 TEST_CASE("a change costs a node the same in a small table and in a large one")
 {
-	const auto small = workOfChange(kSmall);
-	CHECK(workOfChange(kLarge) <= small + small / 10);
+	const auto small = allocationsPerChange(kSmallTableRoutes);
+	CHECK(allocationsPerChange(kLargeTableRoutes) <= small + small / 10);
 }
 
 }  // namespace driftlug::test
