--- a/src/simulation/cluster.cc
+++ b/src/simulation/cluster.cc
@@ -3,9 +3,10 @@
 namespace driftlug::simulation {
 namespace {
 
-/// Longest time behind the name of a snapshot in which the steps of a rotation fall: some syncs of a simulated disk.
+/// Window after the rename of a snapshot file in which the log is rotated; it spans several syncs of the simulated
+/// disk.
 constexpr base::Duration kRotationWindow = base::milliseconds(2);
-constexpr base::Duration kRotationDowntime = base::seconds(1);  // of a machine that lost power in one
+constexpr base::Duration kRotationDowntime = base::seconds(1);  // of a machine that lost power in a rotation
 
 }  // namespace
 
@@ -67,7 +68,7 @@
   });
 }
 
-/// A snapshot has its name: the log is replaced from here on, in steps of a sync each.
+/// The rename gives a snapshot its final name; the log is then replaced in several steps with a sync each.
 void ControllerMachine::scheduleRotationPowerLoss(double share) {
   disk_.onRename([this, share] {
     if (!random_.chance(share)) return;
@@ -83,7 +84,7 @@
     cluster_.checker().reportViolation(Guarantee::kAcceptedIsDurable,
                                        name() + " can't recover: " + base::errorText(status));
   }
-  // The process exits; whatever watches over it starts it again.
+  // The process exits and its supervisor restarts it.
   constexpr base::Duration kRestartDelay = base::seconds(1);
   queue_.after(base::Duration(0), [this, incarnation = process_.incarnation()] {
     if (process_.incarnation() == incarnation) crash(false);
@@ -152,7 +153,7 @@
       options.relays.push_back(cluster_.relayAddress(cluster_.relayPosition(member)));
     }
   }
-  // Half of a zone's nodes prefer its second relay.
+  // About half of the nodes of a zone prefer its second relay.
   if (options.relays.size() > 1 && random_.chance(0.5)) std::swap(options.relays[0], options.relays[1]);
   control_ = std::make_unique<node::ControlClient>(
       options, process_, base::RandomSource(random_.bits()), *sockets_,
--- a/src/simulation/cluster.h
+++ b/src/simulation/cluster.h
@@ -1,4 +1,4 @@
-/// A whole deployment on the virtual clock: the true controllers, relays and nodes on simulated machines.
+/// Runs a complete deployment on the virtual clock: the real controllers, relays and nodes on simulated machines.
 #pragma once
 
 #include <map>
@@ -16,37 +16,37 @@
 
 namespace driftlug::simulation {
 
-/// One process of a plan.
+/// Name and placement of a controller or relay in a cluster plan.
 struct PlannedProcess {
   std::string name;
   Placement placement;
 };
 
-/// One node of a plan.
+/// Name, placement and interests of a node in a cluster plan.
 struct PlannedNode {
   std::string name;
   Placement placement;
   std::vector<std::string> hosts;     ///< hosts that it accepts calls for
-  std::vector<std::string> services;  ///< services that it runs beside
+  std::vector<std::string> services;  ///< services that it is the local proxy of
   bool hasDisk = false;
 };
 
-/// Everything that a cluster is built from.
+/// Describes a cluster: processes, initial table, options and disabled mechanisms.
 struct ClusterPlan {
   std::vector<PlannedProcess> controllers;
   std::vector<PlannedProcess> relays;
   std::vector<PlannedNode> nodes;
-  std::vector<relay::ReleaseGroup> groups;  ///< one for each zone, the zone's own relays first
-  std::vector<wire::Mutation> table;        ///< rows that are there from the start
+  std::vector<relay::ReleaseGroup> groups;  ///< one per zone, with the zone's own relays first
+  std::vector<wire::Mutation> table;        ///< initial rows
   NetworkOptions network;
   DiskOptions disk;
   consensus::RaftOptions raft;
   MechanismSet disabled;
-  bool fullPush = false;  ///< baseline for experiments
+  bool fullPush = false;  ///< send the full state with each update; baseline for experiments
   bool check = true;      ///< whether invariants are checked; off in scale runs
-  /// Share of the snapshots within whose replacement of the log a controller loses power.
+  /// Share of the log replacements after a snapshot during which the controller loses power.
   double rotationPowerLoss = 0;
-  bool nodeDiskFaults = false;  ///< whether a full or failing disk of a controller comes with such disks of nodes
+  bool nodeDiskFaults = false;  ///< whether disk faults of a controller also affect about half of the nodes
 };
 
 /// A machine that runs one process and may have a disk.
@@ -60,7 +60,7 @@
   void start();
 
   /// Ends the process.
-  /// @param powerLoss whether what was not synced is lost and peers get no reset
+  /// @param powerLoss whether unsynced data may be lost and peers receive no reset
   void crash(bool powerLoss);
 
   Process& process() { return process_; }
@@ -78,7 +78,7 @@
   Process process_;
   base::RandomSource random_;
   SimulatedDisk disk_;
-  std::unique_ptr<ProcessNetwork> sockets_;  // of the running incarnation
+  std::unique_ptr<ProcessNetwork> sockets_;  // of the running incarnation, else null
 };
 
 class Cluster;
@@ -90,7 +90,7 @@
   /// @return the controller once it has recovered, else null.
   controller::Controller* controller() { return ready_ ? controller_.get() : nullptr; }
 
-  /// @return whether it leads with a quorum that it heard of lately.
+  /// @return whether it has recovered and its Raft role is leader.
   bool leads() const { return ready_ && controller_->raft().role() == consensus::RaftRole::kLeader; }
 
  protected:
@@ -137,7 +137,7 @@
   std::unique_ptr<node::ControlClient> control_;
 };
 
-/// Owns the clock, the network and all machines.
+/// Owns the clock, the network, the invariant checker and all machines.
 class Cluster {
  public:
   Cluster(ClusterPlan plan, uint64_t seed);
@@ -148,7 +148,7 @@
   /// Runs events up to a point in time.
   void runUntil(base::TimePoint time);
 
-  /// @return the controller that leads with a confirmed quorum, or null.
+  /// @return the running leader with the highest term, or null.
   ControllerMachine* leader();
 
   EventQueue& queue() { return queue_; }
--- a/src/simulation/event_queue.h
+++ b/src/simulation/event_queue.h
@@ -1,4 +1,4 @@
-/// The virtual clock: events in order of time, and of scheduling where the time is equal.
+/// The virtual clock: runs events in order of time; events at the same time run in the order of their scheduling.
 #pragma once
 
 #include <cstdint>
@@ -14,25 +14,25 @@
 /// Identifies an event; never reused.
 using EventId = uint64_t;
 
-/// Invariant: time never moves back, and equal schedules run in an equal order.
+/// Invariants: time never moves backwards, and identical schedules run in an identical order.
 class EventQueue : public base::TimeSource {
  public:
   base::TimePoint now() const override { return now_; }
 
-  /// Runs `action` at a point in time, or now when that has passed.
+  /// Schedules `action` at a point in time, or now if that has passed.
   EventId at(base::TimePoint time, std::function<void()> action);
 
-  /// Runs `action` after a delay.
+  /// Schedules `action` after a delay.
   EventId after(base::Duration delay, std::function<void()> action) { return at(now_ + delay, std::move(action)); }
 
-  /// Forgets an event that has not run yet.
+  /// Cancels an event that has not run yet.
   void cancel(EventId id) { actions_.erase(id); }
 
   /// Runs the next event.
-  /// @return false when there is none up to `limit`; the clock then stands at `limit`
+  /// @return false if no event is due by `limit`; the clock is then advanced to `limit`
   bool runNext(base::TimePoint limit);
 
-  /// @return events run so far.
+  /// @return the number of events run so far.
   uint64_t executed() const { return executed_; }
 
  private:
--- a/src/simulation/fault_plan.cc
+++ b/src/simulation/fault_plan.cc
@@ -126,9 +126,10 @@
   return machines;
 }
 
-/// Adds about half of the nodes, as the fault was drawn, so that other plans draw the same faults.
+/// Adds about half of the nodes, chosen by bits of `fault.detail`: further draws would change the faults of other
+/// plans.
 void FaultInjector::addNodes(const Fault& fault, std::vector<Machine*>* targets) {
-  constexpr size_t kFirstBit = 20;  // the lower ones decide on power and delays
+  constexpr size_t kFirstBit = 20;  // the lower bits select power loss and delays
   constexpr size_t kBits = 40;
   for (size_t i = 0; i < cluster_.nodes().size(); ++i) {
     if ((fault.detail >> (kFirstBit + i % kBits)) % 2 != 0) targets->push_back(cluster_.nodes()[i].get());
@@ -178,7 +179,7 @@
 }
 
 void FaultInjector::isolate(const Machine& machine, bool cut, uint64_t detail) {
-  // An odd draw leaves the relays connected: they must notice that this controller has no quorum.
+  // If `detail` is odd, the relays stay connected and must detect that this controller has no quorum.
   const bool alsoRelays = detail % 2 == 0;
   for (const auto& other : cluster_.controllers()) {
     if (other.get() != &machine) setCutBothWays(machine.name(), other->name(), cut);
@@ -234,7 +235,7 @@
     default:
       return;
   }
-  // Nodes that depend on what was hit may lag for a while, at its begin and at its end.
+  // Nodes that depend on the affected processes may lag for a while, when the fault begins and when it ends.
   markAllDisturbed();
 }
 
@@ -284,7 +285,7 @@
   const auto crash = [this] {
     for (auto& machine : cluster_.controllers()) machine->crash(kPowerLoss);
   };
-  // Half of the outages come at the worst moment: just after an edit was committed.
+  // Half of the outages occur just after an edit was committed, which is the worst case.
   if (fault.detail % 2 == 0) return crash();
   waitForCommit(fault, base::microseconds(static_cast<int64_t>((fault.detail >> 1) % kLongestDelay)), crash);
 }
@@ -301,7 +302,7 @@
   constexpr base::Duration kNodePropagation = base::milliseconds(20);
   markAllDisturbed();
   const auto& group = cluster_.plan().groups[fault.target];
-  // The first relay goes on; one other, or all others, miss what is committed from now on.
+  // The first relay stays connected; one or all of the others miss the edits committed from now on.
   const size_t missing = fault.detail % 2 == 0 ? 1 : group.members.size() - 1;
   for (size_t i = 1; i <= missing && i < group.members.size(); ++i) {
     isolate(*cluster_.relays()[cluster_.relayPosition(group.members[i])], true, 0);
@@ -316,7 +317,7 @@
   for (size_t i = 1; i < group.members.size(); ++i) {
     isolate(*cluster_.relays()[cluster_.relayPosition(group.members[i])], false, 0);
   }
-  // Half of the nodes restart, the others only lose their relay.
+  // About half of the nodes restart; the others only lose their relay.
   size_t position = 0;
   for (auto* node : nodesOf(group.zone)) {
     if ((fault.detail >> (8 + position++ % 8)) % 2 != 0) continue;
@@ -349,7 +350,7 @@
       machine->crash(true);
       machine->disk().setFailing(false);
     }
-    // A herd returns within a moment, in an order of its own.
+    // Processes that crashed together restart within kRestartSpread, in an order given by `fault.detail`.
     restartLater(machine, base::Duration(static_cast<int64_t>((fault.detail >> (position++ % 8)) %
                                                               static_cast<uint64_t>(kRestartSpread.count()))));
   }
@@ -365,7 +366,7 @@
 
 bool FaultInjector::wipeAllowed() {
   if (!replacing_.empty() || cluster_.controllers().size() < 3) return false;
-  // Only while every other controller votes under its own identity; two lost disks of three lose data for good.
+  // All controllers must be voters and no replacement pending: two lost disks of three lose committed data permanently.
   auto* leader = cluster_.leader();
   if (leader == nullptr) return false;
   const auto& raft = leader->controller()->raft();
--- a/src/simulation/fault_plan.h
+++ b/src/simulation/fault_plan.h
@@ -1,4 +1,4 @@
-/// Faults of a run: drawn from the seed, applied in-band at their times, all healed before the run ends.
+/// Faults of a run: drawn from the seed, applied at their times, and all healed before the run ends.
 #pragma once
 
 #include <functional>
@@ -13,30 +13,30 @@
 
 namespace driftlug::simulation {
 
-/// Classes of faults, by what they hit.
+/// Classes of faults.
 enum class FaultClass {
-  kCrashController,    ///< a controller's process dies and returns
-  kPowerController,    ///< a controller's machine loses power: unsynced data and resets are lost
+  kCrashController,    ///< a controller crashes and restarts
+  kPowerController,    ///< a controller loses power: unsynced data may be lost, peers receive no reset
   kControlOutage,      ///< all controllers lose power at once
-  kIsolateController,  ///< a controller is cut off from all others, and maybe from relays
-  kOneWayController,   ///< a controller can send to another or hear it, not both
+  kIsolateController,  ///< a controller is partitioned from all others, and possibly from the relays
+  kOneWayController,   ///< a controller can receive from the next one but not send to it
   kWipeController,     ///< a controller's disk is lost; an operator replaces the controller
-  kFullDisk,           ///< a controller's disk fills up for a while
-  kFailingDisk,        ///< a controller's disk fails; the process is restarted later
-  kCrashRelay,         ///< a relay dies and returns without its state
-  kHerdRelays,         ///< all relays die at once and return
-  kIsolateRelay,       ///< a relay is cut off from controllers and peers, not from nodes
-  kCrashNode,          ///< nodes die and return, with or without a disk
-  kHerdNodes,          ///< all nodes die at once and return
-  kReconnectStorm,     ///< all connections of the relays break at once
-  kCutZone,            ///< a zone loses all others
-  kFreeze,             ///< a process stops for a while and goes on as if nothing had happened
-  kStaleRelays,        ///< relays miss a change, then those that have it, the controllers and the nodes die
-  kSlowNetwork,        ///< all latencies grow
-  kLossyNetwork,       ///< frames are lost and sent again late
+  kFullDisk,           ///< a controller's disk is full for a while
+  kFailingDisk,        ///< a controller's disk fails; the controller restarts later
+  kCrashRelay,         ///< a relay crashes and restarts without its state
+  kHerdRelays,         ///< all relays crash at once and restart
+  kIsolateRelay,       ///< a relay is partitioned from controllers and other relays, not from nodes
+  kCrashNode,          ///< a node crashes and restarts, with or without a disk
+  kHerdNodes,          ///< all nodes crash at once and restart
+  kReconnectStorm,     ///< all connections of the relays are reset at once
+  kCutZone,            ///< a zone is partitioned from all others
+  kFreeze,             ///< a process is suspended for a while and then resumes
+  kStaleRelays,        ///< relays miss an edit; then the relay that has it, the controllers and some nodes crash
+  kSlowNetwork,        ///< all latencies increase
+  kLossyNetwork,       ///< frames are lost and retransmitted after a delay
 };
 
-/// What a class is called on the command line.
+/// Command-line name of a fault class.
 struct FaultInfo {
   FaultClass kind;
   std::string_view name;
@@ -56,11 +56,11 @@
   FaultClass kind;
   base::TimePoint at;
   base::Duration lasts;
-  size_t target = 0;    ///< position among the processes of the kind
-  uint64_t detail = 0;  ///< draws for what the class leaves open
+  size_t target = 0;    ///< index among the processes of the affected kind
+  uint64_t detail = 0;  ///< random bits for the choices that the class leaves open
 };
 
-/// How many faults, and when.
+/// Classes, frequency and times of the drawn faults.
 struct FaultOptions {
   std::vector<FaultClass> classes;
   base::TimePoint from{};
@@ -69,24 +69,24 @@
   base::Duration maxFaultDuration = base::seconds(8);
 };
 
-/// Draws the faults of a run; some come in pairs at almost the same moment.
+/// Draws the faults of a run; some come in pairs at almost the same time.
 std::vector<Fault> drawFaults(const FaultOptions& options, base::RandomSource random, const ClusterPlan& plan);
 
 /// Applies faults to a cluster and heals them.
 ///
-/// Invariant: everything that a fault changed is undone when it ends; a wiped controller is replaced by an operator
-/// and no second disk is wiped before that is complete.
+/// Invariants: the effects of a fault are undone when it ends. A wiped controller is replaced by an operator, and no
+/// second disk is wiped until that replacement is complete.
 class FaultInjector {
  public:
   FaultInjector(Cluster& cluster, std::vector<Fault> faults);
 
-  /// An edit was committed; faults that wait for one strike.
+  /// Handles a committed edit: triggers the faults that wait for one.
   void onCommit();
 
   /// Schedules all faults.
   void start();
 
-  /// @return nodes that a fault hit, or that restarted, within the time before now.
+  /// @return the nodes that were affected by a fault, or restarted, at most `within` ago.
   std::set<std::string> disturbedNodes(base::Duration within) const;
 
  private:
@@ -114,11 +114,11 @@
 
   Cluster& cluster_;
   std::vector<Fault> faults_;
-  std::map<std::string, base::TimePoint> disturbed_;  // by node
-  std::map<std::string, base::TimePoint> heldUntil_;  // processes that must stay as they are until then
-  std::vector<std::function<void()>> commitActions_;  // strike at the next commit
+  std::map<std::string, base::TimePoint> disturbed_;  // time of the last disturbance, by node
+  std::map<std::string, base::TimePoint> heldUntil_;  // processes whose state must not change until then
+  std::vector<std::function<void()>> commitActions_;  // run at the next commit
   std::string replacing_;                             // controller being replaced, empty when none
-  bool removed_ = false;                              // whether its old identity has left the members
+  bool removed_ = false;                              // whether its old identity has been removed from the members
 };
 
 }  // namespace driftlug::simulation
--- a/src/simulation/invariants.cc
+++ b/src/simulation/invariants.cc
@@ -46,15 +46,16 @@
     if (result.revision() == entry.index) applyEdit(entry);
     tableDigests_[entry.index] = committedTable_.digest();
   } else if (known->second != hash) {
-    reportViolation(
-        Guarantee::kAcceptedIsDurable,
-        absl::StrFormat("%s applied another entry at index %d than was committed", controller, entry.index));
+    reportViolation(Guarantee::kAcceptedIsDurable,
+                    absl::StrFormat("%s applied an entry at index %d that differs from the committed one", controller,
+                                    entry.index));
     return;
   }
   const auto digest = tableDigests_.find(entry.index);
   if (digest != tableDigests_.end() && !(digest->second == result.digest())) {
-    reportViolation(Guarantee::kConsistentVersion,
-                    absl::StrFormat("the table of %s differs at revision %d", controller, entry.index));
+    reportViolation(
+        Guarantee::kConsistentVersion,
+        absl::StrFormat("the table of %s differs from the committed table at revision %d", controller, entry.index));
   }
 }
 
@@ -90,8 +91,8 @@
   const auto problems = table::checkEdit(committedTable_, changed);
   if (!problems.empty()) {
     reportViolation(Guarantee::kReferencesPresent,
-                    absl::StrFormat("revision %d leaves %s: %s", entry.index, table::keyText(problems.front().row),
-                                    problems.front().sentence));
+                    absl::StrFormat("revision %d leaves an invalid row %s: %s", entry.index,
+                                    table::keyText(problems.front().row), problems.front().sentence));
   }
   converging_.push_back(entry.edit.requestId);
   finishConverged();
@@ -151,7 +152,7 @@
 void InvariantChecker::updateLagging(const std::string& node, const Serving* serving) {
   for (const auto& requestId : converging_) {
     auto& edit = committed_[requestId];
-    // What the node runs is as good as the revision when its slice did not change in between.
+    // A node can only lag behind edits that changed its slice.
     const bool needs = serving != nullptr && serving->history->digests.count(edit.revision) > 0;
     if (needs && serving->revision < edit.revision) {
       edit.lagging.insert(node);
@@ -178,9 +179,10 @@
     const auto needed = digests.upper_bound(revision);
     const bool current = needed == digests.begin() || serving.revision >= std::prev(needed)->first;
     if (current || exempt.count(node) > 0) continue;
-    reportViolation(Guarantee::kAcceptedIsDurable,
-                    absl::StrFormat("revision %d was said to be in force everywhere while %s ran revision %d, not %d",
-                                    revision, node, serving.revision, std::prev(needed)->first));
+    reportViolation(
+        Guarantee::kAcceptedIsDurable,
+        absl::StrFormat("revision %d was reported as in force on all nodes while %s ran revision %d, not %d", revision,
+                        node, serving.revision, std::prev(needed)->first));
   }
 }
 
@@ -188,14 +190,15 @@
                                 const std::map<std::string, const node::SliceStore*>& nodes) {
   for (const auto& [name, table] : controllers) {
     if (table->digest() == committedTable_.digest()) continue;
-    reportViolation(Guarantee::kAcceptedIsDurable,
-                    absl::StrFormat("%s ends at revision %d with another table than was committed up to %d", name,
-                                    table->revision(), committedTable_.revision()));
+    reportViolation(
+        Guarantee::kAcceptedIsDurable,
+        absl::StrFormat("%s ends at revision %d with a table that differs from the committed table at revision %d",
+                        name, table->revision(), committedTable_.revision()));
   }
   for (const auto& [name, slices] : nodes) {
     const auto serving = serving_.find(name);
     if (serving == serving_.end()) {
-      reportViolation(Guarantee::kAcceptedIsDurable, absl::StrFormat("%s ends without a version", name));
+      reportViolation(Guarantee::kAcceptedIsDurable, absl::StrFormat("%s ends without an active version", name));
     } else if (!(slices->rows().digest() == serving->second.history->slice->digest())) {
       reportViolation(Guarantee::kAcceptedIsDurable,
                       absl::StrFormat("%s ends at revision %d, behind the committed table", name, slices->revision()));
--- a/src/simulation/invariants.h
+++ b/src/simulation/invariants.h
@@ -1,4 +1,4 @@
-/// What must always hold, checked against the truth after every event that could break it.
+/// Checks the product's guarantees against the committed entries after every event that could violate them.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
 
 namespace driftlug::simulation {
 
-/// The guarantees of the product, by the numbers that the documents use.
+/// Guarantees of the product; the values are their numbers in the documentation.
 enum class Guarantee : int {
   kMonotonicVersion = 1,
   kReferencesPresent = 2,
@@ -28,58 +28,58 @@
   kAcceptedIsDurable = 9,
 };
 
-/// One broken guarantee.
+/// A violation of a guarantee.
 struct Violation {
   Guarantee guarantee;
   base::TimePoint at;
   std::string sentence;
 };
 
-/// One edit that took effect.
+/// A committed edit that was accepted.
 struct CommittedEdit {
   std::string requestId;
   int64_t revision = 0;
-  base::TimePoint committedAt{};  ///< when the first controller applied it, which is when its answer leaves
-  base::TimePoint inForceAt{};    ///< when the last serving node had it; unset until then
+  base::TimePoint committedAt{};  ///< when the first controller applied it and its answer is sent
+  base::TimePoint inForceAt{};    ///< when the last serving node activated it; unset until then
   bool inForce = false;
   std::set<std::string> lagging;  ///< serving nodes that need it and run an older version
 };
 
-/// Keeps the truth, which is the sequence of committed entries, and compares every controller and node with it.
+/// Records the sequence of committed entries and compares every controller and node with it.
 class InvariantChecker {
  public:
   explicit InvariantChecker(const base::TimeSource& time);
 
-  /// Begins to keep the history of an interest, so that versions of any later revision can be compared.
+  /// Starts to record the history of an interest so that versions of any later revision can be compared.
   void watch(const table::Interest& interest) { historyOf(interest); }
 
-  /// A controller applied a committed entry.
+  /// Called when a controller has applied a committed entry.
   void onApplied(const std::string& controller, const wire::LogEntry& entry, const table::Table& result);
 
-  /// A node activated a version.
+  /// Called when a node has activated a version.
   void onActivated(const std::string& node, const table::Interest& interest, const node::SliceStore& slices);
 
-  /// Called whenever an edit took effect for the first time.
+  /// Sets a hook that is called for each edit that takes effect.
   void onCommit(std::function<void()> hook) { commitHook_ = std::move(hook); }
 
-  /// An operator was told the outcome of an edit.
+  /// Called when an operator receives the outcome of an edit.
   void onOutcome(const std::string& requestId, const wire::EditOutcome& outcome);
 
-  /// A node stopped to serve; its next version must still not be older.
+  /// Called when a node stops serving; its next version must not be older than its last one.
   void onNodeDown(const std::string& node);
 
-  /// A controller says that a revision is in force everywhere.
-  /// @param excused nodes that were cut off, frozen or restarted a short time ago
+  /// Called when a controller reports that a revision is in force on all nodes.
+  /// @param exempt nodes that were recently partitioned, frozen or restarted
   void onConvergenceReported(int64_t revision, const std::set<std::string>& exempt);
 
-  /// At the end of a run, after all faults were healed.
+  /// Checks that everything has converged; called at the end of a run, after all faults have healed.
   void checkEnd(const std::map<std::string, const table::Table*>& controllers,
                 const std::map<std::string, const node::SliceStore*>& nodes);
 
-  /// Reports a broken guarantee.
+  /// Records a violation of a guarantee.
   void reportViolation(Guarantee guarantee, std::string sentence);
 
-  /// Leaves out the checks whose cost grows with the square of the cluster; convergence is still measured.
+  /// Skips the checks whose cost grows with the square of the cluster size; convergence is still measured.
   void measureOnly() { measureOnly_ = true; }
 
   const std::vector<Violation>& violations() const { return violations_; }
@@ -89,8 +89,8 @@
  private:
   struct SliceHistory {
     std::unique_ptr<table::Slice> slice;
-    std::map<int64_t, table::Digest> digests;  // by the revision from which it was valid
-    std::set<std::string> nodes;               // that serve a version of it now
+    std::map<int64_t, table::Digest> digests;  // by the first revision that they are valid for
+    std::set<std::string> nodes;               // that currently serve a version of it
   };
 
   struct Effect {
@@ -100,7 +100,7 @@
 
   struct Serving {
     SliceHistory* history = nullptr;
-    int64_t revision = 0;  // of the version in force
+    int64_t revision = 0;  // of the active version
   };
 
   SliceHistory& historyOf(const table::Interest& interest);
@@ -116,7 +116,7 @@
   std::map<std::string, Effect> effects_;          // by request id
   std::map<table::Interest, SliceHistory> slices_;
   std::map<std::string, int64_t> newestActivated_;  // by node, across its restarts
-  std::map<std::string, Serving> serving_;          // nodes with an active version now
+  std::map<std::string, Serving> serving_;          // nodes that currently have an active version
   std::map<std::string, CommittedEdit> committed_;  // by request id
   std::vector<std::string> converging_;             // committed, not yet in force everywhere
   bool measureOnly_ = false;
--- a/src/simulation/mechanisms.cc
+++ b/src/simulation/mechanisms.cc
@@ -13,13 +13,14 @@
       {Mechanism::kConfirmRestartedNodes, "confirm-restarted-nodes",
        "a node without a table gets its first slice only once that is known to be the newest released", ""},
       {Mechanism::kNeverOlder, "never-older", "a node refuses, and a relay does not send, an older revision", ""},
-      {Mechanism::kDigest, "digest", "a node refuses an update whose result is not what the controller has", ""},
-      {Mechanism::kReferenceChecks, "reference-checks", "controllers and nodes refuse a table whose references dangle",
+      {Mechanism::kDigest, "digest", "a node refuses an update whose result does not match the controller's digest",
+       ""},
+      {Mechanism::kReferenceChecks, "reference-checks", "controllers and nodes refuse a table with dangling references",
        ""},
       {Mechanism::kEditRevisions, "edit-revisions", "an edit of a row that has changed since it was read is refused",
        ""},
       {Mechanism::kResentEdits, "resent-edits", "a resent edit gets its first outcome and has no second effect", ""},
-      {Mechanism::kReportedLag, "reported-lag", "a change counts as in force only by the word of each node", ""},
+      {Mechanism::kReportedLag, "reported-lag", "a change counts as in force only once each node has reported it", ""},
   };
   return kAll;
 }
--- a/src/simulation/mechanisms.h
+++ b/src/simulation/mechanisms.h
@@ -1,4 +1,4 @@
-/// Safety mechanisms that a simulation can switch off, to prove that a checker notices.
+/// Safety mechanisms that a simulation can disable to show that the checker detects their absence.
 #pragma once
 
 #include <set>
@@ -8,7 +8,7 @@
 
 namespace driftlug::simulation {
 
-/// Each protects at least one guarantee; the library's options switch it off.
+/// Each mechanism protects at least one guarantee and is disabled through the options of the library.
 enum class Mechanism {
   kQuorumCommit,
   kSyncBeforeAcknowledge,
@@ -22,12 +22,12 @@
   kReportedLag,
 };
 
-/// What a mechanism is for.
+/// Name and purpose of a mechanism.
 struct MechanismInfo {
   Mechanism mechanism;
   std::string_view name;
   std::string_view purpose;
-  std::string_view faults;  ///< classes under which its absence shows soonest; empty for all
+  std::string_view faults;  ///< fault classes that reveal its absence soonest, separated by commas; empty for all
 };
 
 /// @return all mechanisms.
--- a/src/simulation/operators.cc
+++ b/src/simulation/operators.cc
@@ -69,7 +69,7 @@
   const auto edit = drawEdit(known);
   submit(edit);
   if (!random_.chance(options_.races)) return;
-  // Another operator saw the same revision and wants something else.
+  // A second operator submits a conflicting change of the same revision.
   auto rival = edit;
   rival.requestId = nextRequestId();
   rival.author = "rival";
@@ -93,7 +93,7 @@
 }
 
 wire::Mutation Operators::changeSecretsOf(const table::Row& service, const table::Table& known) {
-  // A secret that exists already becomes part of the service, or leaves it: rows enter slices without a change.
+  // Adds an existing secret to the service or removes one, so that unchanged rows enter or leave slices.
   auto changed = service;
   auto& secrets = changed.serviceRow.secrets;
   if (secrets.size() > 1) {
@@ -110,7 +110,7 @@
 }
 
 void Operators::addBundle(wire::EditCommand* edit) {
-  // A service, its secret and a route to it, all at once: no node may see one without the others.
+  // Adds a service, its secret and a route to it in one edit; no node may see one without the others.
   const auto name = kBundleNamePrefix + edit->requestId;
   wire::Row secret;
   secret.key = table::makeKey(RowKind::SECRET, name);
@@ -147,7 +147,7 @@
 }
 
 void Operators::breakReference(const table::Table& known, wire::EditCommand* edit) {
-  // A secret or service goes while a route still needs it.
+  // Deletes a secret or service that a route may still need.
   std::vector<table::RowPtr> needed;
   for (const auto& [key, row] : known.rows()) {
     if (key.kind == RowKind::SECRET || key.kind == RowKind::SERVICE) needed.push_back(row);
--- a/src/simulation/operators.h
+++ b/src/simulation/operators.h
@@ -1,4 +1,4 @@
-/// Operators and their scripts: edit rows, race each other, lose answers and send again.
+/// Simulated operators: they edit rows, submit competing edits, lose answers and resend edits.
 #pragma once
 
 #include <map>
@@ -11,26 +11,26 @@
 
 namespace driftlug::simulation {
 
-/// What operators do.
+/// Settings of the simulated operators.
 struct OperatorOptions {
   base::TimePoint from{};
   base::TimePoint until{};
   base::Duration meanGap = base::milliseconds(1500);        ///< between edits
   base::Duration answerTimeout = base::milliseconds(1500);  ///< before an edit is sent again
   double lostAnswers = 0.1;                                 ///< share of answers that never arrive
-  double races = 0.2;                                       ///< share of edits sent as two that compete
-  double invalidEdits = 0.1;                                ///< share of edits that must be refused
-  base::Duration oneWay = base::milliseconds(1);            ///< between an operator and a controller
+  double races = 0.2;                             ///< share of edits that are sent together with a competing edit
+  double invalidEdits = 0.1;                      ///< share of edits that must be rejected
+  base::Duration oneWay = base::milliseconds(1);  ///< latency between an operator and a controller, one way
 };
 
-/// Counts of what operators were told.
+/// Counts of edits and of the answers to them.
 struct OperatorCounters {
   int64_t edits = 0;
   int64_t resends = 0;
   int64_t accepted = 0;
   int64_t conflicts = 0;
   int64_t invalid = 0;
-  int64_t unanswered = 0;  ///< still without an answer at the end
+  int64_t unanswered = 0;  ///< still without a final answer at the end of the run
 };
 
 /// Sends edits until each has a final answer, and reports every answer to the checker.
@@ -38,15 +38,15 @@
  public:
   Operators(Cluster& cluster, OperatorOptions options);
 
-  /// Sends the rows of the plan, then begins to edit.
+  /// Submits the initial rows of the plan, then starts editing.
   void start();
 
-  /// @return edits without a final answer.
+  /// @return the number of edits without a final answer.
   size_t unanswered() const { return pendingEdits_.size(); }
 
   const OperatorCounters& counters() const { return counters_; }
 
-  /// Called when an operator is told that an edit was accepted.
+  /// Sets a hook that is called when an operator receives the acceptance of an edit.
   void onAccepted(std::function<void()> hook) { acceptedHook_ = std::move(hook); }
 
   /// Sends one edit now.
@@ -74,7 +74,7 @@
   base::RandomSource random_;
   std::map<std::string, PendingEdit> pendingEdits_;  // by request id
   int64_t sequence_ = 0;
-  size_t preferred_ = 0;  // controller that answered last
+  size_t preferred_ = 0;  // index of the controller to try first
   OperatorCounters counters_;
   std::function<void()> acceptedHook_;  // may be empty
 };
--- a/src/simulation/process.h
+++ b/src/simulation/process.h
@@ -1,4 +1,4 @@
-/// A simulated process: its scheduler, and whether it runs, is frozen or is dead.
+/// A simulated process: its scheduler and its state (running, frozen or dead).
 #pragma once
 
 #include <cstdint>
@@ -15,16 +15,17 @@
 
 namespace driftlug::simulation {
 
-/// Where a process runs.
+/// Location of a process.
 struct Placement {
   std::string zone;
   std::string region;
 };
 
-/// One process across its restarts. Each start is a new incarnation; what an earlier one scheduled never runs.
+/// One process across its restarts. Each start begins a new incarnation; callbacks of earlier incarnations never run.
 ///
-/// Invariants: a frozen process runs nothing until it is thawed; then, as in transport::EventLoop, timers that came
-/// due, the handler for having been away, and what waited in its sockets, each in order. A dead process runs nothing.
+/// Invariants: a frozen process runs nothing until it is thawed. Then, as in transport::EventLoop, it runs the timers
+/// that came due, the onAway() handler and the events that its sockets hold, each in order. A dead process runs
+/// nothing.
 class Process : public base::Scheduler {
  public:
   Process(EventQueue& queue, std::string name, Placement placement, base::Address address)
@@ -46,21 +47,22 @@
   /// Stops or resumes the execution of events.
   void setFrozen(bool frozen);
 
-  /// Whether the process's own clock doesn't count the time for which it is frozen, as a steady clock on a suspended
-  /// machine. For tests that show what such a clock costs.
+  /// Sets whether the process's clock stops while the process is frozen, like a steady clock on a suspended machine.
+  /// For tests that show the effects of such a clock.
   void setClockStopsWhileFrozen(bool stops) { clockStopsWhileFrozen_ = stops; }
 
-  /// Has what the process does take time on a processor, which outlives it; without one, work takes none.
+  /// Makes the work of the process take time on `processor`, which outlives it. Without a processor, work takes no
+  /// time.
   void useProcessor(Processor* processor) { processor_ = processor; }
 
-  /// Runs an action when what the process does now has ended.
+  /// Runs an action at the end of the event in progress.
   void runAfterCurrentEvent(std::function<void()> action);
 
-  /// Calls back when a process thaws that was frozen for longer than transport::EventLoop lets pass; forgotten with the
-  /// incarnation.
+  /// Sets a handler that is called when the process thaws after a freeze that exceeds the limit of
+  /// transport::EventLoop. Reset at the end of the incarnation.
   void onAway(std::function<void()> handler) { onAway_ = std::move(handler); }
 
-  /// Runs an action as part of the incarnation, now or when the process thaws; drops it once that one has ended.
+  /// Runs an action of an incarnation, now or when the process thaws; drops it if the incarnation has ended.
   void run(uint64_t incarnation, std::function<void()> action);
 
   bool alive() const { return alive_; }
@@ -70,13 +72,13 @@
   const Placement& placement() const { return placement_; }
   const base::Address& address() const { return address_; }
 
-  /// Called after each event that the process ran.
+  /// Sets a hook that is called after each event of the process.
   void onEvent(std::function<void()> hook) { eventHook_ = std::move(hook); }
 
  private:
   struct Timer {
-    base::TimerId id = 0;  // of its first event
-    base::TimePoint due;   // on the own clock
+    base::TimerId id = 0;  // id of its first event
+    base::TimePoint due;   // on the process's clock
     uint64_t incarnation = 0;
     std::function<void()> callback;
   };
@@ -87,7 +89,7 @@
   void runNow(const std::function<void()>& action);
 
   EventQueue& queue_;
-  Processor* processor_ = nullptr;  // null where work takes no time
+  Processor* processor_ = nullptr;  // null if work takes no time
   std::string name_;
   Placement placement_;
   base::Address address_;
@@ -96,12 +98,12 @@
   bool clockStopsWhileFrozen_ = false;
   uint64_t incarnation_ = 0;
   base::TimePoint frozenAt_{};
-  std::optional<base::TimePoint> readUntil_;           // on the own clock, while it thaws
-  base::Duration clockLag_{};                          // what the own clock didn't count
+  std::optional<base::TimePoint> readUntil_;           // on the process's clock; set while it thaws
+  base::Duration clockLag_{};                          // frozen time that the process's clock didn't count
   std::deque<std::shared_ptr<Timer>> dueWhileFrozen_;  // came due while frozen; cancelled ones have no callback
-  std::deque<std::shared_ptr<Timer>> dueWhileBusy_;    // came due while the processor was at work; the same
+  std::deque<std::shared_ptr<Timer>> dueWhileBusy_;    // came due while the processor was busy; the same
   std::deque<std::function<void()>> pendingActions_;   // arrived while frozen
-  std::unordered_map<base::TimerId, EventId> rescheduledEvents_;  // timers whose event is another than their first
+  std::unordered_map<base::TimerId, EventId> rescheduledEvents_;  // current events of timers that were rescheduled
   std::function<void()> onAway_;                                  // may be empty
   std::function<void()> eventHook_;                               // may be empty
 };
--- a/src/simulation/processor.h
+++ b/src/simulation/processor.h
@@ -1,4 +1,4 @@
-/// The processor of a simulated machine: work takes time, and what comes meanwhile waits.
+/// The processor of a simulated machine: work takes time, and events that arrive meanwhile are queued.
 #pragma once
 
 #include <deque>
@@ -8,27 +8,28 @@
 
 namespace driftlug::simulation {
 
-/// Shared by the processes of a machine, as by the parts of a process that share a loop.
+/// Shared by the processes of a machine, like an event loop that is shared by the parts of a process.
 ///
-/// Invariants: actions run one at a time; when one has ended, the timers that came due meanwhile go before messages, as
-/// in transport::EventLoop, each in order.
+/// Invariants: actions run one at a time. When one has ended, the timers that came due meanwhile run before the queued
+/// messages, as in transport::EventLoop, each in order.
 class Processor {
  public:
-  /// Tells the time that the work done since it was last asked would take on this processor.
+  /// Returns the time that the work done since its previous call takes on this processor.
   using Meter = std::function<base::Duration()>;
 
   Processor(EventQueue& queue, Meter meter) : queue_(queue), meter_(std::move(meter)) {}
 
-  /// Runs an action, now or when the processor is free.
+  /// Runs an action, now or once the processor is free.
   void run(bool isTimer, std::function<void()> action);
 
-  /// Runs an action at the end of the one in progress: what is written to a socket leaves at the end of a turn.
+  /// Runs an action at the end of the one in progress, as data written to a socket leaves at the end of a loop
+  /// iteration.
   void runAfterCurrentEvent(std::function<void()> action);
 
-  /// @return when the oldest message that waits came, or now.
+  /// @return the arrival time of the oldest queued message, or now if none is queued.
   base::TimePoint inputReadUntil() const { return messages_.empty() ? queue_.now() : messages_.front().arrivedAt; }
 
-  /// @return longest time that a single action took.
+  /// @return the longest time that a single action took.
   base::Duration longestAction() const { return longestAction_; }
 
  private:
@@ -44,12 +45,12 @@
   EventQueue& queue_;
   Meter meter_;
   bool working_ = false;
-  bool wakeUpScheduled_ = false;  // wake() is scheduled
+  bool wakeUpScheduled_ = false;  // the callback of scheduleWakeUp() is pending
   base::TimePoint freeAt_{};
   base::Duration longestAction_{0};
-  std::deque<std::function<void()>> timers_;    // came due while it was at work
-  std::deque<Message> messages_;                // came while it was at work
-  std::deque<std::function<void()>> deferred_;  // of the action in progress
+  std::deque<std::function<void()>> timers_;    // came due while it was busy
+  std::deque<Message> messages_;                // arrived while it was busy
+  std::deque<std::function<void()>> deferred_;  // run at the end of the action in progress
 };
 
 }  // namespace driftlug::simulation
--- a/src/simulation/run.cc
+++ b/src/simulation/run.cc
@@ -5,15 +5,15 @@
 namespace driftlug::simulation {
 namespace {
 
-/// Time from the start in which the cluster forms and the first rows are accepted.
+/// Time after the start in which the cluster forms and accepts the initial rows.
 constexpr base::Duration kFormationTime = base::seconds(8);
-/// Time at the end without faults or edits, in which everything must converge.
+/// Time at the end of a run without faults, in which everything must converge; edits stop after its first quarter.
 constexpr base::Duration kSettleTime = base::seconds(20);
 constexpr base::Duration kProbeInterval = base::milliseconds(250);
-/// Nodes hit by a fault within this time may differ from what a controller says of them.
+/// Nodes that were affected by a fault within this time may lag behind what a controller reports.
 constexpr base::Duration kExemptionWindow = base::seconds(12);
 
-/// Asks the leader now and then whether the newest revision is in force everywhere.
+/// Periodically asks the leader whether the newest revision is in force on all nodes.
 class ConvergenceProbe {
  public:
   ConvergenceProbe(Cluster& cluster, FaultInjector& faults) : cluster_(cluster), faults_(faults) {}
@@ -25,7 +25,7 @@
     });
   }
 
-  /// Asks as an operator does who waits for a change: at once, and again and again.
+  /// Asks immediately and then at short intervals, like an operator who waits for a change.
   void probeRepeatedly() {
     constexpr int kProbes = 8;
     for (int i = 0; i < kProbes; ++i) {
@@ -125,7 +125,7 @@
   result.faultsDrawn = drawn.size();
   result.faults = drawn;
   for (const auto& [requestId, edit] : cluster.checker().committed()) {
-    // The rows of the start are in force when the cluster has formed, which is no convergence.
+    // The initial rows come into force while the cluster forms and don't count as convergence.
     if (!edit.inForce || edit.committedAt < begin + kFormationTime) continue;
     result.convergenceMs.push_back(
         std::chrono::duration<double, std::milli>(edit.inForceAt - edit.committedAt).count());
@@ -138,7 +138,7 @@
   for (size_t i = 0; i < faultsDrawn; ++i) kept.push_back(i);
   RunOptions trial = options;
   trial.restrictFaults = true;
-  // Halves first, then single faults, until nothing more can go.
+  // Removes chunks of faults, from halves down to single faults, as long as the run still fails.
   for (size_t chunk = std::max<size_t>(1, kept.size() / 2); chunk >= 1; chunk /= 2) {
     for (size_t start = 0; start < kept.size();) {
       trial.onlyFaults = kept;
--- a/src/simulation/simulated_disk.h
+++ b/src/simulation/simulated_disk.h
@@ -1,4 +1,4 @@
-/// A disk that loses what was not synced: torn appends, renames undone, full and failing.
+/// A simulated disk that can lose unsynced data (torn appends, undone renames), run full or fail.
 #pragma once
 
 #include <functional>
@@ -12,16 +12,15 @@
 
 namespace driftlug::simulation {
 
-/// Times and limits of a disk.
+/// Latency of the syncs of a disk.
 struct DiskOptions {
   base::Duration syncShortest = base::microseconds(200);
   base::Duration syncLongest = base::microseconds(800);
 };
 
-/// The files of one machine; outlives the process that uses them.
+/// The disk of one machine; outlives the process that uses it.
 ///
-/// Invariants: what a sync that ended with success covered is there after a crash; what was written later may be
-/// there in part.
+/// Invariants: data that a successful sync covered survives a crash; data written later may survive in part.
 class SimulatedDisk : public storage::Disk {
  public:
   SimulatedDisk(Process& process, base::RandomSource random, DiskOptions options)
@@ -36,19 +35,19 @@
   absl::Status remove(const std::string& name) override;
   void sync(const std::string& name, storage::SyncCallback done) override;
 
-  /// The machine lost power: unsynced changes survive in part.
+  /// Simulates a power loss: unsynced changes survive in part.
   void crash();
 
-  /// The disk was lost; a blank one takes its place.
+  /// Replaces the disk by a blank one.
   void wipe();
 
-  /// Lets writes fail for lack of room.
+  /// Sets whether appends fail for lack of space.
   void setFull(bool full) { full_ = full; }
 
-  /// Sets what is called when a file has been renamed; may be empty.
+  /// Sets a handler that is called after each rename; may be empty.
   void onRename(std::function<void()> handler) { onRename_ = std::move(handler); }
 
-  /// Lets syncs fail.
+  /// Sets whether syncs fail.
   void setFailing(bool failing) { failing_ = failing; }
 
  private:
--- a/src/simulation/simulated_network.cc
+++ b/src/simulation/simulated_network.cc
@@ -192,7 +192,8 @@
   const bool blocked =
       known && (network_.isCut(process_, found->second->process_) || network_.isCut(found->second->process_, process_));
   if (!known || blocked || found->second->process_.frozen()) {
-    // Nobody answers; a dead process's machine refuses at once, a cut or frozen one lets the attempt time out.
+    // The attempt fails: at once if no process listens at the address, after a timeout if the peer is partitioned or
+    // frozen.
     const auto wait = known ? network_.options_.connectTimeout : 2 * network_.options_.betweenZones;
     network_.queue_.after(wait, [connection, network = &network_] {
       auto& own = connection->sides[0];
@@ -219,7 +220,7 @@
   network_.traffic_.add(*frame);
   auto& peer = connection->sides[to];
   if (peer.network == nullptr && network_.listeners_.count(peer.address) > 0) {
-    // The peer's machine died in silence and is back: it knows nothing of the connection and resets it.
+    // The peer lost power and has restarted: it does not know the connection and resets it.
     network_.deliver(connection, found->second.side, {SimulatedNetwork::EventKind::kClose, nullptr, {}});
   }
   if (peer.network == nullptr || peer.closed) return;
--- a/src/simulation/simulated_network.h
+++ b/src/simulation/simulated_network.h
@@ -1,4 +1,4 @@
-/// TCP between simulated processes: latency, loss as delay, cuts in one or both directions, resets.
+/// TCP between simulated processes: latency, loss as delay, partitions in one or both directions, resets.
 #pragma once
 
 #include <deque>
@@ -17,13 +17,13 @@
 
 namespace driftlug::simulation {
 
-/// Times of the network.
+/// Latencies and timeouts of the network.
 struct NetworkOptions {
   base::Duration sameZone = base::microseconds(50);        ///< one way, between processes of a zone
   base::Duration betweenZones = base::microseconds(1000);  ///< one way
   base::Duration betweenRegions = base::milliseconds(30);  ///< one way
   double jitter = 0.05;                                    ///< share of the latency, drawn for each frame
-  base::Duration retransmit = base::milliseconds(200);     ///< delay of a frame that was lost once
+  base::Duration retransmit = base::milliseconds(200);     ///< additional delay of a lost frame
   base::Duration connectTimeout = base::seconds(2);
   bool hashFrames = true;  ///< whether the trace hash covers the bytes of frames
 };
@@ -32,8 +32,8 @@
 
 /// Carries frames between processes.
 ///
-/// Invariants: frames of one direction of a connection arrive whole, in order and at most once, or the
-/// connection closes; nothing sent across a cut arrives while it stands.
+/// Invariants: frames of one direction of a connection arrive whole, in order and at most once, or the connection
+/// closes; nothing sent across a partition arrives before it heals.
 class SimulatedNetwork {
  public:
   SimulatedNetwork(EventQueue& queue, base::RandomSource random, NetworkOptions options)
@@ -42,32 +42,32 @@
   /// Makes a process reachable under its address.
   void listen(ProcessNetwork* network);
 
-  /// Ends all connections of a process that died.
-  /// @param silent whether its peers get no reset, as when the machine is gone
+  /// Closes all connections of a process that has exited.
+  /// @param silent whether its peers receive no reset, as after a power loss
   void onProcessExit(ProcessNetwork* network, bool silent);
 
-  /// Cuts or heals the way from one process to another.
+  /// Blocks or unblocks frames from one process to another.
   void setCut(const std::string& from, const std::string& to, bool cut);
 
-  /// Cuts a whole region off from all others, or heals that.
+  /// Partitions a region from all others, or heals the partition.
   void setRegionCut(const std::string& region, bool cut);
 
   /// @return whether frames from one process can't reach another.
   bool isCut(const Process& from, const Process& to) const;
 
-  /// Loses a share of frames; each costs a retransmission.
+  /// Sets the share of frames that are lost; a lost frame arrives after a retransmission.
   void setLoss(double share) { loss_ = share; }
 
-  /// Multiplies all latencies.
+  /// Sets the factor by which all latencies are multiplied.
   void setLatencyFactor(double factor) { latencyFactor_ = factor; }
 
-  /// @return the latency from one place to another, drawn with jitter.
+  /// @return the latency from one place to another, with random jitter.
   base::Duration latency(const Placement& from, const Placement& to);
 
-  /// @return hash over everything that was delivered.
+  /// @return the hash of all delivered events.
   uint64_t traceHash() const { return traceHash_; }
 
-  /// Mixes a fact into the trace hash.
+  /// Mixes a value into the trace hash.
   void mixTrace(uint64_t value);
 
   const Traffic& traffic() const { return traffic_; }
@@ -85,15 +85,15 @@
 
   /// One side of a connection.
   struct Side {
-    const Process* process = nullptr;   // null while the callee is not reached yet
-    ProcessNetwork* network = nullptr;  // null once the process closed its end, or died
+    const Process* process = nullptr;   // null on the called side until it is reached
+    ProcessNetwork* network = nullptr;  // null once the process has closed its end or exited
     uint64_t incarnation = 0;
     base::ConnectionId id = 0;
     base::Address address;          // where it listens; unset on the calling side
-    bool closed = false;            // this side closed or was told of the close
-    base::TimePoint lastArrival{};  // of what travels to this side
-    std::deque<InTransit> held;     // waits for a cut to heal
-    size_t queued = 0;              // bytes under way to this side
+    bool closed = false;            // this side has closed or received the close
+    base::TimePoint lastArrival{};  // of the data in flight to this side
+    std::deque<InTransit> held;     // held until the partition heals
+    size_t queued = 0;              // bytes in flight to this side
   };
 
   struct Connection {
@@ -114,7 +114,7 @@
   std::map<base::Address, ProcessNetwork*> listeners_;
   std::set<std::pair<std::string, std::string>> cuts_;  // (from, to)
   std::set<std::string> cutRegions_;
-  std::vector<std::weak_ptr<Connection>> connections_;  // swept now and then
+  std::vector<std::weak_ptr<Connection>> connections_;  // expired entries are removed once there are sweepAt_ entries
   size_t sweepAt_ = 1024;
   double loss_ = 0;
   double latencyFactor_ = 1;
@@ -122,13 +122,13 @@
   Traffic traffic_;
 };
 
-/// The network as one incarnation of a process sees it.
+/// The network interface of one incarnation of a process.
 class ProcessNetwork : public base::Network {
  public:
   ProcessNetwork(SimulatedNetwork& network, Process& process) : network_(network), process_(process) {}
   ~ProcessNetwork() override;
 
-  /// Sets who receives events; called once, before the first of them.
+  /// Sets the handler of connection events; called once, before the first event.
   void setHandler(base::ConnectionHandler* handler) { handler_ = handler; }
 
   // base::Network
@@ -138,7 +138,7 @@
   void close(base::ConnectionId connection) override;
   size_t queuedBytes(base::ConnectionId connection) const override;
 
-  /// Closes every connection, as when the process loses its sockets.
+  /// Resets every connection, as if the process had lost its sockets.
   void resetAll();
 
   Process& process() { return process_; }
--- a/src/simulation/traffic.cc
+++ b/src/simulation/traffic.cc
@@ -5,7 +5,7 @@
 namespace driftlug::simulation {
 
 std::string_view messageKindName(size_t kind) {
-  // As many as there are kinds, or this doesn't compile.
+  // One name per message kind, in the order of wire::Message; the number is checked below.
   static constexpr std::string_view kNames[] = {
       "Hello",          "VoteRequest",      "VoteResponse",      "AppendRequest", "AppendResponse", "SnapshotChunk",
       "SnapshotAck",    "TimeoutNow",       "RelaySubscribe",    "NotLeader",     "TableUpdate",    "Heartbeat",
--- a/src/simulation/traffic.h
+++ b/src/simulation/traffic.h
@@ -1,4 +1,4 @@
-/// Counts of what the simulated network carried.
+/// Traffic counters of the simulated network.
 #pragma once
 
 #include <array>
--- a/test/simulation/simulation_test.cc
+++ b/test/simulation/simulation_test.cc
@@ -37,7 +37,7 @@
   requireNoViolations(optionsFor(deployment), first, last);
 }
 
-/// @return whether some seed fails without the mechanism.
+/// @return whether some seed fails if the mechanism is disabled.
 bool trips(Mechanism mechanism, const std::string& deployment) {
   auto options = optionsFor(deployment);
   options.plan.disabled = {mechanism};
@@ -92,7 +92,7 @@
   requireNoViolations("glenmorven", 1, 60);
 }
 
-TEST_CASE("disks of nodes that fill up or fail take no node back") {
+TEST_CASE("full or failing disks of nodes never return a node to an older version") {
   for (const auto* deployment : {"crash-report", "glenmorven"}) {
     auto options = optionsFor(deployment);
     options.plan.nodeDiskFaults = true;
@@ -103,9 +103,9 @@
 }
 
 TEST_CASE("seeds that failed once stay mended") {
-  // Wiped controllers added under their old identity; reports lost between leaders; refused pre-votes that raised
-  // terms; nodes taken for gone while another relay held them; votes given on a full disk (30441); a version served
-  // from a disk that could still lose it (42862).
+  // Faults that these seeds found: wiped controllers were added under their old identity; convergence reports were lost
+  // between leaders; refused pre-votes raised terms; nodes counted as disconnected while another relay served them;
+  // votes were granted on a full disk (30441); a version was served from a disk that could still lose it (42862).
   requireNoViolations("crash-report", 86, 86);
   requireNoViolations("crash-report", 90, 90);
   requireNoViolations("crash-report", 413, 413);
