--- a/test/incidents/crash_figures_test.cc
+++ b/test/incidents/crash_figures_test.cc
@@ -11,14 +11,14 @@
 namespace
 {
 constexpr int kSeeds = 20;
-constexpr base::Duration kFrom = base::seconds(5);
-constexpr base::Duration kUntil = base::seconds(60);
-constexpr base::Duration kEnd = base::seconds(65);
+constexpr base::Duration kWarmUp = base::seconds(5);
+constexpr base::Duration kTrafficEnd = base::seconds(60);
+constexpr base::Duration kScenarioEnd = base::seconds(65);
 
 struct scenario_totals
 {
 	double crashes = 0;
-	double worst = 0;
+	double maxCrashes = 0;
 	double externalCrashes = 0;
 	double afterThirdCrash = 0;
 	double inTime = 0;
@@ -30,7 +30,7 @@
 		for (const auto& path : _fatal)
 		{
 			const auto crashes = static_cast<double>(_fleet.backEnds.crashesBy(path));
-			worst = std::max(worst, crashes);
+			maxCrashes = std::max(maxCrashes, crashes);
 			this->crashes += crashes / static_cast<double>(_fatal.size());
 			afterThirdCrash = std::max(
 				afterThirdCrash, static_cast<double>(_fleet.backEnds.arrivalsAfterThirdCrash(path, base::seconds(3))));
@@ -48,14 +48,14 @@
 			"%-34s ends a guilty request %.2f (most %.0f, past third %.0f), plain %.1f, in time %.4f, lost %.5f, "
 			"innocents "
 			"held %.2f\n",
-			_name, crashes / kSeeds, worst, afterThirdCrash, externalCrashes / kSeeds, inTime / kSeeds, lost / kSeeds,
-			held / kSeeds);
+			_name, crashes / kSeeds, maxCrashes, afterThirdCrash, externalCrashes / kSeeds, inTime / kSeeds,
+			lost / kSeeds, held / kSeeds);
 	}
 };
 
 void crashExternally(crash_fleet* _fleet, base::Duration _gap)
 {
-	if (_fleet->now() > kUntil)
+	if (_fleet->now() > kTrafficEnd)
 	{
 		return;
 	}
@@ -78,18 +78,18 @@
 		{
 			fleet.backEnds.fatal.push_back("/tiles/fatal-" + std::to_string(i));
 		}
-		fleet.startBackgroundTraffic(_perSecond, kUntil);
-		fleet.runUntil(kFrom);
+		fleet.startBackgroundTraffic(_perSecond, kTrafficEnd);
+		fleet.runUntil(kWarmUp);
 		for (const auto& path : fleet.backEnds.fatal)
 		{
-			fleet.repeat(path, base::milliseconds(2500), kUntil);
+			fleet.repeat(path, base::milliseconds(2500), kTrafficEnd);
 			fleet.runUntil(fleet.now() + fleet.random().duration(base::seconds(2)));
 		}
 		if (_externalCrashes)
 		{
 			crashExternally(&fleet, base::seconds(4));
 		}
-		fleet.runUntil(kEnd);
+		fleet.runUntil(kScenarioEnd);
 		total.add(fleet, fleet.backEnds.fatal);
 	}
 	total.print(_name);
@@ -104,7 +104,7 @@
 		fleet.backEnds.fatal.push_back("/tiles/fatal-" + std::to_string(i));
 	}
 	fleet.startBackgroundTraffic(2000, base::seconds(40));
-	fleet.runUntil(kFrom);
+	fleet.runUntil(kWarmUp);
 	for (const auto& path : fleet.backEnds.fatal)
 	{
 		fleet.repeat(path, base::milliseconds(2500), base::seconds(40));
@@ -145,16 +145,16 @@
 		call.host = kHost;
 		call.path = "/tiles/some/longer/path/with/a/query?zoom=3&sheet=1234";
 		call.body = std::string(bytes, 'b');
-		constexpr int kTimes = 100'000;
+		constexpr int kIterations = 100'000;
 		uint64_t sum = 0;
 		const auto begun = std::chrono::steady_clock::now();
-		for (int i = 0; i < kTimes; ++i)
+		for (int i = 0; i < kIterations; ++i)
 		{
 			sum += node::fingerprintOf(call).low;
 		}
 		const auto took = std::chrono::steady_clock::now() - begun;
 		std::printf("a fingerprint of a call with %zu bytes: %.0f ns (%llx)\n", bytes,
-					std::chrono::duration<double, std::nano>(took).count() / kTimes,
+					std::chrono::duration<double, std::nano>(took).count() / kIterations,
 					static_cast<unsigned long long>(sum));
 	}
 }
--- a/test/incidents/crash_fleet.cc
+++ b/test/incidents/crash_fleet.cc
@@ -39,7 +39,7 @@
 											 }));
 }
 
-crash_fleet::crash_fleet(uint64_t _seed, size_t _backEnds, size_t _others)
+crash_fleet::crash_fleet(uint64_t _seed, size_t _backEnds, size_t _clientNodes)
 	: m_random(_seed)
 	, m_network(m_queue, base::RandomSource(m_random.bits()), {})
 	, m_source(m_queue, m_network, rows())
@@ -52,7 +52,7 @@
 		m_relays.back()->start();
 	}
 	const std::vector<std::string> zones{"a", "b", "c"};
-	for (size_t i = 0; i < _backEnds + _others; ++i)
+	for (size_t i = 0; i < _backEnds + _clientNodes; ++i)
 	{
 		fleet_node_options options;
 		options.service = kService;
--- a/test/incidents/crash_fleet.h
+++ b/test/incidents/crash_fleet.h
@@ -34,7 +34,7 @@
 public:
 	/// @param[in] _seed Of all that is drawn.
 	/// @param[in] _backEnds Of the service; four run at half of their slots under the traffic of callers.
-	explicit crash_fleet(uint64_t _seed, size_t _backEnds = 4, size_t _others = 6);
+	explicit crash_fleet(uint64_t _seed, size_t _backEnds = 4, size_t _clientNodes = 6);
 
 	void runUntil(base::Duration _sinceStart);
 
--- a/test/incidents/crashing_back_end.cc
+++ b/test/incidents/crashing_back_end.cc
@@ -71,7 +71,7 @@
 	m_record.arrivals.push_back({m_process.now(), _request.path, m_node});
 	m_running[id] = {_done, _request.path};
 	const bool fatal = m_record.isFatal(_request.path);
-	const auto run = fatal ? kFatalRun : kRun / 3 + m_random.duration(kRun * 4 / 3);
+	const auto run = fatal ? kCrashDelay : kMeanRunTime / 3 + m_random.duration(kMeanRunTime * 4 / 3);
 	m_process.schedule(run,
 					   [this, id, fatal]
 					   {
--- a/test/incidents/crashing_back_end.h
+++ b/test/incidents/crashing_back_end.h
@@ -61,8 +61,9 @@
 class crashing_back_end : public fleet_back_end
 {
 public:
-	static constexpr base::Duration kRun = base::milliseconds(90);       //!< Mean; drawn from a third to five thirds.
-	static constexpr base::Duration kFatalRun = base::milliseconds(40);  //!< Until the crash.
+	static constexpr base::Duration kMeanRunTime =
+		base::milliseconds(90);                                            //!< Mean; drawn from a third to five thirds.
+	static constexpr base::Duration kCrashDelay = base::milliseconds(40);  //!< Until the crash.
 	static constexpr base::Duration kCloseDetectionDelay =
 		base::milliseconds(1);  //!< Until its node sees a closed connection.
 	static constexpr base::Duration kRestartDelay = base::milliseconds(3000);  //!< The next incarnation.
--- a/test/incidents/narrow_link_test.cc
+++ b/test/incidents/narrow_link_test.cc
@@ -32,7 +32,7 @@
 constexpr size_t kBodyBytes = 60'000;
 constexpr int kNodes = 70;
 constexpr int kBodiesPerNode = 2;  // 8.4 MB, 8.6 s of the link
-constexpr base::Duration kRun = base::milliseconds(50);
+constexpr base::Duration kRunTime = base::milliseconds(50);
 constexpr base::Duration kAcceptUntil = base::seconds(3);              // A stop takes calls for so long,
 constexpr base::Duration kRefuseWaitingAt = base::milliseconds(5300);  // gives up what waits,
 constexpr base::Duration kExitAt = base::milliseconds(5500);           // and ends.
@@ -49,7 +49,7 @@
 	uint64_t send(const wire::CallRequest& _request, base::Duration, std::function<void(BackendAnswer)> _done) override
 	{
 		runs.push_back(_request.path);
-		m_scheduler.schedule(kRun,
+		m_scheduler.schedule(kRunTime,
 							 [_done]
 							 {
 								 _done({BackendOutcome::kCompleted, false, 200, {}, "done"});
--- a/test/simulation/simulation_test.cc
+++ b/test/simulation/simulation_test.cc
@@ -38,7 +38,7 @@
 }
 
 /// @return whether some seed fails if the mechanism is disabled.
-bool trips(Mechanism mechanism, const std::string& deployment) {
+bool failsWithout(Mechanism mechanism, const std::string& deployment) {
   auto options = optionsFor(deployment);
   options.plan.disabled = {mechanism};
   for (options.seed = 1; options.seed <= kMechanismSeeds; ++options.seed) {
@@ -133,7 +133,7 @@
 TEST_CASE("each safety mechanism is noticed when it is missing") {
   for (const auto& info : allMechanisms()) {
     INFO(info.name);
-    CHECK((trips(info.mechanism, "crash-report") || trips(info.mechanism, "glenmorven")));
+    CHECK((failsWithout(info.mechanism, "crash-report") || failsWithout(info.mechanism, "glenmorven")));
   }
 }
 
