--- a/test/incidents/crash_figures_test.cc
+++ b/test/incidents/crash_figures_test.cc
@@ -1,4 +1,4 @@
-// Figures of the fleet whose back ends crash, printed; hidden, run by test-incidents "[.figures]".
+// Prints figures of a fleet with crashing back ends. Hidden; run with test-incidents "[.figures]".
 #include <catch2/catch.hpp>
 
 #include <cstdio>
@@ -45,8 +45,9 @@
 	void print(const char* _name) const
 	{
 		std::printf(
-			"%-34s ends a guilty request %.2f (most %.0f, past third %.0f), plain %.1f, in time %.4f, lost %.5f, "
-			"innocents "
+			"%-34s crashes per fatal request %.2f (max %.0f, after third %.0f), external %.1f, in time %.4f, lost "
+			"%.5f, "
+			"others "
 			"held %.2f\n",
 			_name, crashes / kSeeds, maxCrashes, afterThirdCrash, externalCrashes / kSeeds, inTime / kSeeds,
 			lost / kSeeds, held / kSeeds);
@@ -118,19 +119,19 @@
 		crashes += static_cast<double>(fleet.backEnds.crashesBy(path));
 	}
 	std::printf(
-		"%zu guilty, 300 nodes, 40 s: %lld frames, %lld bytes of crash reports, %.2f ends a request, marks %zu\n",
+		"%zu fatal, 300 nodes, 40 s: %lld frames, %lld bytes of crash reports, %.2f crashes per request, marks %zu\n",
 		_fatalRequests, static_cast<long long>(traffic.frames[kind]), static_cast<long long>(traffic.bytes[kind]),
 		crashes / static_cast<double>(_fatalRequests), fleet.node(0).quarantine()->history().marks());
 	fleet.runUntil(std::chrono::minutes(3));
 	const auto reports = fleet.node(0).quarantine()->all();
 	wire::CrashReports all;
 	all.reports = reports;
-	std::printf("all that a node knows: %zu bytes\n", wire::encodeFrame(all)->size());
+	std::printf("all crash reports of a node: %zu bytes\n", wire::encodeFrame(all)->size());
 }
 
 }  // namespace
 
-TEST_CASE("figures of the spread", "[.spread]")
+TEST_CASE("figures of the traffic of crash reports", "[.spread]")
 {
 	measureReportTraffic(1);
 	measureReportTraffic(100);
@@ -162,14 +163,14 @@
 TEST_CASE("figures of crashes", "[.figures]")
 {
 	runScenario("nothing crashes", 170, 0, false);
-	runScenario("one guilty request, 170 a second", 170, 1, false);
-	runScenario("one guilty request, 250 a second", 250, 1, false);
-	runScenario("one guilty, three back ends, 150", 150, 1, false, 3);
-	runScenario("one guilty, two back ends, 80", 80, 1, false, 2);
-	runScenario("one guilty, one back end, 40", 40, 1, false, 1);
-	runScenario("ten guilty requests", 170, 10, false);
-	runScenario("plain crashes", 170, 0, true);
-	runScenario("plain crashes, 250 a second", 250, 0, true);
+	runScenario("one fatal request, 170 a second", 170, 1, false);
+	runScenario("one fatal request, 250 a second", 250, 1, false);
+	runScenario("one fatal, three back ends, 150", 150, 1, false, 3);
+	runScenario("one fatal, two back ends, 80", 80, 1, false, 2);
+	runScenario("one fatal, one back end, 40", 40, 1, false, 1);
+	runScenario("ten fatal requests", 170, 10, false);
+	runScenario("external crashes", 170, 0, true);
+	runScenario("external crashes, 250 a second", 250, 0, true);
 	runScenario("both", 170, 1, true);
 }
 
--- a/test/incidents/crash_fleet.h
+++ b/test/incidents/crash_fleet.h
@@ -1,4 +1,4 @@
-/// A small fleet on the virtual clock whose back ends crash: the true relays, entry and endpoint sides of calls.
+/// A small fleet with crashing back ends on the virtual clock; relays and both sides of calls are the real ones.
 #ifndef DRIFTLUG_TEST_INCIDENTS_CRASH_FLEET_H_HEADER_GUARD
 #define DRIFTLUG_TEST_INCIDENTS_CRASH_FLEET_H_HEADER_GUARD
 
@@ -14,17 +14,17 @@
 
 namespace driftlug::test
 {
-/// What became of the requests of callers, with the tries that they made themselves.
+/// Outcomes of the callers' requests, including the callers' own retries.
 struct caller_record
 {
 	int requests = 0;
 	int served = 0;
 	int inTime = 0;
 	std::vector<std::pair<base::TimePoint, std::string>> lost;  //!< Requests that were not served.
-	std::vector<node::CallAnswer> fatalAnswers;                 //!< To requests that crash what runs them.
-	int otherRequestsHeld = 0;                                  //!< Answers to others that were held back.
+	std::vector<node::CallAnswer> fatalAnswers;                 //!< Answers to requests that crash back ends.
+	int otherRequestsHeld = 0;                                  //!< Answers that refuse other requests as held.
 
-	/// @returns How many requests that crash nothing were not served.
+	/// @returns Number of lost requests that don't crash back ends.
 	size_t otherRequestsLost(const back_end_record& _record) const;
 };
 
@@ -32,8 +32,8 @@
 class crash_fleet
 {
 public:
-	/// @param[in] _seed Of all that is drawn.
-	/// @param[in] _backEnds Of the service; four run at half of their slots under the traffic of callers.
+	/// @param[in] _seed Seed of all random draws.
+	/// @param[in] _backEnds Back ends of the service; four use half of their slots under the callers' traffic.
 	explicit crash_fleet(uint64_t _seed, size_t _backEnds = 4, size_t _clientNodes = 6);
 
 	void runUntil(base::Duration _sinceStart);
@@ -43,13 +43,13 @@
 		return m_queue.now() - base::TimePoint{};
 	}
 
-	/// Callers ask for different things all the time, at all nodes.
+	/// Sends requests for distinct paths to random nodes, at a mean rate of _perSecond.
 	void startBackgroundTraffic(double _perSecond, base::Duration _until);
 
-	/// The same request comes again and again, at any node.
+	/// Sends the same request repeatedly to random nodes.
 	void repeat(const std::string& _path, base::Duration _gap, base::Duration _until);
 
-	/// A caller asks at any node, and once more when it is not served in time.
+	/// Sends a request to a random node, and once more to a random node if it is not served.
 	void call(const std::string& _path);
 
 	crashing_back_end& backEnd(size_t _position)
@@ -107,7 +107,7 @@
 	table_source m_source;
 	std::vector<std::unique_ptr<fleet_relay>> m_relays;
 	std::vector<std::unique_ptr<fleet_node>> m_nodes;
-	std::vector<crashing_back_end*> m_backEnds;  //!< Of the first nodes.
+	std::vector<crashing_back_end*> m_backEnds;  //!< Back ends of the first nodes.
 	int m_paths = 0;
 };
 
--- a/test/incidents/crashing_back_end.h
+++ b/test/incidents/crashing_back_end.h
@@ -1,4 +1,4 @@
-/// Back ends on the virtual clock that some requests crash.
+/// Back ends on the virtual clock that crash on some requests.
 #ifndef DRIFTLUG_TEST_INCIDENTS_CRASHING_BACK_END_H_HEADER_GUARD
 #define DRIFTLUG_TEST_INCIDENTS_CRASHING_BACK_END_H_HEADER_GUARD
 
@@ -17,14 +17,14 @@
 constexpr int kSlots = 9;
 constexpr int kDeadlineMs = 1200;
 constexpr int kTargetMs = 300;
-constexpr int64_t kClockAtStart = 1'764'720'000'000;  // Unix milliseconds, of the clocks of back ends
+constexpr int64_t kClockAtStart = 1'764'720'000'000;  // Unix milliseconds on the clocks of back ends
 
 inline base::TimePoint at(base::Duration _sinceStart)
 {
 	return base::TimePoint{} + _sinceStart;
 }
 
-/// Something that a back end saw.
+/// An arrival of a request at a back end, or a crash or start of a back end.
 struct back_end_event
 {
 	base::TimePoint time;
@@ -32,18 +32,18 @@
 	size_t node = 0;
 };
 
-/// What all back ends of the fleet saw, and which requests crash them.
+/// Events of all back ends of the fleet, and the requests that crash them.
 struct back_end_record
 {
 	std::vector<back_end_event> arrivals;
-	std::vector<back_end_event> crashes;           //!< By requests.
-	std::vector<base::TimePoint> externalCrashes;  //!< From outside.
-	std::vector<std::string> fatal;                //!< Paths of requests that crash what runs them.
-	std::vector<back_end_event> starts;            //!< First reports of back ends that have started again.
-	bool keepIncarnationName = false;              //!< Back ends start again under the name that they had.
-	base::Duration clockStep{0};                   //!< Between two starts, on the clock that they tell their starts by.
-
-	/// @returns How long after its first report each back end that started again got its first call.
+	std::vector<back_end_event> crashes;           //!< Crashes caused by requests.
+	std::vector<base::TimePoint> externalCrashes;  //!< Crashes that no request causes.
+	std::vector<std::string> fatal;                //!< Paths of requests that crash back ends.
+	std::vector<back_end_event> starts;            //!< First reports of restarted back ends.
+	bool keepIncarnationName = false;              //!< Restarted back ends keep their incarnation name.
+	base::Duration clockStep{0};                   //!< Step of the back ends' clocks between two starts.
+
+	/// @returns Time from the first report of each restarted back end to its first call.
 	std::vector<base::Duration> restartToFirstCall() const;
 
 	bool isFatal(const std::string& _path) const
@@ -53,20 +53,20 @@
 
 	size_t crashesBy(const std::string& _path) const;
 
-	/// @returns How often a request reached a back end later than _slack after it had crashed the third.
+	/// @returns How often a request reached a back end more than _slack after the third crash that it caused.
 	size_t arrivalsAfterThirdCrash(const std::string& _path, base::Duration _slack) const;
 };
 
-/// A back end that works on some requests at once, and is away for some seconds when one of them crashes it.
+/// A back end that runs requests concurrently, and is down for some seconds after one of them has crashed it.
 class crashing_back_end : public fleet_back_end
 {
 public:
 	static constexpr base::Duration kMeanRunTime =
 		base::milliseconds(90);                                            //!< Mean; drawn from a third to five thirds.
-	static constexpr base::Duration kCrashDelay = base::milliseconds(40);  //!< Until the crash.
+	static constexpr base::Duration kCrashDelay = base::milliseconds(40);  //!< From a fatal request to the crash.
 	static constexpr base::Duration kCloseDetectionDelay =
-		base::milliseconds(1);  //!< Until its node sees a closed connection.
-	static constexpr base::Duration kRestartDelay = base::milliseconds(3000);  //!< The next incarnation.
+		base::milliseconds(1);  //!< Until its node detects the closed connection.
+	static constexpr base::Duration kRestartDelay = base::milliseconds(3000);  //!< Until the next incarnation starts.
 
 	crashing_back_end(simulation::Process& _process, uint64_t _seed, size_t _node, back_end_record& _record);
 
@@ -78,18 +78,18 @@
 		m_running.erase(_id);
 	}
 
-	/// All connections are lost; it works on nothing more.
+	/// Drops all running requests, as after the loss of all connections.
 	void dropAll() override
 	{
 		m_running.clear();
 	}
 
-	/// Ends, with all that it works on.
+	/// Crashes, with all requests that it runs.
 	void crash();
 
 	void crashExternally();
 
-	/// Tells its node of itself, now and then.
+	/// Reports to its node at regular intervals.
 	void heartbeat() override;
 
 	bool up() const override
--- a/test/incidents/crashing_request_test.cc
+++ b/test/incidents/crashing_request_test.cc
@@ -1,20 +1,19 @@
-// Symptom: one request, sent again now and then by its caller, took down back end after back end of a service: eleven
-// in twelve seconds. Each time up to nine other requests were cut, and for seconds all of the service's were refused.
+// Symptom: one request that its caller resent from time to time crashed eleven back ends of a service in twelve
+// seconds. Each crash cut off up to nine other requests, and for seconds all requests of the service were refused.
 //
-// Sequence: a back end ends while it runs the request, with all else that it runs. The node where the call began sends
-// it to the next back end at once, which ends as well; the answer is "unknown", or "not run" once all back ends are
-// away. The caller comes again some seconds later, at another node, when back ends have started again; it all begins
-// anew.
+// Sequence: a back end crashes while it runs the request, with all other requests that it runs. The entry node retries
+// the request at once on the next back end, which crashes as well; the answer is "unknown", or "not run" once all back
+// ends are down. Some seconds later, when back ends have restarted, the caller resends the request to another node.
 //
-// Cause: that a back end ended under a request was known to the call alone, as a count of attempts and a list of
-// endpoints to leave out, and died with it. Bounds held for each call (two attempts) and for each service and node
-// (retries as a share of calls), none for the request.
+// Cause: only the call kept track of crashes under a request, as a count of attempts and a list of endpoints to
+// exclude, which were lost when the call ended. There were limits per call (two attempts) and per service and node
+// (retries as a share of calls), but none per request.
 //
-// What settled it: for six of the eleven ends the logs show what ran, each time the same GET of one path. Five
-// different calls at two nodes took it there, each within its own bound: `attempt ... error=backend_failed ...
-// attempts=1 ... again=true because=allowed`, once `attempts=2 again=false because=attempts_used`. In the test's fleet
-// the request ends 49 back ends in 55 s, 45 of them later than 3 s after the third; without second attempts of the
-// nodes still 33 and 28, so these are not what carries it on; without the request none.
+// Evidence: for six of the eleven crashes the logs show what ran, each time the same GET of one path. Five different
+// calls at two nodes carried it, each within its limit: `attempt ... error=backend_failed ... attempts=1 ... again=true
+// because=allowed`, once `attempts=2 again=false because=attempts_used`. In the fleet of this test the request crashes
+// 49 back ends in 55 s, 45 of them later than 3 s after the third; without second attempts by the nodes it is still 33
+// and 28, so these attempts don't sustain the sequence; without the request it is none.
 #include <catch2/catch.hpp>
 
 #include "incidents/crash_fleet.h"
@@ -24,9 +23,9 @@
 namespace
 {
 constexpr char kFatal[] = "/tiles/fatal";
-/// What a fleet knows after the third crash, it knows everywhere within this time.
+/// Time within which the whole fleet knows of the third crash.
 constexpr base::Duration kPropagationLimit = base::seconds(3);
-/// Times that a request may reach a back end after that.
+/// Limit of the request's arrivals at back ends after that.
 constexpr size_t kMaxArrivalsAfterThirdCrash = 3;
 constexpr double kCallsPerSecond = 170;
 
@@ -43,8 +42,7 @@
 
 	CHECK(kMaxArrivalsAfterThirdCrash >= fleet.backEnds.arrivalsAfterThirdCrash(kFatal, kPropagationLimit));
 	CHECK(6 >= fleet.backEnds.crashesBy(kFatal));
-	// Callers of everything else: nine in ten are served in time, also with two back ends of four away for some
-	// seconds.
+	// Nine in ten requests are served in time, although two of four back ends are down for some seconds.
 	CHECK(9 * fleet.callers.requests <= 10 * fleet.callers.inTime);
 	CHECK(fleet.callers.lost.size() * 50 <= static_cast<size_t>(fleet.callers.requests));
 }
@@ -67,7 +65,7 @@
 	}
 }
 
-TEST_CASE("restarts of nodes and relays, all relays at once too, don't begin the series anew")
+TEST_CASE("restarts of nodes and relays, also of all relays at once, cause no further crashes")
 {
 	crash_fleet fleet(13);
 	fleet.backEnds.fatal = {kFatal};
@@ -100,7 +98,7 @@
 	CHECK(2 == fleet.backEnds.crashesBy(kFatal));
 }
 
-TEST_CASE("a node that was cut off from relays meanwhile is told when it is back")
+TEST_CASE("a node that was cut off from relays receives the crash reports once it reconnects")
 {
 	crash_fleet fleet(17);
 	fleet.backEnds.fatal = {kFatal};
@@ -128,7 +126,7 @@
 	CHECK(2 == fleet.backEnds.crashesBy(kFatal));
 }
 
-TEST_CASE("a request that comes many times at once ends each back end once, and one of them once more")
+TEST_CASE("concurrent copies of a request crash each back end at most once, and one of them once more")
 {
 	crash_fleet fleet(19);
 	fleet.backEnds.fatal = {kFatal};
@@ -144,7 +142,7 @@
 	CHECK(0 == fleet.backEnds.arrivalsAfterThirdCrash(kFatal, kPropagationLimit));
 }
 
-TEST_CASE("of two back ends a request that crashes what runs it never ends both at a time")
+TEST_CASE("a request that crashes back ends never takes down both of two at a time")
 {
 	crash_fleet fleet(21, 2);
 	fleet.backEnds.fatal = {kFatal};
@@ -159,12 +157,12 @@
 	CHECK(2 == fleet.backEnds.crashesBy(kFatal));
 }
 
-TEST_CASE("crashes of back ends that no request is to blame for hold nothing back")
+TEST_CASE("crashes of back ends that no request causes hold no requests")
 {
 	crash_fleet fleet(23);
 	fleet.startBackgroundTraffic(kCallsPerSecond, base::seconds(60));
 	fleet.runUntil(base::seconds(5));
-	// A path that callers ask for all the time is at work on every back end that crashes.
+	// A path that callers request all the time runs on every back end that crashes.
 	fleet.repeat("/tiles/favourite", base::milliseconds(20), base::seconds(60));
 	for (size_t i = 0; i < 14; ++i)
 	{
@@ -178,7 +176,7 @@
 	CHECK(99 * fleet.callers.requests <= 100 * fleet.callers.inTime);
 }
 
-TEST_CASE("two back ends of four that crash at the same moment hold nothing back")
+TEST_CASE("two back ends of four that crash at the same moment hold no requests")
 {
 	crash_fleet fleet(29);
 	fleet.startBackgroundTraffic(100, base::seconds(60));
@@ -202,7 +200,7 @@
 	fleet.call(kFatal);
 	fleet.runUntil(base::seconds(10));
 	REQUIRE(2 == fleet.backEnds.crashesBy(kFatal));
-	// It has been at work: nobody is told that it has not.
+	// The request has run, so it must not be answered as not run.
 	REQUIRE_FALSE(fleet.callers.fatalAnswers.empty());
 	CHECK(wire::CallOutcome::UNKNOWN == fleet.callers.fatalAnswers.front().outcome);
 	CHECK(502 == fleet.callers.fatalAnswers.front().httpStatus);
@@ -245,13 +243,13 @@
 {
 	for (const base::Duration step : {base::milliseconds(0), base::milliseconds(20'137), base::milliseconds(-20'137)})
 	{
-		INFO("their clocks step by " << step / base::milliseconds(1) << " ms between two starts");
+		INFO("the back ends' clocks step by " << step / base::milliseconds(1) << " ms between two starts");
 		crash_fleet fleet(41);
 		fleet.backEnds.keepIncarnationName = true;
 		fleet.backEnds.clockStep = step;
 		fleet.backEnds.fatal = {kFatal};
 		fleet.startBackgroundTraffic(kCallsPerSecond, base::seconds(60));
-		fleet.runUntil(base::seconds(15));  // so that a sequence from 1 is far behind
+		fleet.runUntil(base::seconds(15));  // so that a report sequence that restarts at 1 is far behind
 		fleet.repeat(kFatal, base::milliseconds(2500), base::seconds(60));
 		for (size_t i = 0; i < 8; ++i)
 		{
--- a/test/incidents/narrow_link_test.cc
+++ b/test/incidents/narrow_link_test.cc
@@ -1,17 +1,16 @@
-// Symptom: on machines whose links carry 7.8 Mbit/s, planned stops cut requests off without an answer (48 of a day's
+// Symptom: on machines with links of 7.8 Mbit/s, planned stops cut requests off without an answer (48 of a day's
 // uploads), and nodes served a version that was 8 s older than the one in force.
 //
-// Sequence: seventy nodes send bodies of 60 kB to the few nodes beside one service. Each body leaves whole, as one
-// frame. A node that is told to stop still has bodies in the queue in front of a receiver's link when its grace is
-// over; its process ends, and with it the connections of the callers. New versions wait in the same queue.
+// Sequence: seventy nodes send bodies of 60 kB to the few nodes of one service, each body as one frame. When the grace
+// period of a stopping node ends, some of its bodies are still queued in front of a receiver's link; the process exits
+// and closes the connections of its callers. New versions wait in the same queue.
 //
-// Cause: what may be on its way to a node was bounded by nobody. A class of its own beside a lack of slots or of
-// processor time: nodes used 0.02 of their 0.1 cores, and 60 kB x 161 bodies a second are 77 Mbit/s for seven links of
-// together 55 Mbit/s.
+// Cause: the bytes in flight to a node had no limit. This is neither a lack of slots nor of processor time: nodes used
+// 0.02 of their 0.1 cores, while 60 kB x 161 bodies a second are 77 Mbit/s for seven links of together 55 Mbit/s.
 //
-// What settled it: requests taken 0.04 s and 0.20 s after the signal were cut 5.5 s after it, all of them uploads; no
-// back end had seen them. With bodies sent as the receiver has room the same load keeps the queue in front of a link
-// below 100 ms and leaves no request without an answer.
+// Evidence: requests accepted 0.04 s and 0.20 s after the signal were cut 5.5 s after it, all of them uploads that no
+// back end had received. If bodies are sent only as the receiver grants them, the same load keeps the queue in front of
+// a link below 100 ms and leaves no request without an answer.
 #include <catch2/catch.hpp>
 
 #include <algorithm>
@@ -33,9 +32,9 @@
 constexpr int kNodes = 70;
 constexpr int kBodiesPerNode = 2;  // 8.4 MB, 8.6 s of the link
 constexpr base::Duration kRunTime = base::milliseconds(50);
-constexpr base::Duration kAcceptUntil = base::seconds(3);              // A stop takes calls for so long,
-constexpr base::Duration kRefuseWaitingAt = base::milliseconds(5300);  // gives up what waits,
-constexpr base::Duration kExitAt = base::milliseconds(5500);           // and ends.
+constexpr base::Duration kAcceptUntil = base::seconds(3);              // A stopping node accepts calls until then,
+constexpr base::Duration kRefuseWaitingAt = base::milliseconds(5300);  // refuses the waiting calls,
+constexpr base::Duration kExitAt = base::milliseconds(5500);           // and exits.
 
 /// Answers each request after a fixed time.
 class fixed_delay_back_end : public BackendClient
@@ -67,7 +66,7 @@
 	base::Scheduler& m_scheduler;
 };
 
-/// What all senders put on the link of one node arrives in the order in which it was put there.
+/// The link of one node, with limited bandwidth; frames of all senders arrive in the order in which they were sent.
 class narrow_link
 {
 public:
@@ -76,7 +75,7 @@
 	{
 	}
 
-	/// @returns How long a frame waits that is put on the link now.
+	/// @returns Queueing delay of a frame that is sent now.
 	base::Duration backlog() const
 	{
 		return std::max(base::Duration(0), m_freeAt - m_queue.now());
@@ -109,7 +108,7 @@
 	row.routeRow.host = "shop.example";
 	row.routeRow.pathPrefix = "/" + _name + "/";
 	row.routeRow.repeatable = _repeatable;
-	row.routeRow.timeoutMs = 12'000;  // longer than all bodies take
+	row.routeRow.timeoutMs = 12'000;  // longer than the transfer of all bodies
 	row.routeRow.maxAttempts = 2;
 	row.routeRow.targetLatencyMs = _targetMs;
 	row.routeRow.priority = _repeatable ? 0 : 1;
@@ -120,12 +119,12 @@
 	return row;
 }
 
-/// Seventy-one nodes in front of one node beside a back end, whose link is narrow.
+/// Seventy-one entry nodes that call one node with a back end and a narrow link.
 class fleet
 {
 public:
-	/// @param[in] _flowControl Whether the receiver says that it grants bodies and answers withdrawals.
-	/// @param[in] _targetMs Target latency of the routes; 0 for none, and then calls wait until their deadline.
+	/// @param[in] _flowControl Whether the receiver announces that it grants bodies and acknowledges calls.
+	/// @param[in] _targetMs Target latency of the routes; 0 for none, so that calls wait until their deadline.
 	explicit fleet(bool _flowControl, int _targetMs = 1000)
 		: m_process(m_queue, "fleet", {"zone", "region"}, {"10.0.0.1", 7000})
 		, m_link(m_queue)
@@ -138,7 +137,7 @@
 		options.dynamicEndpoint = true;
 		options.waitWithinTarget = true;
 		options.bodies.linkBytesPerSecond = kLinkBytesPerSecond;
-		options.defaultQueue = kNodes * kBodiesPerNode;  // calls whose bodies are on their way have their places there
+		options.defaultQueue = kNodes * kBodiesPerNode;  // calls whose bodies are in flight occupy places in it
 		m_endpoint = std::make_unique<EndpointCalls>(options, m_process, m_answers, *m_backEnd, nullptr);
 		m_endpoint->useIncarnation("receiver", 12);
 		for (int i = 0; i <= kNodes; ++i)
@@ -178,8 +177,8 @@
 		}
 	}
 
-	/// All nodes are told to stop at the start.
-	/// @param[in] _refusesWaiting Whether what waits is given up before the end.
+	/// Plays a planned stop of all nodes that begins at time 0.
+	/// @param[in] _refusesWaiting Whether waiting calls are refused before the nodes exit.
 	void stopAll(bool _refusesWaiting = true)
 	{
 		runUntil(kAcceptUntil);
@@ -218,7 +217,7 @@
 	std::vector<answer> answers;
 
 private:
-	/// What a node sends crosses the narrow link.
+	/// Network of an entry node; its frames cross the narrow link.
 	class receiver_network : public base::Network
 	{
 	public:
@@ -260,7 +259,7 @@
 		base::ConnectionId m_node;
 	};
 
-	/// What the receiver sends is small, and its own direction of the link is free.
+	/// Network of the receiver; its frames are small, and its sending direction of the link is idle.
 	class node_network : public base::Network
 	{
 	public:
@@ -381,12 +380,12 @@
 };
 
 constexpr size_t kUploads = static_cast<size_t>(kNodes) * kBodiesPerNode;
-/// What a small frame may wait in front of a link: two windows of bodies, and less than the rest of the way takes.
+/// Limit of a small frame's queueing delay: two windows of bodies, and less than the rest of its path takes.
 constexpr base::Duration kMaxBacklog = base::milliseconds(100);
 
 }  // namespace
 
-TEST_CASE("bodies of many nodes neither hold up what is small nor are in the way when a stop ends")
+TEST_CASE("bodies of many nodes neither delay small requests nor leave requests unanswered when a stop ends")
 {
 	fleet nodes(true);
 	nodes.uploadFromAll();
@@ -420,7 +419,7 @@
 	CHECK(kUploads + 1 > nodes.answers.size());
 }
 
-TEST_CASE("what still waits when a stop ends is answered as not run, and only what waits")
+TEST_CASE("calls that still wait when a stop ends are answered as not run, and no others")
 {
 	const bool refusesWaiting = GENERATE(true, false);
 	fleet nodes(true, 0);
