--- a/test/manual_time.h
+++ b/test/manual_time.h
@@ -1,4 +1,4 @@
-/// A clock that tests move by hand.
+/// A clock that tests advance explicitly.
 #pragma once
 
 #include "base/time.h"
--- a/test/memory_disk.h
+++ b/test/memory_disk.h
@@ -1,4 +1,4 @@
-/// A disk in memory for tests of storage: syncs when told to, can be cut and filled.
+/// An in-memory disk for tests of storage: syncs complete on request, files can be truncated and the capacity limited.
 #pragma once
 
 #include <map>
@@ -56,7 +56,7 @@
     pending.push_back(std::move(done));
   }
 
-  /// Ends all syncs that were asked for.
+  /// Completes all pending syncs.
   void finishSyncs() {
     while (!pending.empty()) {
       auto done = std::move(pending.front());
@@ -66,7 +66,7 @@
   }
 
   std::vector<storage::SyncCallback> pending;
-  std::vector<std::string> synced;  // in the order asked for
+  std::vector<std::string> synced;  // in the order of the requests
 };
 
 }  // namespace driftlug::test
--- a/test/random_rows.h
+++ b/test/random_rows.h
@@ -1,4 +1,4 @@
-/// Random changes of tables.
+/// Random changes of tables for tests.
 #pragma once
 
 #include <string>
@@ -9,7 +9,7 @@
 
 namespace driftlug::test {
 
-/// Draws changes of all kinds of rows, references to rows that are not there among them.
+/// Draws rows of all kinds and deletions, including references to missing rows.
 class RandomRowGenerator {
  public:
   explicit RandomRowGenerator(uint64_t seed) : random_(seed) {}
--- a/test/slow_fleet/core_machine.h
+++ b/test/slow_fleet/core_machine.h
@@ -18,19 +18,19 @@
 class core_machine
 {
 public:
-	/// @param[in] _seeds Hosts of the controllers that all know.
+	/// @param[in] _seeds Hosts of the controllers that all machines are configured with.
 	core_machine(simulation::EventQueue& _queue, simulation::SimulatedNetwork& _network, const std::string& _host,
 				 const std::string& _zone, std::vector<std::string> _seeds, double _share, uint64_t _seed);
 
 	void start(bool _founding);
 
-	/// A client of the operators' pages sends a request; `_respond` may never be called.
+	/// Sends a request to the operators' API; `_respond` may never be called.
 	void request(const transport::HttpRequest& _request, const platform::Respond& _respond);
 
-	/// Its process ends, the disk is kept.
+	/// Ends the process; the disk is kept.
 	void kill();
 
-	/// @returns Null until it has recovered.
+	/// @returns The controller; null until it has recovered.
 	controller::Controller* controller()
 	{
 		return m_ready ? m_controller.get() : nullptr;
@@ -46,7 +46,7 @@
 		return m_processor;
 	}
 
-	/// @returns Where the relay of a host listens.
+	/// @returns Address at which the relay of a host listens.
 	static base::Address relayAddress(const std::string& _host);
 
 private:
--- a/test/slow_fleet/growing_table_test.cc
+++ b/test/slow_fleet/growing_table_test.cc
@@ -9,8 +9,8 @@
 constexpr size_t kFirstRoutes = 1600;
 constexpr size_t kMoreRoutes = 1640;
 constexpr int kChanges = 4;
-constexpr base::Duration kMaxConvergenceTime = base::seconds(2);  // behind an acknowledgement, on all nodes
-constexpr base::Duration kRecoveryTime = base::seconds(15);       // behind the start of all processes
+constexpr base::Duration kMaxConvergenceTime = base::seconds(2);  // after the acknowledgement, on all nodes
+constexpr base::Duration kRecoveryTime = base::seconds(15);       // after the start of all processes
 constexpr base::Duration kElectionTimeout = base::milliseconds(400);
 constexpr base::Duration kBetweenChanges = base::seconds(5);
 
--- a/test/slow_fleet/slow_fleet.h
+++ b/test/slow_fleet/slow_fleet.h
@@ -1,4 +1,4 @@
-/// Core machines and nodes on the virtual clock whose work takes time, so that what grows with the table shows.
+/// Core machines and nodes on the virtual clock whose work takes time, to show costs that grow with the table.
 #ifndef DRIFTLUG_TEST_SLOW_FLEET_SLOW_FLEET_H_HEADER_GUARD
 #define DRIFTLUG_TEST_SLOW_FLEET_SLOW_FLEET_H_HEADER_GUARD
 
@@ -17,7 +17,7 @@
 {
 	size_t coreMachines = 11;
 	size_t nodes = 33;
-	double coreShare = 0.075;  //!< Of a processor.
+	double coreShare = 0.075;  //!< Share of a processor.
 	double nodeShare = 0.1;
 };
 
@@ -31,24 +31,24 @@
 	/// Ends all processes at once, and starts them again after a pause.
 	void killAll(base::Duration _pause);
 
-	/// An operator adds routes of three services to the configuration, and sends the whole of it.
+	/// Adds routes of three services to the configuration, and sends the complete configuration.
 	/// @returns Whether the change was accepted within 10 s.
 	bool addRoutes(size_t _count);
 
-	/// An operator reads the configuration.
-	/// @returns Whether it came whole within 10 s.
+	/// Reads the configuration.
+	/// @returns Whether the newest version was read within 10 s.
 	bool configReadable();
 
-	/// @returns How long behind the acknowledgement of the last change the last node ran it; 20 s for never.
+	/// @returns Time from the acknowledgement of the last change until the last node runs it; 20 s if one does not.
 	base::Duration waitForNodes();
 
-	/// @returns Null while nobody leads.
+	/// @returns The newest leader; null if there is none.
 	controller::Controller* leader();
 
-	/// @returns Of the newest leader; 0 while nobody leads.
+	/// @returns Term of the newest leader; 0 if there is none.
 	int64_t term();
 
-	/// @returns Nodes that run the newest revision.
+	/// @returns Number of nodes that run the newest revision.
 	size_t nodesUpToDate();
 
 	size_t nodes() const
@@ -56,15 +56,15 @@
 		return m_nodes.size();
 	}
 
-	/// @returns The longest that a core machine dealt with a single event.
+	/// @returns Longest time that a core machine took for a single event.
 	base::Duration longestCoreAction() const;
 
 private:
 	std::string nextConfig(size_t _count);
 	core_machine* leaderMachine();
 
-	/// Asks whoever leads, again after each refusal.
-	/// @returns The first good answer, if one comes in time.
+	/// Sends a request to the current leader, again after each refusal.
+	/// @returns The first successful answer, if one comes within 10 s.
 	std::optional<transport::HttpResponse> sendToLeader(const transport::HttpRequest& _request);
 
 	slow_fleet_options m_options;
@@ -73,9 +73,9 @@
 	std::vector<std::unique_ptr<core_machine>> m_core;
 	std::vector<std::unique_ptr<slow_node>> m_nodes;
 	base::RandomSource m_random;
-	std::vector<std::string> m_resources;  //!< Of the configuration.
+	std::vector<std::string> m_resources;  //!< Resources of the configuration.
 	int m_version = 0;
-	int64_t m_revision = 0;  //!< Of the last change.
+	int64_t m_revision = 0;  //!< Revision of the last change.
 	base::TimePoint m_acknowledgedAt{};
 };
 
--- a/test/slow_fleet/slow_node.h
+++ b/test/slow_fleet/slow_node.h
@@ -1,4 +1,4 @@
-/// The part of a node that follows the table, on a slow processor.
+/// The table client of a node, on a slow processor.
 #ifndef DRIFTLUG_TEST_SLOW_FLEET_SLOW_NODE_H_HEADER_GUARD
 #define DRIFTLUG_TEST_SLOW_FLEET_SLOW_NODE_H_HEADER_GUARD
 
@@ -15,7 +15,7 @@
 class slow_node
 {
 public:
-	/// @param[in] _relays Those that it asks first.
+	/// @param[in] _relays Relays that it connects to first.
 	slow_node(simulation::EventQueue& _queue, simulation::SimulatedNetwork& _network, const std::string& _host,
 			  const std::string& _zone, const std::string& _service, std::vector<base::Address> _relays, double _share,
 			  uint64_t _seed);
@@ -24,7 +24,7 @@
 
 	void kill();
 
-	/// @returns Of the version that it runs; 0 for none.
+	/// @returns Revision of the active version; 0 for none.
 	int64_t revision() const
 	{
 		return m_control ? m_control->slices().revision() : 0;
--- a/test/work/allocation_meter.h
+++ b/test/work/allocation_meter.h
@@ -1,4 +1,4 @@
-/// Work as the heap allocations that it makes: the same on any machine, at any load.
+/// Measures work by its heap allocations, which are the same on any machine and at any load.
 #ifndef DRIFTLUG_TEST_WORK_ALLOCATION_METER_H_HEADER_GUARD
 #define DRIFTLUG_TEST_WORK_ALLOCATION_METER_H_HEADER_GUARD
 
@@ -8,7 +8,7 @@
 
 namespace driftlug::test
 {
-/// Counts since the start of the process; a program that links this counts all its allocations.
+/// Counts since the start of the process; a program that links this file counts all its allocations.
 struct allocations
 {
 	uint64_t count = 0;
@@ -17,17 +17,17 @@
 
 allocations currentAllocations();
 
-/// Tells the processor time that work would take on a share of a processor.
+/// Computes from allocations the time that work takes on a share of a processor.
 class allocation_meter
 {
 public:
-	/// @param[in] _share Of a whole processor.
+	/// @param[in] _share Share of a whole processor.
 	explicit allocation_meter(double _share)
 		: m_share(_share)
 	{
 	}
 
-	/// @returns For the work done since it was last asked.
+	/// @returns Time for the work done since the previous call.
 	base::Duration operator()();
 
 private:
--- a/test/work/large_table.h
+++ b/test/work/large_table.h
@@ -10,11 +10,11 @@
 
 namespace driftlug::test
 {
-/// A table that can be changed as an edit changes it.
+/// A table that can be changed in the same way as by an edit.
 class large_table
 {
 public:
-	/// @param[in] _routes To two services, each of a host of its own.
+	/// @param[in] _routes Number of routes, each with its own host.
 	explicit large_table(size_t _routes)
 	{
 		put(serviceRow("archive", 1));
@@ -23,7 +23,7 @@
 		change = {};
 	}
 
-	/// Adds routes under the next revision; `change` tells of them.
+	/// Adds routes under the next revision and records them in `change`.
 	void addRoutes(size_t _count)
 	{
 		const int64_t revision = table.revision() + 1;
@@ -35,7 +35,7 @@
 		}
 	}
 
-	/// @returns The rows of a change, as messages carry them.
+	/// @returns Rows of the last change, as messages carry them.
 	std::vector<wire::Row> changedRows() const
 	{
 		std::vector<wire::Row> rows;
--- a/test/work/log_work_test.cc
+++ b/test/work/log_work_test.cc
@@ -20,7 +20,7 @@
 	}
 };
 
-/// Notes the turns of the loop in which entries were applied.
+/// Counts the rows that are applied in each iteration of the event loop.
 class turn_counter : public consensus::RaftListener
 {
 public:
@@ -57,7 +57,7 @@
 	simulation::EventQueue& m_queue;
 };
 
-/// A member that follows a leader.
+/// A Raft member that follows a leader.
 struct follower_fixture
 {
 	follower_fixture()
@@ -73,7 +73,7 @@
 		raft->start(*state);
 	}
 
-	/// @returns An append of some entries of many rows each.
+	/// @returns An AppendRequest with _entries entries of kRows rows each.
 	static wire::AppendRequest append(int64_t _entries, int64_t _commit)
 	{
 		large_table rows(1);
@@ -149,7 +149,7 @@
 	raft->onMessage("leader", append(kEntries, kEntries));
 	settle();
 	REQUIRE(raft->appliedIndex() == kEntries);
-	settle();  // The snapshot is synced.
+	settle();  // Syncs the snapshot.
 	CHECK(raft->firstIndex() > kEntries / 2);
 }
 
--- a/test/work/node_work_test.cc
+++ b/test/work/node_work_test.cc
@@ -33,7 +33,7 @@
 	return update;
 }
 
-/// @returns Allocations with which a node switches to a version that differs in some routes.
+/// @returns Number of allocations when a node switches to a version that differs in some routes.
 uint64_t allocationsPerChange(size_t _routes)
 {
 	large_table rows(_routes);
--- a/test/work/relay_work_test.cc
+++ b/test/work/relay_work_test.cc
@@ -12,7 +12,7 @@
 constexpr size_t kLargeTableRoutes = 16'000;
 constexpr size_t kChangedRoutes = 50;
 
-/// @returns Allocations with which a relay takes a change in and makes the frame for its nodes.
+/// @returns Number of allocations when a relay applies a change and encodes the frame for its nodes.
 uint64_t allocationsPerChange(size_t _routes)
 {
 	large_table rows(_routes);
@@ -34,7 +34,7 @@
 	CHECK(allocationsPerChange(kLargeTableRoutes) <= small + small / 10);
 }
 
-TEST_CASE("nodes of every host share a slice, whatever service they run beside")
+TEST_CASE("nodes that are interested in every host share a slice, whatever their local service is")
 {
 	large_table rows(kSmallTableRoutes);
 	relay::SliceCache slices;
