--- a/src/simulation/cluster.cc
+++ b/src/simulation/cluster.cc
@@ -3,9 +3,10 @@
 namespace driftlug::simulation {
 namespace {
 
-/// Longest time behind the name of a snapshot in which the steps of a rotation fall: some syncs of a simulated disk.
-constexpr base::Duration kRotationSteps = base::milliseconds(2);
-constexpr base::Duration kDownInRotation = base::seconds(1);  // of a machine that lost power in one
+/// Window after the rename of a snapshot file in which the log is rotated; it spans several syncs of the simulated
+/// disk.
+constexpr base::Duration kRotationWindow = base::milliseconds(2);
+constexpr base::Duration kRotationDowntime = base::seconds(1);  // of a machine that lost power in a rotation
 
 }  // namespace
 
@@ -21,14 +22,14 @@
   if (process_.alive()) return;
   process_.start();
   sockets_ = std::make_unique<ProcessNetwork>(network_, process_);
-  begin();
+  onStart();
 }
 
 void Machine::crash(bool powerLoss) {
   if (!process_.alive()) return;
-  network_.onDeath(sockets_.get(), powerLoss);
+  network_.onProcessExit(sockets_.get(), powerLoss);
   process_.kill();
-  end();
+  onStop();
   sockets_.reset();
   if (powerLoss) disk_.crash();
 }
@@ -38,7 +39,7 @@
               cluster.controllerAddress(position), cluster.newRandom(), cluster.plan().disk),
       cluster_(cluster) {}
 
-void ControllerMachine::begin() {
+void ControllerMachine::onStart() {
   const auto& plan = cluster_.plan();
   controller::ControllerOptions options;
   options.name = name();
@@ -59,7 +60,7 @@
     cluster_.checker().onApplied(name(), entry, controller_->state().table());
   });
   sockets_->setHandler(controller_.get());
-  if (plan.rotationPowerLoss > 0) losePowerInRotations(plan.rotationPowerLoss);
+  if (plan.rotationPowerLoss > 0) scheduleRotationPowerLoss(plan.rotationPowerLoss);
   controller_->start([this](const absl::Status& status) {
     if (!status.ok()) return onStartFailed(status);
     ready_ = true;
@@ -67,22 +68,23 @@
   });
 }
 
-/// A snapshot has its name: the log is replaced from here on, in steps of a sync each.
-void ControllerMachine::losePowerInRotations(double share) {
+/// The rename gives a snapshot its final name; the log is then replaced in several steps with a sync each.
+void ControllerMachine::scheduleRotationPowerLoss(double share) {
   disk_.onRename([this, share] {
     if (!random_.chance(share)) return;
-    queue_.after(random_.duration(kRotationSteps), [this, incarnation = process_.incarnation()] {
+    queue_.after(random_.duration(kRotationWindow), [this, incarnation = process_.incarnation()] {
       if (process_.incarnation() == incarnation) crash(true);
     });
-    queue_.after(kDownInRotation, [this] { start(); });
+    queue_.after(kRotationDowntime, [this] { start(); });
   });
 }
 
 void ControllerMachine::onStartFailed(const absl::Status& status) {
   if (base::errorCodeOf(status) == base::ErrorCode::kStorageCorrupt) {
-    cluster_.checker().violate(Guarantee::kAcceptedStays, name() + " can't recover: " + base::errorText(status));
+    cluster_.checker().reportViolation(Guarantee::kAcceptedIsDurable,
+                                       name() + " can't recover: " + base::errorText(status));
   }
-  // The process exits; whatever watches over it starts it again.
+  // The process exits and its supervisor restarts it.
   constexpr base::Duration kRestartDelay = base::seconds(1);
   queue_.after(base::Duration(0), [this, incarnation = process_.incarnation()] {
     if (process_.incarnation() == incarnation) crash(false);
@@ -90,7 +92,7 @@
   queue_.after(kRestartDelay, [this] { start(); });
 }
 
-void ControllerMachine::end() {
+void ControllerMachine::onStop() {
   ready_ = false;
   controller_.reset();
 }
@@ -100,7 +102,7 @@
               cluster.newRandom(), cluster.plan().disk),
       cluster_(cluster) {}
 
-void RelayMachine::begin() {
+void RelayMachine::onStart() {
   const auto& plan = cluster_.plan();
   relay::RelayOptions options;
   options.id = name();
@@ -126,7 +128,7 @@
   process_.onAway([this] { relay_->onAway(); });
 }
 
-void RelayMachine::end() { relay_.reset(); }
+void RelayMachine::onStop() { relay_.reset(); }
 
 NodeMachine::NodeMachine(Cluster& cluster, size_t position)
     : Machine(cluster.queue(), cluster.network(),
@@ -136,7 +138,7 @@
       plan_(cluster.plan().nodes[position]),
       interest_{plan_.hosts, plan_.services} {}
 
-void NodeMachine::begin() {
+void NodeMachine::onStart() {
   node::ControlOptions options;
   options.nodeId = name();
   options.zone = process_.placement().zone;
@@ -151,7 +153,7 @@
       options.relays.push_back(cluster_.relayAddress(cluster_.relayPosition(member)));
     }
   }
-  // Half of a zone's nodes prefer its second relay.
+  // About half of the nodes of a zone prefer its second relay.
   if (options.relays.size() > 1 && random_.chance(0.5)) std::swap(options.relays[0], options.relays[1]);
   control_ = std::make_unique<node::ControlClient>(
       options, process_, base::RandomSource(random_.bits()), *sockets_,
@@ -164,7 +166,7 @@
   process_.onAway([this] { control_->onAway(); });
 }
 
-void NodeMachine::end() {
+void NodeMachine::onStop() {
   control_.reset();
   cluster_.checker().onNodeDown(name());
 }
--- a/test/node/control_client_suspended_test.cc
+++ b/test/node/control_client_suspended_test.cc
@@ -53,7 +53,7 @@
 
 TEST_CASE_METHOD(SuspendedFixture,
                  "with a clock that stops during a suspension, a node considers an old heartbeat as fresh") {
-  process.letClockStand(true);
+  process.setClockStopsWhileFrozen(true);
   suspendFor(base::seconds(10));
   CHECK(client->fresh());
 }
--- a/test/row_draw.h
+++ b/test/random_rows.h
@@ -1,4 +1,4 @@
-/// Random changes of tables.
+/// Random changes of tables for tests.
 #pragma once
 
 #include <string>
@@ -9,10 +9,10 @@
 
 namespace driftlug::test {
 
-/// Draws changes of all kinds of rows, references to rows that are not there among them.
-class RowDraw {
+/// Draws rows of all kinds and deletions, including references to missing rows.
+class RandomRowGenerator {
  public:
-  explicit RowDraw(uint64_t seed) : random_(seed) {}
+  explicit RandomRowGenerator(uint64_t seed) : random_(seed) {}
 
   table::RowPtr next(int64_t revision) {
     switch (random_.below(10)) {
--- a/test/relay/controller_links_test.cc
+++ b/test/relay/controller_links_test.cc
@@ -64,7 +64,7 @@
 }
 
 TEST_CASE_METHOD(Fixture, "a relay whose clock stops while the machine is suspended treats stale messages as fresh") {
-  process.letClockStand(true);
+  process.setClockStopsWhileFrozen(true);
   process.setFrozen(true);
   runFor(base::seconds(10));
   process.setFrozen(false);
--- a/test/simulation/simulation_test.cc
+++ b/test/simulation/simulation_test.cc
@@ -37,8 +37,8 @@
   requireNoViolations(optionsFor(deployment), first, last);
 }
 
-/// @return whether some seed fails without the mechanism.
-bool trips(Mechanism mechanism, const std::string& deployment) {
+/// @return whether some seed fails if the mechanism is disabled.
+bool failsWithout(Mechanism mechanism, const std::string& deployment) {
   auto options = optionsFor(deployment);
   options.plan.disabled = {mechanism};
   for (options.seed = 1; options.seed <= kMechanismSeeds; ++options.seed) {
@@ -92,7 +92,7 @@
   requireNoViolations("glenmorven", 1, 60);
 }
 
-TEST_CASE("disks of nodes that fill up or fail take no node back") {
+TEST_CASE("full or failing disks of nodes never return a node to an older version") {
   for (const auto* deployment : {"crash-report", "glenmorven"}) {
     auto options = optionsFor(deployment);
     options.plan.nodeDiskFaults = true;
@@ -103,9 +103,9 @@
 }
 
 TEST_CASE("seeds that failed once stay mended") {
-  // Wiped controllers added under their old identity; reports lost between leaders; refused pre-votes that raised
-  // terms; nodes taken for gone while another relay held them; votes given on a full disk (30441); a version served
-  // from a disk that could still lose it (42862).
+  // Faults that these seeds found: wiped controllers were added under their old identity; convergence reports were lost
+  // between leaders; refused pre-votes raised terms; nodes counted as disconnected while another relay served them;
+  // votes were granted on a full disk (30441); a version was served from a disk that could still lose it (42862).
   requireNoViolations("crash-report", 86, 86);
   requireNoViolations("crash-report", 90, 90);
   requireNoViolations("crash-report", 413, 413);
@@ -133,7 +133,7 @@
 TEST_CASE("each safety mechanism is noticed when it is missing") {
   for (const auto& info : allMechanisms()) {
     INFO(info.name);
-    CHECK((trips(info.mechanism, "crash-report") || trips(info.mechanism, "glenmorven")));
+    CHECK((failsWithout(info.mechanism, "crash-report") || failsWithout(info.mechanism, "glenmorven")));
   }
 }
 
--- a/test/work/log_work_test.cc
+++ b/test/work/log_work_test.cc
@@ -20,7 +20,7 @@
 	}
 };
 
-/// Notes the turns of the loop in which entries were applied.
+/// Counts the rows that are applied in each iteration of the event loop.
 class turn_counter : public consensus::RaftListener
 {
 public:
@@ -31,7 +31,7 @@
 
 	void apply(const wire::LogEntry& _entry) override
 	{
-		rowsInTurn[m_queue.executed()] += _entry.edit.mutations.size();
+		maxRowsPerApplyTurn[m_queue.executed()] += _entry.edit.mutations.size();
 	}
 
 	std::string takeSnapshot() override
@@ -51,13 +51,13 @@
 	{
 	}
 
-	std::map<uint64_t, size_t> rowsInTurn;  //!< By the number of the event.
+	std::map<uint64_t, size_t> maxRowsPerApplyTurn;  //!< By the number of the event.
 
 private:
 	simulation::EventQueue& m_queue;
 };
 
-/// A member that follows a leader.
+/// A Raft member that follows a leader.
 struct follower_fixture
 {
 	follower_fixture()
@@ -73,7 +73,7 @@
 		raft->start(*state);
 	}
 
-	/// @returns An append of some entries of many rows each.
+	/// @returns An AppendRequest with _entries entries of kRows rows each.
 	static wire::AppendRequest append(int64_t _entries, int64_t _commit)
 	{
 		large_table rows(1);
@@ -124,9 +124,9 @@
 {
 	auto request = append(1, 0);
 	wire::Message message = std::move(request);
-	const auto start = allocationsSoFar().count;
+	const auto start = currentAllocations().count;
 	raft->onMessage("leader", std::move(message));
-	CHECK(allocationsSoFar().count - start < kRows / 10);
+	CHECK(currentAllocations().count - start < kRows / 10);
 	CHECK(raft->lastIndex() == 1);
 }
 
@@ -136,8 +136,8 @@
 	raft->onMessage("leader", append(kEntries, kEntries));
 	settle();
 	CHECK(raft->appliedIndex() == kEntries);
-	CHECK(listener.rowsInTurn.size() >= 2);
-	for (const auto& [turn, rows] : listener.rowsInTurn)
+	CHECK(listener.maxRowsPerApplyTurn.size() >= 2);
+	for (const auto& [turn, rows] : listener.maxRowsPerApplyTurn)
 	{
 		CHECK(rows <= 2 * kRows);
 	}
@@ -149,7 +149,7 @@
 	raft->onMessage("leader", append(kEntries, kEntries));
 	settle();
 	REQUIRE(raft->appliedIndex() == kEntries);
-	settle();  // The snapshot is synced.
+	settle();  // Syncs the snapshot.
 	CHECK(raft->firstIndex() > kEntries / 2);
 }
 
