--- a/test/fleet/table_source.cc
+++ b/test/fleet/controller_stub.cc
@@ -2,8 +2,8 @@
 
 namespace driftlug::test
 {
-table_source::table_source(simulation::EventQueue& _queue, simulation::SimulatedNetwork& _network,
-						   std::vector<wire::Row> _rows)
+controller_stub::controller_stub(simulation::EventQueue& _queue, simulation::SimulatedNetwork& _network,
+								 std::vector<wire::Row> _rows)
 	: m_process(_queue, "controller", {"a", "region"}, {"controller", 1})
 	, m_network(_network, m_process)
 {
@@ -15,16 +15,16 @@
 	m_network.setHello(hello);
 	_network.listen(&m_network);
 	fillTable(std::move(_rows));
-	beat();
+	sendHeartbeats();
 }
 
-void table_source::onOpen(base::ConnectionId _connection, const wire::Hello&)
+void controller_stub::onOpen(base::ConnectionId _connection, const wire::Hello&)
 {
 	m_relays.push_back(_connection);
-	tell(_connection);
+	sendHeartbeat(_connection);
 }
 
-void table_source::onMessage(base::ConnectionId _connection, wire::Message _message)
+void controller_stub::onMessage(base::ConnectionId _connection, wire::Message _message)
 {
 	if (const auto* subscribe = std::get_if<wire::RelaySubscribe>(&_message))
 	{
@@ -42,7 +42,7 @@
 	}
 }
 
-void table_source::fillTable(std::vector<wire::Row> _rows)
+void controller_stub::fillTable(std::vector<wire::Row> _rows)
 {
 	table::Table rows;
 	for (auto& row : _rows)
@@ -56,21 +56,21 @@
 	m_update.digest = rows.digest();
 }
 
-void table_source::beat()
+void controller_stub::sendHeartbeats()
 {
 	++m_round;
 	for (const auto relay : m_relays)
 	{
-		tell(relay);
+		sendHeartbeat(relay);
 	}
 	m_process.schedule(base::milliseconds(200),
 					   [this]
 					   {
-						   beat();
+						   sendHeartbeats();
 					   });
 }
 
-void table_source::tell(base::ConnectionId _relay)
+void controller_stub::sendHeartbeat(base::ConnectionId _relay)
 {
 	wire::ControllerHeartbeat heartbeat;
 	heartbeat.revision = m_update.toRevision;
--- a/test/fleet/table_source.h
+++ b/test/fleet/controller_stub.h
@@ -10,11 +10,12 @@
 namespace driftlug::test
 {
 /// Plays the leading controller for relays: one table, always fresh.
-class table_source : public base::ConnectionHandler
+class controller_stub : public base::ConnectionHandler
 {
 public:
 	/// @param[in] _rows Of the table; their revisions are set.
-	table_source(simulation::EventQueue& _queue, simulation::SimulatedNetwork& _network, std::vector<wire::Row> _rows);
+	controller_stub(simulation::EventQueue& _queue, simulation::SimulatedNetwork& _network,
+					std::vector<wire::Row> _rows);
 
 	const base::Address& address() const
 	{
@@ -33,9 +34,9 @@
 private:
 	void fillTable(std::vector<wire::Row> _rows);
 
-	void beat();
+	void sendHeartbeats();
 
-	void tell(base::ConnectionId _relay);
+	void sendHeartbeat(base::ConnectionId _relay);
 
 	simulation::Process m_process;
 	simulation::ProcessNetwork m_network;
--- a/test/fleet/fleet_back_end.h
+++ b/test/fleet/fleet_back_end.h
@@ -20,7 +20,7 @@
 	virtual bool up() const = 0;
 
 	/// All connections are lost; it works on nothing more.
-	virtual void dropAll() = 0;
+	virtual void dropConnections() = 0;
 
 	std::function<void(const node::BackendReport&)> onReport;
 };
--- a/test/fleet/fleet_node.cc
+++ b/test/fleet/fleet_node.cc
@@ -5,10 +5,10 @@
 namespace driftlug::test
 {
 /// Asks the back end beside the node.
-class fleet_node::asked_presence : public quarantine::back_end_presence
+class fleet_node::back_end_probe : public quarantine::back_end_presence
 {
 public:
-	explicit asked_presence(fleet_node& _node)
+	explicit back_end_probe(fleet_node& _node)
 		: m_node(_node)
 	{
 	}
@@ -51,7 +51,7 @@
 	, m_relays(std::move(_relays))
 	, m_position(_position)
 	, m_noBackEnd(std::make_unique<no_back_end>())
-	, m_presence(std::make_unique<asked_presence>(*this))
+	, m_presence(std::make_unique<back_end_probe>(*this))
 {
 	// A node prefers one relay, half of them the second.
 	std::rotate(m_relays.begin(), m_relays.begin() + static_cast<int>(_position % m_relays.size()), m_relays.end());
@@ -78,10 +78,10 @@
 void fleet_node::start()
 {
 	m_process.start();
-	++m_lives;
+	++m_startCount;
 	m_control = std::make_unique<simulation::ProcessNetwork>(m_simulated, m_process);
 	m_calls = std::make_unique<simulation::ProcessNetwork>(m_simulated, m_process);
-	base::RandomSource random(m_position * 1000 + m_lives);
+	base::RandomSource random(m_position * 1000 + m_startCount);
 	m_quarantine = std::make_unique<quarantine::request_quarantine>(m_process);
 	m_quarantine->onChange(
 		[this]
@@ -95,7 +95,7 @@
 	{
 		startLocal(random);
 	}
-	if (m_backEnd && 1 == m_lives)
+	if (m_backEnd && 1 == m_startCount)
 	{
 		m_process.schedule(base::milliseconds(1),
 						   [this]
@@ -112,7 +112,7 @@
 	m_process.kill();
 	if (m_backEnd)
 	{
-		m_backEnd->dropAll();
+		m_backEnd->dropConnections();
 	}
 	m_reporter.reset();
 	m_client.reset();
@@ -190,7 +190,7 @@
 	if (m_backEnd)
 	{
 		m_watch = std::make_unique<quarantine::crash_watch>(
-			m_process, base::RandomSource(m_position * 1000 + m_lives + 500), *m_presence,
+			m_process, base::RandomSource(m_position * 1000 + m_startCount + 500), *m_presence,
 			[this](uint64_t _crash, const std::vector<quarantine::crashed_run>& _runs)
 			{
 				m_quarantine->onCrash(_crash, m_options.service, m_local->incarnation(), _runs);
--- a/test/fleet/fleet_node.h
+++ b/test/fleet/fleet_node.h
@@ -82,7 +82,7 @@
 	void onClose(base::ConnectionId _connection) override;
 
 private:
-	class asked_presence;
+	class back_end_probe;
 	class no_back_end;
 
 	void startEntry(base::RandomSource _random);
@@ -96,12 +96,12 @@
 	simulation::Process m_backEndProcess;  //!< Of the back end, which lives longer than the node.
 	std::vector<base::Address> m_relays;
 	size_t m_position;
-	uint64_t m_lives = 0;
+	uint64_t m_startCount = 0;
 	std::unique_ptr<no_back_end> m_noBackEnd;
 	std::unique_ptr<fleet_back_end> m_backEnd;
 	std::unique_ptr<simulation::ProcessNetwork> m_control;
 	std::unique_ptr<simulation::ProcessNetwork> m_calls;
-	std::unique_ptr<asked_presence> m_presence;
+	std::unique_ptr<back_end_probe> m_presence;
 	std::unique_ptr<quarantine::request_quarantine> m_quarantine;
 	std::unique_ptr<quarantine::crash_watch> m_watch;
 	std::unique_ptr<node::EntryCalls> m_entry;
--- a/test/fuzz/binary_decoders_test.cc
+++ b/test/fuzz/binary_decoders_test.cc
@@ -203,10 +203,10 @@
 }
 
 /// Every part of a node and a relay, with all that they would need to act on a message.
-class processes
+class message_receivers
 {
 public:
-	processes()
+	message_receivers()
 		: m_process(m_queue, "node", {"zone", "region"}, {"10.0.0.1", 7000})
 	{
 		m_process.start();
@@ -373,14 +373,14 @@
 	mutator inputs(fuzzSeed());
 	const auto samples = frames();
 	constexpr int kMessagesOfEach = 500;
-	std::unique_ptr<processes> receivers;
+	std::unique_ptr<message_receivers> receivers;
 	int decoded = 0;
 	const int rounds = fuzzRounds(100'000);
 	for (int i = 0; i < rounds; ++i)
 	{
 		if (0 == i % kMessagesOfEach)
 		{
-			receivers = std::make_unique<processes>();
+			receivers = std::make_unique<message_receivers>();
 		}
 		const auto message = wire::decodeFrame(inputs.next(samples));
 		if (!message.ok())
--- a/test/fuzz/mutator.h
+++ b/test/fuzz/mutator.h
@@ -93,22 +93,22 @@
 	/// Puts something odd in the place of a number or a word.
 	void replaceWord(std::string* _bytes, size_t _at)
 	{
-		static constexpr std::array<std::string_view, 16> kOdd = {"-1",
-																  "0",
-																  "18446744073709551616",
-																  "9223372036854775807",
-																  "-9223372036854775808",
-																  "1e400",
-																  "1.5",
-																  "null",
-																  "[]",
-																  "true",
-																  "{}",
-																  "\"\"",
-																  "\"\xff\"",
-																  "[[[[[",
-																  "NaN",
-																  "4294967296"};
+		static constexpr std::array<std::string_view, 16> kUnusualValues = {"-1",
+																			"0",
+																			"18446744073709551616",
+																			"9223372036854775807",
+																			"-9223372036854775808",
+																			"1e400",
+																			"1.5",
+																			"null",
+																			"[]",
+																			"true",
+																			"{}",
+																			"\"\"",
+																			"\"\xff\"",
+																			"[[[[[",
+																			"NaN",
+																			"4294967296"};
 		const auto isWord = [](char _character)
 		{
 			return std::isalnum(static_cast<unsigned char>(_character)) || '"' == _character || '-' == _character;
@@ -118,7 +118,7 @@
 		{
 			++end;
 		}
-		_bytes->replace(_at, end - _at, kOdd[m_random.below(kOdd.size())]);
+		_bytes->replace(_at, end - _at, kUnusualValues[m_random.below(kUnusualValues.size())]);
 	}
 
 	base::RandomSource m_random;
--- a/test/incidents/crash_fleet.h
+++ b/test/incidents/crash_fleet.h
@@ -8,9 +8,9 @@
 
 #include "base/log.h"
 #include "crashing_back_end.h"
+#include "fleet/controller_stub.h"
 #include "fleet/fleet_node.h"
 #include "fleet/fleet_relay.h"
-#include "fleet/table_source.h"
 
 namespace driftlug::test
 {
@@ -103,7 +103,7 @@
 	simulation::EventQueue m_queue;
 	base::RandomSource m_random;
 	simulation::SimulatedNetwork m_network;
-	table_source m_source;
+	controller_stub m_source;
 	std::vector<std::unique_ptr<fleet_relay>> m_relays;
 	std::vector<std::unique_ptr<fleet_node>> m_nodes;
 	std::vector<crashing_back_end*> m_backEnds;  //!< Of the first nodes.
--- a/test/incidents/crashing_back_end.h
+++ b/test/incidents/crashing_back_end.h
@@ -77,7 +77,7 @@
 	}
 
 	/// All connections are lost; it works on nothing more.
-	void dropAll() override
+	void dropConnections() override
 	{
 		m_running.clear();
 	}
--- a/test/load_model/load_model_test.cc
+++ b/test/load_model/load_model_test.cc
@@ -13,7 +13,7 @@
 constexpr char kRing[] = DRIFTLUG_SOURCE_DIR "/examples/load/crash-reports-ring.toml";
 
 /// A pattern of one service that one kind asks, some times a second.
-load_pattern oneService(double _perSecond)
+load_pattern singleServicePattern(double _perSecond)
 {
 	load_pattern pattern;
 	pattern.name = "one";
@@ -30,7 +30,7 @@
 	kind.perSecond = _perSecond;
 	kind.workMs = 50;
 	kind.spread = 0.3;
-	kind.mostWorkMs = 500;
+	kind.maxWorkMs = 500;
 	kind.targetMs = 300;
 	kind.deadlineMs = 1000;
 	kind.timeoutMs = 1000;
@@ -41,26 +41,26 @@
 
 load_result play(const load_pattern& _pattern, double _offered = 1, uint64_t _seed = 1)
 {
-	return load_model(_pattern, usualPolicy(_pattern.linkMbps), _seed, _offered).run();
+	return load_model(_pattern, defaultPolicy(_pattern.linkMbps), _seed, _offered).run();
 }
 
 }  // namespace
 
 TEST_CASE("a fleet with slots to spare serves what it is asked, in time")
 {
-	const auto result = play(oneService(100));
-	CHECK(result.kinds.at("view").asked > 400);
+	const auto result = play(singleServicePattern(100));
+	CHECK(result.kinds.at("view").requests > 400);
 	CHECK(result.inTimeShare() > 0.98);
 	CHECK(result.kinds.at("view").failed == 0);
-	CHECK(result.work.vainMs == 0);
+	CHECK(result.work.wastedMs == 0);
 }
 
 TEST_CASE("each request has one end, and equal seeds have equal ends")
 {
-	const auto pattern = oneService(500);
+	const auto pattern = singleServicePattern(500);
 	const auto result = play(pattern);
 	const auto& kind = result.kinds.at("view");
-	CHECK(kind.asked == kind.inTime + kind.late + kind.refused + kind.failed);
+	CHECK(kind.requests == kind.inTime + kind.late + kind.refused + kind.failed);
 	CHECK(kind.refused > 0);
 	CHECK(play(pattern).kinds.at("view").inTime == kind.inTime);
 	CHECK(play(pattern, 1, 2).kinds.at("view").inTime != kind.inTime);
@@ -68,7 +68,7 @@
 
 TEST_CASE("back ends that are away take nothing, and their load goes to the others")
 {
-	auto pattern = oneService(150);
+	auto pattern = singleServicePattern(150);
 	pattern.outages = {{"tiles", 2, 1, 3}};
 	CHECK(play(pattern).inTimeShare() > 0.9);
 	pattern.outages = {{"tiles", 4, 1, 3}};
@@ -77,9 +77,9 @@
 
 TEST_CASE("a burst is asked for")
 {
-	auto pattern = oneService(100);
+	auto pattern = singleServicePattern(100);
 	pattern.bursts = {{1, 3, 3}};
-	CHECK(play(pattern).kinds.at("view").asked > 700);
+	CHECK(play(pattern).kinds.at("view").requests > 700);
 }
 
 TEST_CASE("patterns of files are read, and what is wrong with them is told")
--- a/test/rollout/versioned_back_end.h
+++ b/test/rollout/versioned_back_end.h
@@ -49,7 +49,7 @@
 		m_running.erase(_id);
 	}
 
-	void dropAll() override
+	void dropConnections() override
 	{
 		m_running.clear();
 	}
--- a/test/soak/close_propagation_test.cc
+++ b/test/soak/close_propagation_test.cc
@@ -19,12 +19,12 @@
 namespace
 {
 constexpr int kClosesAtOnce = 20;
-constexpr base::Duration kRunsFor = base::milliseconds(400);
-constexpr base::Duration kCloseAfter = base::milliseconds(100);
-constexpr char kNoted[] = "close-";
+constexpr base::Duration kServiceTime = base::milliseconds(400);
+constexpr base::Duration kCloseDelay = base::milliseconds(100);
+constexpr char kTracedIdPrefix[] = "close-";
 
 /// Bound of the promise: a back end that works for a caller who has gone is told within this time.
-constexpr base::Duration kTold = base::milliseconds(500);
+constexpr base::Duration kAbortLimit = base::milliseconds(500);
 
 int connectTo(int _port)
 {
@@ -38,7 +38,7 @@
 }
 
 /// What back ends saw of the noted requests.
-struct notes
+struct request_events
 {
 	std::map<std::string, int64_t> began;    //!< In microseconds of the boot clock.
 	std::map<std::string, int64_t> aborted;  //!< The same, as all of these.
@@ -46,10 +46,10 @@
 };
 
 /// A small fleet under load, and callers that close their connections while a back end works for them.
-class closing_callers
+class disconnecting_callers
 {
 public:
-	closing_callers()
+	disconnecting_callers()
 		: m_fleet(options())
 	{
 	}
@@ -73,19 +73,19 @@
 				REQUIRE(static_cast<ssize_t>(request.size())
 						== ::send(sockets.back(), request.data(), request.size(), 0));
 			}
-			::usleep(static_cast<useconds_t>(kCloseAfter.count()));
+			::usleep(static_cast<useconds_t>(kCloseDelay.count()));
 			for (int ii = 0; ii < kClosesAtOnce; ++ii)
 			{
 				close(sockets[static_cast<size_t>(ii)], 0 != ii % 2);
 				m_closed[idOf(begun + ii)] = base::BootClock::now().time_since_epoch().count();
 			}
 		}
-		::usleep(static_cast<useconds_t>((kTold + kRunsFor).count()));
+		::usleep(static_cast<useconds_t>((kAbortLimit + kServiceTime).count()));
 	}
 
-	notes read() const
+	request_events read() const
 	{
-		notes all;
+		request_events all;
 		for (const auto& endpoint : m_fleet->endpoints())
 		{
 			std::istringstream stream(m_fleet->processes().output(endpoint.backendName));
@@ -108,14 +108,14 @@
 	static FleetOptions options()
 	{
 		FleetOptions options;
-		options.backendFlags = {"--service-time-us=" + std::to_string(kRunsFor.count()), "--distribution=fixed",
-								std::string("--note-ids=") + kNoted};
+		options.backendFlags = {"--service-time-us=" + std::to_string(kServiceTime.count()), "--distribution=fixed",
+								std::string("--note-ids=") + kTracedIdPrefix};
 		return options;
 	}
 
 	static std::string idOf(int _call)
 	{
-		return kNoted + std::to_string(_call);
+		return kTracedIdPrefix + std::to_string(_call);
 	}
 
 	/// @param[in] _reset Whether the other side gets a reset in place of an end of data.
@@ -134,7 +134,7 @@
 };
 
 /// @returns how long each back end that was at work took to hear of its caller's end.
-ExactHistogram delaysOf(const closing_callers& _callers, const notes& _notes)
+ExactHistogram abortDelays(const disconnecting_callers& _callers, const request_events& _notes)
 {
 	ExactHistogram delays;
 	for (const auto& [id, at] : _notes.aborted)
@@ -146,23 +146,23 @@
 
 void check(int _closes, double _rate)
 {
-	closing_callers callers;
+	disconnecting_callers callers;
 	callers.startLoad(_rate, _closes * 10 + 3000);
 	::usleep(500'000);
 	callers.closeMany(_closes);
 	const auto noted = callers.read();
-	auto delays = delaysOf(callers, noted);
+	auto delays = abortDelays(callers, noted);
 	// The others had ended by then, or were refused.
 	REQUIRE(static_cast<size_t>(_closes) / 2 <= delays.count());
 	const auto isLate = [&](const auto& _noted)
 	{
-		return _noted.second > callers.closed().at(_noted.first) + kTold.count();
+		return _noted.second > callers.closed().at(_noted.first) + kAbortLimit.count();
 	};
 	const auto figures =
 		fmt::format("{} of {} closes reached a back end at work, p50 {} us, p99 {} us, longest {} us", delays.count(),
 					_closes, delays.percentile(0.5), delays.percentile(0.99), delays.percentile(1));
 	INFO(figures);
-	CHECK(delays.percentile(1) < kTold.count());
+	CHECK(delays.percentile(1) < kAbortLimit.count());
 	CHECK(noted.aborted.size() + noted.ended.size() == noted.began.size());
 	CHECK(0 == std::count_if(noted.began.begin(), noted.began.end(), isLate));
 	CHECK(0 == std::count_if(noted.ended.begin(), noted.ended.end(), isLate));
--- a/test/soak/silence_detection_test.cc
+++ b/test/soak/silence_detection_test.cc
@@ -15,8 +15,8 @@
 namespace
 {
 constexpr base::Duration kPoll = base::milliseconds(5);
-constexpr base::Duration kSettles = base::seconds(6);  //!< Until everyone is connected anew.
-constexpr base::Duration kGivenUp = base::seconds(20);
+constexpr base::Duration kReconnectTime = base::seconds(6);  //!< Until everyone is connected anew.
+constexpr base::Duration kDetectionLimit = base::seconds(20);
 constexpr double kCallsPerSecond = 200;
 
 /// One kind of connection, and the line by which an observer says that it has given one up.
@@ -30,10 +30,10 @@
 };
 
 /// A small fleet under load, behind a fault proxy.
-class muted_fleet
+class silenced_fleet
 {
 public:
-	explicit muted_fleet(int _durationMs)
+	explicit silenced_fleet(int _durationMs)
 		: m_fleet(behindProxy())
 	{
 		m_fleet.startLoad(kCallsPerSecond, _durationMs);
@@ -56,7 +56,7 @@
 		const auto begun = base::BootClock::now();
 		REQUIRE(m_fleet->setLinkFault(_kind.muted, soak::nameOf(soak::link_fault::mute), 0, 0));
 		std::vector<base::Duration> delays;
-		while (!seen.empty() && base::BootClock::now() - begun < kGivenUp)
+		while (!seen.empty() && base::BootClock::now() - begun < kDetectionLimit)
 		{
 			::usleep(static_cast<useconds_t>(kPoll.count()));
 			std::erase_if(
@@ -76,7 +76,7 @@
 			FAIL_CHECK(_kind.name << ": " << observer << " has not noticed");
 		}
 		REQUIRE(m_fleet->setLinkFault(_kind.muted, soak::nameOf(soak::link_fault::none), 0, 0));
-		::usleep(static_cast<useconds_t>(kSettles.count()));
+		::usleep(static_cast<useconds_t>(kReconnectTime.count()));
 		return delays;
 	}
 
@@ -140,7 +140,7 @@
 
 void check(int _rounds, int _durationMs)
 {
-	muted_fleet muted(_durationMs);
+	silenced_fleet muted(_durationMs);
 	std::map<std::string, ExactHistogram> delays;
 	for (int round = 0; round < _rounds; ++round)
 	{
--- a/test/soak/soak_plan_test.cc
+++ b/test/soak/soak_plan_test.cc
@@ -19,26 +19,26 @@
 			{"n-2", soak_role::node},       {"b-1", soak_role::back_end}};
 }
 
-bool ofElection(const soak_step& _step)
+bool isElectionStep(const soak_step& _step)
 {
 	return kLeaderTarget == _step.target || kFollowerTarget == _step.target;
 }
 
 /// @returns Whether two faults are in force at one time.
-bool meet(const soak_step& _left, const soak_step& _right)
+bool overlap(const soak_step& _left, const soak_step& _right)
 {
 	return _left.atMs < _right.atMs + _right.forMs && _right.atMs < _left.atMs + _left.forMs;
 }
 
 /// Calls back for each two steps of a plan that harm something at one time.
 template <typename Callback>
-void eachMeeting(const std::vector<soak_step>& _plan, Callback _callback)
+void forEachOverlap(const std::vector<soak_step>& _plan, Callback _callback)
 {
 	for (size_t i = 0; i < _plan.size(); ++i)
 	{
 		for (size_t j = i + 1; j < _plan.size(); ++j)
 		{
-			if (harms(_plan[i].action) && harms(_plan[j].action) && meet(_plan[i], _plan[j]))
+			if (isDisruptive(_plan[i].action) && isDisruptive(_plan[j].action) && overlap(_plan[i], _plan[j]))
 			{
 				_callback(_plan[i], _plan[j]);
 			}
@@ -72,7 +72,7 @@
 	{
 		for (const auto& step : drawPlan(seed, targets, {}))
 		{
-			CHECK(step.atMs + step.forMs <= soak_shape{}.durationMs);
+			CHECK(step.atMs + step.forMs <= plan_options{}.durationMs);
 			const bool link = soak_action::link == step.action;
 			actions.insert(std::string(link ? nameOf(step.fault) : nameOf(step.action)));
 			const bool backEnd = "b-1" == step.target;
@@ -90,18 +90,18 @@
 	int both = 0;
 	for (uint64_t seed = 1; seed <= kSeeds; ++seed)
 	{
-		eachMeeting(drawPlan(seed, targets, {}),
-					[&](const soak_step& _left, const soak_step& _right)
-					{
-						if (_left.target != _right.target)
-						{
-							return;
-						}
-						const bool leftLink = soak_action::link == _left.action;
-						const bool rightLink = soak_action::link == _right.action;
-						CHECK(leftLink != rightLink);
-						both += leftLink != rightLink ? 1 : 0;
-					});
+		forEachOverlap(drawPlan(seed, targets, {}),
+					   [&](const soak_step& _left, const soak_step& _right)
+					   {
+						   if (_left.target != _right.target)
+						   {
+							   return;
+						   }
+						   const bool leftLink = soak_action::link == _left.action;
+						   const bool rightLink = soak_action::link == _right.action;
+						   CHECK(leftLink != rightLink);
+						   both += leftLink != rightLink ? 1 : 0;
+					   });
 	}
 	CHECK(both > 0);
 }
@@ -112,20 +112,20 @@
 	int elections = 0;
 	const auto controller = [](const soak_step& _step)
 	{
-		return 'c' == _step.target[0] || ofElection(_step);
+		return 'c' == _step.target[0] || isElectionStep(_step);
 	};
 	for (uint64_t seed = 1; seed <= kSeeds; ++seed)
 	{
-		eachMeeting(drawPlan(seed, targets, {}),
-					[&](const soak_step& _left, const soak_step& _right)
-					{
-						if (controller(_left) && controller(_right) && _left.target != _right.target)
-						{
-							CHECK(ofElection(_left));
-							CHECK(ofElection(_right));
-							++elections;
-						}
-					});
+		forEachOverlap(drawPlan(seed, targets, {}),
+					   [&](const soak_step& _left, const soak_step& _right)
+					   {
+						   if (controller(_left) && controller(_right) && _left.target != _right.target)
+						   {
+							   CHECK(isElectionStep(_left));
+							   CHECK(isElectionStep(_right));
+							   ++elections;
+						   }
+					   });
 	}
 	CHECK(elections > 0);
 }
--- a/tools/backend_main.cc
+++ b/tools/backend_main.cc
@@ -57,7 +57,7 @@
             loop, "backend", {},
             [this](ExchangeId exchange, HttpRequest request) { onRequest(exchange, std::move(request)); },
             [this](ExchangeId exchange) { onAbort(exchange); }) {
-    loadRecord();
+    readRecordFile();
   }
 
   void listenOrExit() {
@@ -86,13 +86,13 @@
     if (waiting_.size() > static_cast<size_t>(FLAGS_queue)) {
       const auto shed = std::move(waiting_.back());
       waiting_.pop_back();
-      return refuse(shed.exchange);
+      return sendShedResponse(shed.exchange);
     }
     startWaiting();
   }
 
   /// Tells that a request did not run.
-  void refuse(ExchangeId exchange) {
+  void sendShedResponse(ExchangeId exchange) {
     auto response = transport::jsonResponse(503, "{\"error\":\"shed\"}\n");
     response.headers.push_back(transport::makeHeader("x-shed", "1"));
     server_.respond(exchange, response);
@@ -103,7 +103,7 @@
       auto job = std::move(waiting_.front());
       waiting_.pop_front();
       if (job.deadline <= loop_.now()) {
-        refuse(job.exchange);
+        sendShedResponse(job.exchange);
         continue;
       }
       const auto exchange = job.exchange;
@@ -114,7 +114,7 @@
       });
       // What may not be repeated counts as run from here on, whether or not its caller waits.
       recordStart(job.request);
-      note("began", job.request);
+      printEvent("began", job.request);
       running_[exchange] = {std::move(job), timer};
     }
   }
@@ -132,7 +132,7 @@
     return base::Duration(static_cast<int64_t>(FLAGS_service_time_us * draw * factor) + cost);
   }
 
-  void loadRecord() {
+  void readRecordFile() {
     if (FLAGS_record_file.empty()) return;
     std::ifstream earlier(FLAGS_record_file);
     for (std::string key; std::getline(earlier, key);) ++record_[key];
@@ -147,7 +147,7 @@
     if (recordFile_.is_open()) recordFile_ << key << std::endl;
   }
 
-  void note(const char* what, const HttpRequest& request) const {
+  void printEvent(const char* what, const HttpRequest& request) const {
     const auto id = std::string(request.header("x-request-id"));
     if (FLAGS_note_ids.empty() || id.rfind(FLAGS_note_ids, 0) != 0) return;
     std::printf("%s %s %lld\n", what, id.c_str(), static_cast<long long>(loop_.now().time_since_epoch().count()));
@@ -157,7 +157,7 @@
   void finish(ExchangeId exchange) {
     auto node = running_.extract(exchange);
     const auto& request = node.mapped().job.request;
-    note("ended", request);
+    printEvent("ended", request);
     const auto id = std::string(request.header("x-request-id"));
     nlohmann::json body = {{"id", id}, {"backend", FLAGS_name}, {"request_digest", tools::digestOf(request.body)}};
     body["content"] = tools::contentFor(id, static_cast<size_t>(FLAGS_content_bytes));
@@ -181,7 +181,7 @@
     std::erase_if(waiting_, [&](const auto& job) { return job.exchange == exchange; });
     const auto found = running_.find(exchange);
     if (found == running_.end() || !found->second.job.request.header("idempotency-key").empty()) return;
-    note("aborted", found->second.job.request);
+    printEvent("aborted", found->second.job.request);
     loop_.cancel(found->second.timer);
     running_.erase(found);
     startWaiting();
--- a/tools/deployment.cc
+++ b/tools/deployment.cc
@@ -14,7 +14,7 @@
 constexpr int kTimeoutMs = 3000;
 constexpr int kOtherZonesInGroup = 2;
 
-absl::Status bad(const std::string& sentence) { return base::makeError(base::ErrorCode::kBadSetting, sentence); }
+absl::Status badSetting(const std::string& sentence) { return base::makeError(base::ErrorCode::kBadSetting, sentence); }
 
 DeployedService readService(const toml::table& item) {
   DeployedService service;
@@ -30,7 +30,8 @@
 
 absl::Status checkKeys(const toml::table& document, const std::set<std::string>& known, const std::string& where) {
   for (const auto& [key, value] : document) {
-    if (known.count(std::string(key.str())) == 0) return bad(where + std::string(key.str()) + ": unknown setting");
+    if (known.count(std::string(key.str())) == 0)
+      return badSetting(where + std::string(key.str()) + ": unknown setting");
   }
   return absl::OkStatus();
 }
@@ -47,7 +48,7 @@
   try {
     document = toml::parse_file(path);
   } catch (const toml::parse_error& error) {
-    return bad(path + ": " + std::string(error.description()));
+    return badSetting(path + ": " + std::string(error.description()));
   }
   const std::set<std::string> known = {
       "name",        "host",      "zones",           "zone_delay_us",    "client_delay_us",
@@ -72,13 +73,15 @@
                                              "filings"};
   if (const auto* services = document["services"].as_array()) {
     for (const auto& item : *services) {
-      if (!item.is_table()) return bad(path + ": services must be tables");
+      if (!item.is_table()) return badSetting(path + ": services must be tables");
       if (auto status = checkKeys(*item.as_table(), serviceKeys, path + ":services."); !status.ok()) return status;
       deployment.services.push_back(readService(*item.as_table()));
     }
   }
-  if (deployment.zones.empty() || deployment.services.empty()) return bad(path + ": zones and services are needed");
-  if (deployment.controllers < 1 || deployment.relaysPerZone < 1) return bad(path + ": too few controllers or relays");
+  if (deployment.zones.empty() || deployment.services.empty())
+    return badSetting(path + ": zones and services are needed");
+  if (deployment.controllers < 1 || deployment.relaysPerZone < 1)
+    return badSetting(path + ": too few controllers or relays");
   return deployment;
 }
 
--- a/tools/fleet.cc
+++ b/tools/fleet.cc
@@ -74,7 +74,7 @@
 void Fleet::planProxy() {
   std::vector<int> ports;
   if (options_.faultProxy) ports = findFreePorts(controllers_.size() + relays_.size() + 2 * endpoints_.size() + 1);
-  const auto before = [&](const std::string& name, int target) {
+  const auto linkTo = [&](const std::string& name, int target) {
     if (ports.empty()) return target;
     const int port = ports.back();
     ports.pop_back();
@@ -85,12 +85,12 @@
     proxyPort_ = ports.back();
     ports.pop_back();
   }
-  for (auto& member : controllers_) member.dialPort = before(member.name, member.framePort);
-  for (auto& member : relays_) member.dialPort = before(member.name, member.framePort);
+  for (auto& member : controllers_) member.dialPort = linkTo(member.name, member.framePort);
+  for (auto& member : relays_) member.dialPort = linkTo(member.name, member.framePort);
   for (auto& endpoint : endpoints_) {
-    endpoint.node.dialPort = before(endpoint.node.name, endpoint.node.framePort);
+    endpoint.node.dialPort = linkTo(endpoint.node.name, endpoint.node.framePort);
     endpoint.backendDialPort =
-        options_.backendProxy ? before(endpoint.backendName, endpoint.backendPort) : endpoint.backendPort;
+        options_.backendProxy ? linkTo(endpoint.backendName, endpoint.backendPort) : endpoint.backendPort;
   }
 }
 
@@ -236,7 +236,7 @@
   return result.outcome == transport::HttpOutcome::kCompleted && result.response.status == 200;
 }
 
-bool Fleet::takesConnections(const FleetMember& member) {
+bool Fleet::acceptsConnections(const FleetMember& member) {
   // The connection that an earlier question left may be one to a process that has ended.
   constexpr int kTries = 2;
   for (int i = 0; i < kTries; ++i) {
@@ -300,7 +300,7 @@
     if (!waitReady(member, kReadyTimeoutMs)) return failed(member.name);
   }
   const auto revision = answer.body.value("revision", int64_t{0});
-  if (waitEverywhere(revision, http_.loop().now(), kReadyTimeoutMs) < 0) return failed("the table");
+  if (waitForConvergence(revision, http_.loop().now(), kReadyTimeoutMs) < 0) return failed("the table");
   // Connections from entries to nodes are opened right after the first activation.
   http_.wait(base::milliseconds(500));
   return absl::OkStatus();
@@ -348,7 +348,7 @@
   return stuck;
 }
 
-void Fleet::addTraffic(const LoadOptions& options, std::vector<std::string>* command) const {
+void Fleet::addTrafficFlags(const LoadOptions& options, std::vector<std::string>* command) const {
   std::vector<std::string> lookups;
   std::vector<std::string> filings;
   std::vector<std::string> targets;
@@ -370,7 +370,7 @@
 
 void Fleet::startLoad(const std::string& name, const LoadOptions& options) {
   auto command = program("driftlug-load");
-  addTraffic(options, &command);
+  addTrafficFlags(options, &command);
   command.push_back(flag("rate", std::to_string(options.rate)));
   command.push_back(flag("record", options_.report + "/" + name + "-record.json"));
   if (!options.samePath.empty()) command.push_back(flag("query", "same"));
@@ -378,16 +378,16 @@
   processes_.start(name, command);
 }
 
-void Fleet::startOpenCallers(const std::string& name, const LoadOptions& options) {
+void Fleet::startPersistentCallers(const std::string& name, const LoadOptions& options) {
   auto command = program("driftlug-soak-callers");
-  addTraffic(options, &command);
+  addTrafficFlags(options, &command);
   command.push_back(flag("body-bytes", deployment_.bodyBytes));
   command.push_back(flag("record", options_.report + "/" + name + "-record.json"));
   command.push_back(flag("unanswered", options_.report + "/" + name + "-unanswered.json"));
   processes_.start(name, command);
 }
 
-json Fleet::unansweredOf(const std::string& name) const {
+json Fleet::unansweredRequests(const std::string& name) const {
   std::ifstream stream(options_.report + "/" + name + "-unanswered.json");
   return json::parse(stream, nullptr, false);
 }
@@ -405,7 +405,7 @@
   return api_->request(method, path, "");
 }
 
-double Fleet::waitEverywhere(int64_t revision, base::TimePoint since, int limitMs) {
+double Fleet::waitForConvergence(int64_t revision, base::TimePoint since, int limitMs) {
   const auto until = http_.loop().now() + base::milliseconds(limitMs);
   while (http_.loop().now() < until) {
     const auto path = "/v1/revisions/" + std::to_string(revision) + "/convergence?wait_ms=1000";
@@ -416,19 +416,19 @@
   return -1;
 }
 
-std::map<std::string, int64_t> Fleet::runs() {
-  std::map<std::string, int64_t> runs;
+std::map<std::string, int64_t> Fleet::runCounts() {
+  std::map<std::string, int64_t> runCounts;
   for (const auto& endpoint : endpoints_) {
     const auto result = http_.get({kHost, endpoint.backendPort}, "/record", kHttpTimeout);
     const auto body = json::parse(result.response.body, nullptr, false);
     if (!body.is_object()) continue;
-    for (const auto& [key, count] : body["ran"].items()) runs[key] += count.get<int64_t>();
+    for (const auto& [key, count] : body["ran"].items()) runCounts[key] += count.get<int64_t>();
   }
-  return runs;
+  return runCounts;
 }
 
 RecordCheck Fleet::checkRecords(const std::vector<std::string>& loads) {
-  auto runs = this->runs();
+  auto runCounts = this->runCounts();
   RecordCheck check;
   for (const auto& load : loads) {
     std::ifstream stream(options_.report + "/" + load + "-record.json");
@@ -436,8 +436,8 @@
     if (!record.is_object()) continue;
     for (const auto& [key, outcome] : record.items()) {
       ++check.filings;
-      const auto count = runs.count(key) > 0 ? runs[key] : 0;
-      if (count > 1) ++check.doubled;
+      const auto count = runCounts.count(key) > 0 ? runCounts[key] : 0;
+      if (count > 1) ++check.duplicates;
       if (outcome == "ok" && count == 0) ++check.lost;
       if (outcome == "not_run" && count > 0) ++check.falseNotRun;
     }
--- a/tools/fleet.h
+++ b/tools/fleet.h
@@ -59,7 +59,7 @@
 /// What was counted in the back ends after a run.
 struct RecordCheck {
   int64_t filings = 0;
-  int64_t doubled = 0;
+  int64_t duplicates = 0;
   int64_t lost = 0;         ///< answered as done, but no back end ran it
   int64_t falseNotRun = 0;  ///< answered "not run", but a back end ran it
 };
@@ -80,10 +80,10 @@
   void startLoad(const std::string& name, const LoadOptions& options);
 
   /// Starts callers that keep connections to the entry nodes in use, in the background.
-  void startOpenCallers(const std::string& name, const LoadOptions& options);
+  void startPersistentCallers(const std::string& name, const LoadOptions& options);
 
   /// @return the requests that got no complete answer from such callers once they have ended, as they wrote them.
-  nlohmann::json unansweredOf(const std::string& name) const;
+  nlohmann::json unansweredRequests(const std::string& name) const;
 
   /// Waits for a stand-in caller and returns its summary.
   nlohmann::json finishLoad(const std::string& name, int timeoutMs);
@@ -96,10 +96,10 @@
 
   /// Waits until a revision is in force everywhere.
   /// @return milliseconds since `since`, or -1 when it took longer than the limit
-  double waitEverywhere(int64_t revision, base::TimePoint since, int limitMs);
+  double waitForConvergence(int64_t revision, base::TimePoint since, int limitMs);
 
   /// @return how often back ends ran each request that may not be repeated, by its key.
-  std::map<std::string, int64_t> runs();
+  std::map<std::string, int64_t> runCounts();
 
   /// Compares the callers' outcomes with the back ends' records.
   RecordCheck checkRecords(const std::vector<std::string>& loads);
@@ -130,7 +130,7 @@
   bool isReady(const FleetMember& member);
 
   /// @return whether a node takes a connection of a caller, and answers something on it.
-  bool takesConnections(const FleetMember& member);
+  bool acceptsConnections(const FleetMember& member);
 
   /// Waits until a member's /readyz is good.
   bool waitReady(const FleetMember& member, int timeoutMs);
@@ -144,7 +144,7 @@
   bool startEndpoints();
   bool startEntries();
   /// Adds where callers go and what they ask for.
-  void addTraffic(const LoadOptions& options, std::vector<std::string>* command) const;
+  void addTrafficFlags(const LoadOptions& options, std::vector<std::string>* command) const;
   std::vector<std::string> program(const std::string& name) const;
   std::string relayAddresses(int zone) const;
   nlohmann::json endpointEdits() const;
--- a/tools/fleet_main.cc
+++ b/tools/fleet_main.cc
@@ -68,7 +68,7 @@
       continue;
     }
     ++out->accepted;
-    const double took = fleet.waitEverywhere(answer.body.value("revision", int64_t{0}), accepted, kLimitMs);
+    const double took = fleet.waitForConvergence(answer.body.value("revision", int64_t{0}), accepted, kLimitMs);
     if (took >= 0) {
       out->convergenceMs.push_back(took);
     } else {
@@ -194,7 +194,7 @@
   report["calls_ok"] = load.value("ok", int64_t{0});
   report["calls_failed"] = load.value("calls", int64_t{0}) - load.value("ok", int64_t{0});
   report["lost"] = load.value("lost", int64_t{0}) + records.lost;
-  report["duplicated"] = records.doubled;
+  report["duplicated"] = records.duplicates;
   report["false_not_run"] = records.falseNotRun;
   report["crossed"] = load.value("crossed", int64_t{0});
   report["truncated"] = load.value("truncated", int64_t{0});
@@ -245,12 +245,12 @@
   soak::soak_options soakOptions;
   soakOptions.seed = static_cast<uint64_t>(FLAGS_seed);
   soakOptions.rolling = FLAGS_plan == "rolling";
-  soakOptions.rollingGapMs = FLAGS_rolling_gap_ms;
-  soakOptions.recoverMs = FLAGS_recover_ms;
+  soakOptions.rollingStopGapMs = FLAGS_rolling_gap_ms;
+  soakOptions.recoveryLimitMs = FLAGS_recover_ms;
   soakOptions.stopByKill = FLAGS_stop_by_kill;
-  soakOptions.shape.durationMs = FLAGS_duration_ms;
-  soakOptions.shape.longestFaultMs = FLAGS_longest_fault_ms;
-  soakOptions.shape.meanGapMs = FLAGS_fault_gap_ms;
+  soakOptions.planOptions.durationMs = FLAGS_duration_ms;
+  soakOptions.planOptions.maxFaultMs = FLAGS_longest_fault_ms;
+  soakOptions.planOptions.meanGapMs = FLAGS_fault_gap_ms;
   if (FLAGS_rate > 0) soakOptions.rate = FLAGS_rate;
   soakOptions.fatalPath = fatalPath;
   auto report = soak::soak_run(fleet, soakOptions).run();
--- a/tools/load_main.cc
+++ b/tools/load_main.cc
@@ -70,7 +70,7 @@
   void start() {
     startedAt_ = loop_.now();
     nextArrival_ = startedAt_;
-    arrive();
+    sendDueCalls();
   }
 
   json summary() {
@@ -96,10 +96,10 @@
     return out;
   }
 
-  const json& record() const { return record_; }
+  const json& record() const { return outcomes_; }
 
  private:
-  void arrive() {
+  void sendDueCalls() {
     const auto now = loop_.now();
     const auto end = startedAt_ + base::milliseconds(FLAGS_duration_ms);
     while (nextArrival_ <= now && nextArrival_ < end) {
@@ -108,7 +108,7 @@
       nextArrival_ += base::Duration(static_cast<int64_t>(gap * 1e6) + 1);
     }
     if (nextArrival_ < end) {
-      loop_.schedule(std::chrono::duration_cast<base::Duration>(nextArrival_ - now), [this] { arrive(); });
+      loop_.schedule(std::chrono::duration_cast<base::Duration>(nextArrival_ - now), [this] { sendDueCalls(); });
       return;
     }
     sending_ = false;
@@ -149,16 +149,17 @@
   void onResult(CallKind* kind, const std::string& id, bool filing, const std::string& expectedDigest,
                 base::TimePoint begun, const transport::HttpResult& result) {
     --open_;
-    const auto outcome = judge(id, expectedDigest, result);
+    const auto outcome = classifyOutcome(id, expectedDigest, result);
     if (outcome == "ok") {
       ++kind->ok;
       kind->latencies.add((loop_.now() - begun).count());
     }
-    if (filing) record_[id] = outcome;
+    if (filing) outcomes_[id] = outcome;
     stopWhenDone();
   }
 
-  std::string judge(const std::string& id, const std::string& expectedDigest, const transport::HttpResult& result) {
+  std::string classifyOutcome(const std::string& id, const std::string& expectedDigest,
+                              const transport::HttpResult& result) {
     if (result.outcome != transport::HttpOutcome::kCompleted) {
       ++failures_.lost;
       ++errors_[result.timedOut ? "timed_out" : "connection"];
@@ -200,7 +201,7 @@
   FailureCounts failures_;
   std::map<std::string, int64_t> errors_;
   std::map<std::string, int64_t> byBackend_;
-  json record_ = json::object();
+  json outcomes_ = json::object();
   base::TimePoint startedAt_{};
   base::TimePoint nextArrival_{};
   bool sending_ = true;
--- a/tools/load_model/load_model.cc
+++ b/tools/load_model/load_model.cc
@@ -11,9 +11,9 @@
 namespace
 {
 /// Links come up, and what is learned of callers settles, before anything is counted.
-constexpr base::Duration kSettles = base::seconds(3);
+constexpr base::Duration kWarmUpTime = base::seconds(3);
 /// Requests that are under way at the end get their answers.
-constexpr base::Duration kEnds = base::seconds(12);
+constexpr base::Duration kDrainTime = base::seconds(12);
 
 wire::Row routeOf(const kind_pattern& _kind)
 {
@@ -38,49 +38,49 @@
 
 double load_result::inTimeShare(const std::string& _kind) const
 {
-	int64_t asked = 0;
+	int64_t requests = 0;
 	int64_t inTime = 0;
 	for (const auto& [name, result] : kinds)
 	{
 		if (_kind.empty() || name == _kind)
 		{
-			asked += result.asked;
+			requests += result.requests;
 			inTime += result.inTime;
 		}
 	}
-	return 0 == asked ? 0 : static_cast<double>(inTime) / static_cast<double>(asked);
+	return 0 == requests ? 0 : static_cast<double>(inTime) / static_cast<double>(requests);
 }
 
-double load_result::earnedShare() const
+double load_result::earnedUtilityShare() const
 {
 	kind_result sum;
 	for (const auto& [name, result] : kinds)
 	{
 		sum += result;
 	}
-	return 0 < sum.worth ? sum.earned / sum.worth : 0;
+	return 0 < sum.utility ? sum.earnedUtility / sum.utility : 0;
 }
 
-double load_result::leastEarnedShare() const
+double load_result::minKindUtilityShare() const
 {
 	double least = 1;
 	for (const auto& [name, result] : kinds)
 	{
-		least = std::min(least, 0 < result.worth ? result.earned / result.worth : 1);
+		least = std::min(least, 0 < result.utility ? result.earnedUtility / result.utility : 1);
 	}
 	return least;
 }
 
 kind_result& kind_result::operator+=(const kind_result& _other)
 {
-	asked += _other.asked;
+	requests += _other.requests;
 	inTime += _other.inTime;
 	late += _other.late;
 	refused += _other.refused;
 	failed += _other.failed;
-	refusedAgain += _other.refusedAgain;
-	worth += _other.worth;
-	earned += _other.earned;
+	refusedRetries += _other.refusedRetries;
+	utility += _other.utility;
+	earnedUtility += _other.earnedUtility;
 	return *this;
 }
 
@@ -91,13 +91,13 @@
 		kinds[name] += result;
 	}
 	work.usefulMs += _other.work.usefulMs;
-	work.vainMs += _other.work.vainMs;
+	work.wastedMs += _other.work.wastedMs;
 	linkBytes += _other.linkBytes;
-	longestLink = std::max(longestLink, _other.longestLink);
+	maxLinkDelay = std::max(maxLinkDelay, _other.maxLinkDelay);
 	return *this;
 }
 
-load_policy usualPolicy(double _linkMbps)
+load_policy defaultPolicy(double _linkMbps)
 {
 	constexpr double kNarrowMbps = 20;
 	load_policy policy;
@@ -166,9 +166,9 @@
 	return std::make_shared<routing::RoutingTable>(rows, 1);
 }
 
-double load_model::factorNow() const
+double load_model::loadFactorNow() const
 {
-	const double now = std::chrono::duration<double>(m_queue.now() - base::TimePoint{} - kSettles).count();
+	const double now = std::chrono::duration<double>(m_queue.now() - base::TimePoint{} - kWarmUpTime).count();
 	double factor = m_offered;
 	for (const auto& burst : m_pattern.bursts)
 	{
@@ -179,7 +179,7 @@
 
 void load_model::scheduleArrival(const kind_pattern& _kind)
 {
-	const double perSecond = _kind.perSecond * factorNow();
+	const double perSecond = _kind.perSecond * loadFactorNow();
 	const double gap = -std::log(1 - m_random.unit()) / std::max(1e-3, perSecond);
 	m_queue.after(std::chrono::duration_cast<base::Duration>(std::chrono::duration<double>(gap)),
 				  [this, &_kind]
@@ -191,15 +191,15 @@
 void load_model::arrive(const kind_pattern& _kind)
 {
 	const auto length = std::chrono::duration_cast<base::Duration>(std::chrono::duration<double>(m_pattern.lengthS));
-	if (m_queue.now() - base::TimePoint{} > kSettles + length)
+	if (m_queue.now() - base::TimePoint{} > kWarmUpTime + length)
 	{
 		return;
 	}
-	m_nodes[m_random.below(m_nodes.size())]->ask(_kind);
+	m_nodes[m_random.below(m_nodes.size())]->startRequest(_kind);
 	scheduleArrival(_kind);
 }
 
-void load_model::beginOutage(const outage_pattern& _outage)
+void load_model::scheduleOutage(const outage_pattern& _outage)
 {
 	size_t left = _outage.backEnds;
 	for (const auto& node : m_nodes)
@@ -212,7 +212,7 @@
 		auto* lost = node.get();
 		const auto at = [](double _seconds)
 		{
-			return base::TimePoint{} + kSettles
+			return base::TimePoint{} + kWarmUpTime
 				   + std::chrono::duration_cast<base::Duration>(std::chrono::duration<double>(_seconds));
 		};
 		m_queue.at(at(_outage.fromS),
@@ -237,9 +237,9 @@
 	}
 	for (const auto& outage : m_pattern.outages)
 	{
-		beginOutage(outage);
+		scheduleOutage(outage);
 	}
-	m_queue.at(base::TimePoint{} + kSettles,
+	m_queue.at(base::TimePoint{} + kWarmUpTime,
 			   [this]
 			   {
 				   for (const auto& [name, kind] : m_kinds)
@@ -251,14 +251,14 @@
 				   }
 			   });
 	const auto length = std::chrono::duration_cast<base::Duration>(std::chrono::duration<double>(m_pattern.lengthS));
-	while (m_queue.runNext(base::TimePoint{} + kSettles + length + kEnds))
+	while (m_queue.runNext(base::TimePoint{} + kWarmUpTime + length + kDrainTime))
 	{
 	}
 	for (const auto& node : m_nodes)
 	{
 		m_result.linkBytes += node->network().out().bytes();
-		m_result.longestLink =
-			std::max({m_result.longestLink, node->network().out().longest(), node->network().in().longest()});
+		m_result.maxLinkDelay =
+			std::max({m_result.maxLinkDelay, node->network().out().maxDelay(), node->network().in().maxDelay()});
 	}
 	return m_result;
 }
--- a/tools/load_model/load_model.h
+++ b/tools/load_model/load_model.h
@@ -18,14 +18,14 @@
 /// What became of the requests of one kind.
 struct kind_result
 {
-	int64_t asked = 0;
+	int64_t requests = 0;
 	int64_t inTime = 0;   //!< Served within their target, from the caller's first try.
 	int64_t late = 0;     //!< Served behind it.
 	int64_t refused = 0;  //!< Not run, in the end.
 	int64_t failed = 0;
-	int64_t refusedAgain = 0;  //!< Tries that were refused behind an earlier refusal.
-	double worth = 0;          //!< Of all that was asked.
-	double earned = 0;         //!< Of that, by the answers.
+	int64_t refusedRetries = 0;  //!< Tries that were refused behind an earlier refusal.
+	double utility = 0;          //!< Of all that was asked.
+	double earnedUtility = 0;    //!< Of that, by the answers.
 
 	kind_result& operator+=(const kind_result& _other);
 };
@@ -34,18 +34,18 @@
 struct load_result
 {
 	std::map<std::string, kind_result> kinds;
-	work_record work;
-	int64_t linkBytes = 0;          //!< Of all machines, outgoing.
-	base::Duration longestLink{0};  //!< The longest that anything waited for a link.
+	slot_time_totals work;
+	int64_t linkBytes = 0;           //!< Of all machines, outgoing.
+	base::Duration maxLinkDelay{0};  //!< The longest that anything waited for a link.
 
 	/// @returns Of the requests of a kind, or of all kinds that callers ask for, the share served in time.
 	double inTimeShare(const std::string& _kind = "") const;
 
 	/// @returns Of the worth that was asked for, the share earned.
-	double earnedShare() const;
+	double earnedUtilityShare() const;
 
 	/// @returns The same of the kind of which it is least.
-	double leastEarnedShare() const;
+	double minKindUtilityShare() const;
 
 	load_result& operator+=(const load_result& _other);
 };
@@ -58,7 +58,7 @@
 };
 
 /// @returns Settings of a fleet whose links carry so much, as the daemons have them.
-load_policy usualPolicy(double _linkMbps);
+load_policy defaultPolicy(double _linkMbps);
 
 /// One node with its back end and callers.
 class modelled_node;
@@ -80,8 +80,8 @@
 	void connectAll();
 	void arrive(const kind_pattern& _kind);
 	void scheduleArrival(const kind_pattern& _kind);
-	void beginOutage(const outage_pattern& _outage);
-	double factorNow() const;
+	void scheduleOutage(const outage_pattern& _outage);
+	double loadFactorNow() const;
 	routing::RoutingTablePtr table() const;
 
 	load_pattern m_pattern;
--- a/tools/load_model/load_model_main.cc
+++ b/tools/load_model/load_model_main.cc
@@ -21,12 +21,12 @@
 {
 constexpr double kOfferedLoads[] = {0.5, 0.75, 1, 1.25, 1.5, 2, 2.5, 3};
 
-load_result playAll(const load_pattern& _pattern, double _offered)
+load_result runSeeds(const load_pattern& _pattern, double _offered)
 {
 	load_result sum;
 	for (int seed = 1; seed <= FLAGS_seeds; ++seed)
 	{
-		load_model model(_pattern, usualPolicy(_pattern.linkMbps), static_cast<uint64_t>(seed), _offered);
+		load_model model(_pattern, defaultPolicy(_pattern.linkMbps), static_cast<uint64_t>(seed), _offered);
 		sum += model.run();
 	}
 	return sum;
@@ -44,16 +44,17 @@
 	for (const auto& [name, kind] : _result.kinds)
 	{
 		std::printf("%-14s %8lld %8.3f %8.3f %8.3f %8.3f %10lld %8.3f\n", name.c_str(),
-					static_cast<long long>(kind.asked), shareOf(kind.inTime, kind.asked),
-					shareOf(kind.late, kind.asked), shareOf(kind.refused, kind.asked), shareOf(kind.failed, kind.asked),
-					static_cast<long long>(kind.refusedAgain), kind.earned / std::max(1.0, kind.worth));
+					static_cast<long long>(kind.requests), shareOf(kind.inTime, kind.requests),
+					shareOf(kind.late, kind.requests), shareOf(kind.refused, kind.requests),
+					shareOf(kind.failed, kind.requests), static_cast<long long>(kind.refusedRetries),
+					kind.earnedUtility / std::max(1.0, kind.utility));
 	}
-	const double vain = _result.work.vainMs / (_result.work.usefulMs + _result.work.vainMs);
+	const double wastedShare = _result.work.wastedMs / (_result.work.usefulMs + _result.work.wastedMs);
 	std::printf(
 		"in time %.3f; earned %.3f, least of a kind %.3f; slot time in vain %.3f; links %.1f MB, longest wait %.2f s\n",
-		_result.inTimeShare(), _result.earnedShare(), _result.leastEarnedShare(), vain,
+		_result.inTimeShare(), _result.earnedUtilityShare(), _result.minKindUtilityShare(), wastedShare,
 		static_cast<double>(_result.linkBytes) / 1e6 / FLAGS_seeds,
-		std::chrono::duration<double>(_result.longestLink).count());
+		std::chrono::duration<double>(_result.maxLinkDelay).count());
 }
 
 bool plot(const load_pattern& _pattern)
@@ -61,20 +62,20 @@
 	std::vector<goodput_line> lines;
 	for (const double offered : kOfferedLoads)
 	{
-		const auto played = playAll(_pattern, offered);
+		const auto result = runSeeds(_pattern, offered);
 		std::printf("offered load %.2f\n", offered);
-		print(played);
+		print(result);
 		if (lines.empty())
 		{
-			for (const auto& [name, kind] : played.kinds)
+			for (const auto& [name, kind] : result.kinds)
 			{
 				lines.push_back({name, {}});
 			}
 		}
 		for (auto& line : lines)
 		{
-			const auto& kind = played.kinds.at(line.name);
-			line.shares.push_back(shareOf(kind.inTime, kind.asked));
+			const auto& kind = result.kinds.at(line.name);
+			line.shares.push_back(shareOf(kind.inTime, kind.requests));
 		}
 	}
 	std::ofstream file(FLAGS_plot);
@@ -82,7 +83,7 @@
 	return file.good();
 }
 
-int play()
+int runModel()
 {
 	const auto pattern = readPattern(FLAGS_pattern);
 	if (!pattern.ok())
@@ -95,7 +96,7 @@
 	{
 		return plot(*pattern) ? 0 : 1;
 	}
-	print(playAll(*pattern, FLAGS_offered));
+	print(runSeeds(*pattern, FLAGS_offered));
 	return 0;
 }
 
@@ -107,5 +108,5 @@
 	gflags::SetUsageMessage("how a fleet serves a pattern of load, on the virtual clock");
 	gflags::ParseCommandLineFlags(&argc, &argv, true);
 	driftlug::base::configureLogs(false, "off");
-	return driftlug::load_model::play();
+	return driftlug::load_model::runModel();
 }
--- a/tools/load_model/load_pattern.cc
+++ b/tools/load_model/load_pattern.cc
@@ -9,14 +9,14 @@
 namespace
 {
 template <typename T>
-T valueOf(const toml::table& _table, std::string_view _name, T _otherwise)
+T valueOf(const toml::table& _table, std::string_view _name, T _default)
 {
-	return _table[_name].value_or(_otherwise);
+	return _table[_name].value_or(_default);
 }
 
 /// Calls back for each table of an array of tables.
-template <typename Take>
-void forEach(const toml::table& _table, std::string_view _name, Take _take)
+template <typename Callback>
+void forEach(const toml::table& _table, std::string_view _name, Callback _callback)
 {
 	const auto* list = _table[_name].as_array();
 	if (nullptr == list)
@@ -27,7 +27,7 @@
 	{
 		if (const auto* entry = item.as_table())
 		{
-			_take(*entry);
+			_callback(*entry);
 		}
 	}
 }
@@ -58,15 +58,15 @@
 	kind.perSecond = valueOf(_table, "per_s", 0.0);
 	kind.workMs = valueOf(_table, "work_ms", 0.0);
 	kind.spread = valueOf(_table, "spread", 0.0);
-	kind.mostWorkMs = valueOf(_table, "most_work_ms", 1e9);
+	kind.maxWorkMs = valueOf(_table, "most_work_ms", 1e9);
 	kind.targetMs = static_cast<int>(valueOf<int64_t>(_table, "target_ms", 0));
 	kind.deadlineMs = static_cast<int>(valueOf<int64_t>(_table, "deadline_ms", 1000));
 	kind.timeoutMs = static_cast<int>(valueOf<int64_t>(_table, "timeout_ms", kind.deadlineMs));
 	kind.priority = static_cast<int>(valueOf<int64_t>(_table, "priority", 0));
 	kind.repeatable = valueOf(_table, "repeatable", true);
 	kind.callerRetries = static_cast<int>(valueOf<int64_t>(_table, "caller_retries", 0));
-	kind.worth = valueOf(_table, "worth", kind.worth);
-	kind.lateShare = valueOf(_table, "late_share", kind.lateShare);
+	kind.utility = valueOf(_table, "worth", kind.utility);
+	kind.lateUtilityShare = valueOf(_table, "late_share", kind.lateUtilityShare);
 	kind.requestBytes = valueOf(_table, "request_bytes", 0.0);
 	kind.answerBytes = valueOf(_table, "answer_bytes", 0.0);
 	if (const auto* nested = _table["nested"].as_table())
@@ -74,7 +74,7 @@
 		kind.nested.kind = valueOf(*nested, "kind", std::string());
 		kind.nested.times = static_cast<int>(valueOf<int64_t>(*nested, "times", 1));
 		kind.nested.share = valueOf(*nested, "share", 1.0);
-		kind.nested.together = valueOf(*nested, "together", false);
+		kind.nested.concurrent = valueOf(*nested, "together", false);
 	}
 	return kind;
 }
--- a/tools/load_model/load_pattern.h
+++ b/tools/load_model/load_pattern.h
@@ -27,8 +27,8 @@
 {
 	std::string kind;  //!< Empty for none.
 	int times = 0;
-	double share = 0;       //!< Of the requests.
-	bool together = false;  //!< At once, or one after the other.
+	double share = 0;         //!< Of the requests.
+	bool concurrent = false;  //!< At once, or one after the other.
 };
 
 /// A kind of request.
@@ -39,16 +39,16 @@
 	double perSecond = 0;  //!< From callers of all nodes together; 0 for one that only back ends make.
 	double workMs = 0;     //!< Mean, on a back end of the usual speed.
 	double spread = 0;     //!< Standard deviation of its logarithm.
-	double mostWorkMs = 0;
+	double maxWorkMs = 0;
 	int targetMs = 0;
 	int deadlineMs = 0;
 	int timeoutMs = 0;  //!< Of the route.
 	int priority = 0;
 	bool repeatable = true;
 	int callerRetries = 0;
-	double worth = 1;         //!< Of an answer in time.
-	double lateShare = 0.3;   //!< Of that, of a late one.
-	double requestBytes = 0;  //!< Mean of the bodies, exponentially distributed.
+	double utility = 1;             //!< Of an answer in time.
+	double lateUtilityShare = 0.3;  //!< Of that, of a late one.
+	double requestBytes = 0;        //!< Mean of the bodies, exponentially distributed.
 	double answerBytes = 0;
 	nested_pattern nested;
 };
--- a/tools/load_model/modelled_back_end.cc
+++ b/tools/load_model/modelled_back_end.cc
@@ -13,9 +13,9 @@
 constexpr int kFull = 503;
 constexpr char kNotRunHeader[] = "x-shed";
 /// Way to the back end beside a node and back.
-constexpr base::Duration kBeside = base::microseconds(300);
+constexpr base::Duration kLocalDelay = base::microseconds(300);
 
-double normal(base::RandomSource* _random)
+double drawNormal(base::RandomSource* _random)
 {
 	// The sum of twelve draws has a variance of one.
 	double sum = -6;
@@ -39,26 +39,26 @@
 
 modelled_back_end::modelled_back_end(simulation::Process& _process, base::RandomSource _random,
 									 const service_pattern& _service, double _speed,
-									 const std::map<std::string, kind_pattern>& _kinds, work_record& _record)
+									 const std::map<std::string, kind_pattern>& _kinds, slot_time_totals& _totals)
 	: m_process(_process)
 	, m_random(_random)
 	, m_service(_service)
 	, m_speed(_speed)
 	, m_kinds(_kinds)
-	, m_record(_record)
+	, m_totals(_totals)
 {
 }
 
 uint64_t modelled_back_end::send(const wire::CallRequest& _request, base::Duration _timeout,
 								 std::function<void(node::BackendAnswer)> _done)
 {
-	const auto id = ++m_last;
+	const auto id = ++m_lastId;
 	// The path of a request begins with the name of its kind.
 	const auto name = _request.path.substr(1, _request.path.find('/', 1) - 1);
-	const bool full = m_busy >= m_service.slots && m_waiting.size() >= static_cast<size_t>(m_service.queue);
+	const bool full = m_busySlots >= m_service.slots && m_waiting.size() >= static_cast<size_t>(m_service.queue);
 	if (!m_up || full)
 	{
-		m_process.schedule(kBeside,
+		m_process.schedule(kLocalDelay,
 						   [_done, up = m_up]
 						   {
 							   auto answer = answerOf(kFull, 0);
@@ -81,7 +81,7 @@
 
 void modelled_back_end::startNext()
 {
-	while (m_busy < m_service.slots && !m_waiting.empty())
+	while (m_busySlots < m_service.slots && !m_waiting.empty())
 	{
 		const auto id = m_waiting.front();
 		m_waiting.pop_front();
@@ -94,7 +94,7 @@
 	auto& run = m_runs.at(_id);
 	run.started = true;
 	run.startedAt = m_process.now();
-	++m_busy;
+	++m_busySlots;
 	const auto left = run.deadline - m_process.now();
 	m_process.schedule(std::max(base::Duration(0), left),
 					   [this, _id]
@@ -102,8 +102,8 @@
 						   finish(_id, kTimedOut);
 					   });
 	const auto& nested = run.kind->nested;
-	run.callsLeft = !nested.kind.empty() && m_call && m_random.chance(nested.share) ? nested.times : 0;
-	if (0 == run.callsLeft)
+	run.remainingCalls = !nested.kind.empty() && m_call && m_random.chance(nested.share) ? nested.times : 0;
+	if (0 == run.remainingCalls)
 	{
 		return work(_id);
 	}
@@ -114,9 +114,9 @@
 {
 	auto& run = m_runs.at(_id);
 	const auto& nested = run.kind->nested;
-	const int calls = nested.together ? run.callsLeft : 1;
-	run.callsLeft -= calls;
-	run.waitsFor += calls;
+	const int calls = nested.concurrent ? run.remainingCalls : 1;
+	run.remainingCalls -= calls;
+	run.pendingCalls += calls;
 	const auto left = std::chrono::duration_cast<base::milliseconds>(run.deadline - m_process.now());
 	const int deadlineMs = std::min(m_kinds.at(nested.kind).deadlineMs, static_cast<int>(left.count()));
 	const auto name = nested.kind;
@@ -138,9 +138,9 @@
 		return;
 	}
 	auto& run = found->second;
-	--run.waitsFor;
+	--run.pendingCalls;
 	run.failed = run.failed || !_served;
-	if (0 < run.waitsFor)
+	if (0 < run.pendingCalls)
 	{
 		return;
 	}
@@ -148,7 +148,7 @@
 	{
 		return finish(_id, kFailed);
 	}
-	if (0 < run.callsLeft)
+	if (0 < run.remainingCalls)
 	{
 		return callNested(_id);
 	}
@@ -157,8 +157,9 @@
 
 double modelled_back_end::drawWorkMs(const kind_pattern& _kind)
 {
-	const double drawn = _kind.workMs * std::exp(_kind.spread * normal(&m_random) - _kind.spread * _kind.spread / 2);
-	return std::min(drawn, _kind.mostWorkMs) / m_speed;
+	const double drawn =
+		_kind.workMs * std::exp(_kind.spread * drawNormal(&m_random) - _kind.spread * _kind.spread / 2);
+	return std::min(drawn, _kind.maxWorkMs) / m_speed;
 }
 
 void modelled_back_end::work(uint64_t _id)
@@ -181,10 +182,10 @@
 	}
 	auto& run = ended.mapped();
 	const double heldMs = std::chrono::duration<double, std::milli>(m_process.now() - run.startedAt).count();
-	(kOk == _status ? m_record.usefulMs : m_record.vainMs) += heldMs;
-	--m_busy;
+	(kOk == _status ? m_totals.usefulMs : m_totals.wastedMs) += heldMs;
+	--m_busySlots;
 	const auto bytes = kOk == _status ? -run.kind->answerBytes * std::log(1 - m_random.unit()) : 0;
-	m_process.schedule(kBeside,
+	m_process.schedule(kLocalDelay,
 					   [done = std::move(run.done), _status, bytes]
 					   {
 						   done(answerOf(_status, static_cast<size_t>(bytes)));
@@ -202,8 +203,9 @@
 	std::erase(m_waiting, _id);
 	if (found->second.started)
 	{
-		m_record.vainMs += std::chrono::duration<double, std::milli>(m_process.now() - found->second.startedAt).count();
-		--m_busy;
+		m_totals.wastedMs +=
+			std::chrono::duration<double, std::milli>(m_process.now() - found->second.startedAt).count();
+		--m_busySlots;
 	}
 	m_runs.erase(found);
 	startNext();
@@ -219,10 +221,10 @@
 	auto lost = std::move(m_runs);
 	m_runs.clear();
 	m_waiting.clear();
-	m_busy = 0;
+	m_busySlots = 0;
 	for (auto& [id, run] : lost)
 	{
-		m_process.schedule(kBeside,
+		m_process.schedule(kLocalDelay,
 						   [done = std::move(run.done)]
 						   {
 							   done({node::BackendOutcome::kUnknown, false, 0, {}, {}});
--- a/tools/load_model/modelled_back_end.h
+++ b/tools/load_model/modelled_back_end.h
@@ -18,10 +18,10 @@
 using nested_call = std::function<void(const std::string& kind, int deadlineMs, std::function<void(bool)>)>;
 
 /// What back ends did, over the run.
-struct work_record
+struct slot_time_totals
 {
 	double usefulMs = 0;  //!< Slot time of runs that were answered with success.
-	double vainMs = 0;    //!< Of runs that failed or were cut off.
+	double wastedMs = 0;  //!< Of runs that failed or were cut off.
 };
 
 /// Runs a request: its own work, with the calls that it makes before. It holds its slot until it answers.
@@ -30,7 +30,7 @@
 public:
 	/// @param[in] _kinds By name; outlives the back end, as all else given here does.
 	modelled_back_end(simulation::Process& _process, base::RandomSource _random, const service_pattern& _service,
-					  double _speed, const std::map<std::string, kind_pattern>& _kinds, work_record& _record);
+					  double _speed, const std::map<std::string, kind_pattern>& _kinds, slot_time_totals& _totals);
 
 	void useNestedCalls(nested_call _call)
 	{
@@ -57,8 +57,8 @@
 		base::TimePoint deadline{};
 		base::TimePoint startedAt{};
 		bool started = false;
-		int waitsFor = 0;   //!< Nested calls without an answer.
-		int callsLeft = 0;  //!< Nested calls that are still to be made.
+		int pendingCalls = 0;    //!< Nested calls without an answer.
+		int remainingCalls = 0;  //!< Nested calls that are still to be made.
 		bool failed = false;
 	};
 
@@ -75,12 +75,12 @@
 	const service_pattern& m_service;
 	double m_speed;
 	const std::map<std::string, kind_pattern>& m_kinds;
-	work_record& m_record;
+	slot_time_totals& m_totals;
 	nested_call m_call;  //!< May be empty.
 	std::map<uint64_t, run> m_runs;
 	std::deque<uint64_t> m_waiting;
-	int m_busy = 0;
-	uint64_t m_last = 0;
+	int m_busySlots = 0;
+	uint64_t m_lastId = 0;
 	bool m_up = true;
 };
 
--- a/tools/load_model/modelled_link.h
+++ b/tools/load_model/modelled_link.h
@@ -19,13 +19,13 @@
 	}
 
 	/// @returns When bytes that are put on the link now have crossed it.
-	base::TimePoint carry(size_t _bytes, base::TimePoint _now)
+	base::TimePoint transmit(size_t _bytes, base::TimePoint _now)
 	{
 		const auto seconds = static_cast<double>(_bytes) / m_bytesPerSecond;
 		m_freeAt = std::max(m_freeAt, _now)
 				   + std::chrono::duration_cast<base::Duration>(std::chrono::duration<double>(seconds));
 		m_bytes += static_cast<int64_t>(_bytes);
-		m_longest = std::max<base::Duration>(m_longest, m_freeAt - _now);
+		m_maxDelay = std::max<base::Duration>(m_maxDelay, m_freeAt - _now);
 		return m_freeAt;
 	}
 
@@ -35,16 +35,16 @@
 	}
 
 	/// @returns The longest time for which anything has waited.
-	base::Duration longest() const
+	base::Duration maxDelay() const
 	{
-		return m_longest;
+		return m_maxDelay;
 	}
 
 private:
 	double m_bytesPerSecond;
 	base::TimePoint m_freeAt{};
 	int64_t m_bytes = 0;
-	base::Duration m_longest{0};
+	base::Duration m_maxDelay{0};
 };
 
 }  // namespace driftlug::load_model
--- a/tools/load_model/modelled_node.cc
+++ b/tools/load_model/modelled_node.cc
@@ -9,7 +9,7 @@
 {
 constexpr char kHost[] = "model.example";
 constexpr int kPort = 7000;
-constexpr int kLeastLeftMs = 20;  // with less, a caller does not ask again
+constexpr int kMinRetryTimeMs = 20;  // with less, a caller does not ask again
 
 std::string hostOf(size_t _position)
 {
@@ -91,7 +91,7 @@
 	node::InboundCall call;
 	call.method = "GET";
 	call.host = kHost;
-	call.path = "/" + _kind + "/" + std::to_string(++m_paths);
+	call.path = "/" + _kind + "/" + std::to_string(++m_lastPath);
 	call.deadlineMs = _deadlineMs;
 	call.body = _body;
 	return m_entry->begin(std::move(call), std::move(_done));
@@ -106,22 +106,22 @@
 		  });
 }
 
-void modelled_node::ask(const kind_pattern& _kind)
+void modelled_node::startRequest(const kind_pattern& _kind)
 {
 	auto& result = m_model.m_result.kinds[_kind.name];
-	++result.asked;
-	result.worth += _kind.worth;
-	auto request = std::make_shared<asked>();
+	++result.requests;
+	result.utility += _kind.utility;
+	auto request = std::make_shared<caller_request>();
 	request->kind = &_kind;
-	request->begunAt = m_process.now();
+	request->startedAt = m_process.now();
 	request->body = std::string(static_cast<size_t>(-_kind.requestBytes * std::log(1 - m_model.m_random.unit())), 'b');
 	attempt(request);
 }
 
-void modelled_node::attempt(const std::shared_ptr<asked>& _request)
+void modelled_node::attempt(const std::shared_ptr<caller_request>& _request)
 {
 	++_request->tries;
-	const auto waited = std::chrono::duration_cast<base::milliseconds>(m_process.now() - _request->begunAt);
+	const auto waited = std::chrono::duration_cast<base::milliseconds>(m_process.now() - _request->startedAt);
 	const auto left = _request->kind->deadlineMs - static_cast<int>(waited.count());
 	begin(_request->kind->name, left, _request->body,
 		  [this, _request](const node::CallAnswer& _answer)
@@ -130,23 +130,23 @@
 		  });
 }
 
-void modelled_node::onAnswer(const std::shared_ptr<asked>& _request, const node::CallAnswer& _answer)
+void modelled_node::onAnswer(const std::shared_ptr<caller_request>& _request, const node::CallAnswer& _answer)
 {
 	const auto& kind = *_request->kind;
 	auto& result = m_model.m_result.kinds[kind.name];
-	const auto waited = m_process.now() - _request->begunAt;
+	const auto waited = m_process.now() - _request->startedAt;
 	if (wire::CallOutcome::COMPLETED == _answer.outcome && 200 == _answer.httpStatus)
 	{
 		const bool inTime = waited <= base::milliseconds(kind.targetMs);
 		++(inTime ? result.inTime : result.late);
-		result.earned += kind.worth * (inTime ? 1 : kind.lateShare);
+		result.earnedUtility += kind.utility * (inTime ? 1 : kind.lateUtilityShare);
 		return;
 	}
 	const bool notRun = wire::CallOutcome::NOT_RUN == _answer.outcome;
-	result.refusedAgain += notRun && 1 < _request->tries ? 1 : 0;
+	result.refusedRetries += notRun && 1 < _request->tries ? 1 : 0;
 	const base::Duration left = base::milliseconds(kind.deadlineMs) - waited;
 	const bool mayAsk = kind.repeatable || notRun;
-	if (!mayAsk || _request->tries > kind.callerRetries || left < base::milliseconds(kLeastLeftMs))
+	if (!mayAsk || _request->tries > kind.callerRetries || left < base::milliseconds(kMinRetryTimeMs))
 	{
 		++(notRun ? result.refused : result.failed);
 		return;
--- a/tools/load_model/modelled_node.h
+++ b/tools/load_model/modelled_node.h
@@ -24,7 +24,7 @@
 	void start(const routing::RoutingTablePtr& _table, const std::vector<wire::EndpointState>& _states);
 
 	/// A caller asks for the first time.
-	void ask(const kind_pattern& _kind);
+	void startRequest(const kind_pattern& _kind);
 
 	void setUp(bool _up);
 
@@ -44,16 +44,16 @@
 
 private:
 	/// One request of a caller, with its tries.
-	struct asked
+	struct caller_request
 	{
 		const kind_pattern* kind = nullptr;
-		base::TimePoint begunAt{};
+		base::TimePoint startedAt{};
 		int tries = 0;
 		std::string body;
 	};
 
-	void attempt(const std::shared_ptr<asked>& _request);
-	void onAnswer(const std::shared_ptr<asked>& _request, const node::CallAnswer& _answer);
+	void attempt(const std::shared_ptr<caller_request>& _request);
+	void onAnswer(const std::shared_ptr<caller_request>& _request, const node::CallAnswer& _answer);
 	void callNested(const std::string& _kind, int _deadlineMs, std::function<void(bool)> _done);
 	node::CallId begin(const std::string& _kind, int _deadlineMs, const std::string& _body, node::AnswerCallback _done);
 
@@ -65,7 +65,7 @@
 	modelled_back_end m_backEnd;
 	std::unique_ptr<node::EntryCalls> m_entry;
 	std::unique_ptr<node::EndpointCalls> m_endpoint;
-	int64_t m_paths = 0;
+	int64_t m_lastPath = 0;
 };
 
 }  // namespace driftlug::load_model
--- a/tools/sim_main.cc
+++ b/tools/sim_main.cc
@@ -32,7 +32,7 @@
 
 using namespace driftlug;
 
-[[noreturn]] void refuse(const std::string& sentence) {
+[[noreturn]] void exitWithBadSetting(const std::string& sentence) {
   apps::exitWithError(base::makeError(base::ErrorCode::kBadSetting, sentence));
 }
 
@@ -45,7 +45,7 @@
   }
   for (const auto& name : base::splitList(FLAGS_fault)) {
     const auto* info = simulation::findFault(name);
-    if (info == nullptr) refuse("fault: '" + name + "' is not in --list-faults");
+    if (info == nullptr) exitWithBadSetting("fault: '" + name + "' is not in --list-faults");
     classes.push_back(info->kind);
   }
   return classes;
@@ -63,12 +63,12 @@
   options.meanEditGap = base::milliseconds(FLAGS_mean_edit_gap_ms);
   for (const auto& name : base::splitList(FLAGS_disable)) {
     const auto* info = simulation::findMechanism(name);
-    if (info == nullptr) refuse("disable: '" + name + "' is not in --list-mechanisms");
+    if (info == nullptr) exitWithBadSetting("disable: '" + name + "' is not in --list-mechanisms");
     options.plan.disabled.insert(info->mechanism);
   }
   int seconds = 0;
   const auto number = FLAGS_duration.substr(0, FLAGS_duration.find('s'));
-  if (!absl::SimpleAtoi(number, &seconds) || seconds < 30) refuse("duration: whole seconds, 30s at least");
+  if (!absl::SimpleAtoi(number, &seconds) || seconds < 30) exitWithBadSetting("duration: whole seconds, 30s at least");
   options.duration = base::seconds(seconds);
   return options;
 }
@@ -92,7 +92,7 @@
 int run() {
   const auto options = optionsFromSettings();
   tools::SeedRange range;
-  if (!tools::parseSeeds(FLAGS_seeds, &range)) refuse("seeds: '" + FLAGS_seeds + "' is not A-B");
+  if (!tools::parseSeeds(FLAGS_seeds, &range)) exitWithBadSetting("seeds: '" + FLAGS_seeds + "' is not A-B");
   const int cores = static_cast<int>(std::thread::hardware_concurrency());
   const int threads = FLAGS_threads > 0 ? FLAGS_threads : std::max(1, cores);
   const auto summary = tools::runSeeds(options, range, threads, FLAGS_stop_at_first);
@@ -125,6 +125,6 @@
     for (const auto& info : simulation::allFaults()) std::printf("%s\n", std::string(info.name).c_str());
     return 0;
   }
-  if (arguments.size() != 1 || arguments[0] != "run") refuse("say what to do: run");
+  if (arguments.size() != 1 || arguments[0] != "run") exitWithBadSetting("say what to do: run");
   return run();
 }
--- a/tools/simulated_plan.cc
+++ b/tools/simulated_plan.cc
@@ -14,7 +14,7 @@
 constexpr char kRegion[] = "region";
 constexpr int kStandardWeight = 100;
 
-wire::Mutation created(wire::Row row) {
+wire::Mutation creationOf(wire::Row row) {
   wire::Mutation mutation;
   mutation.row = std::move(row);
   return mutation;
@@ -57,7 +57,7 @@
   for (const auto& edit : tableEdits(deployment)) {
     const auto key = table::makeKey(table::kindFromName(edit["kind"].get<std::string>()), edit["name"]);
     auto row = table::rowFromJson(key, edit["row"]);
-    if (row.ok()) plan.table.push_back(created(*row));
+    if (row.ok()) plan.table.push_back(creationOf(*row));
   }
   int position = 0;
   for (const auto& service : deployment.services) {
@@ -67,7 +67,7 @@
       node.placement = zoneAt(i);
       node.services = {service.name};
       node.hasDisk = i % 2 == 0;
-      plan.table.push_back(created(endpointRow(node.name, service.name, position++, node.placement.zone)));
+      plan.table.push_back(creationOf(endpointRow(node.name, service.name, position++, node.placement.zone)));
       plan.nodes.push_back(node);
     }
   }
--- a/tools/soak/crash_keeper.cc
+++ b/tools/soak/back_end_supervisor.cc
@@ -1,4 +1,4 @@
-#include "soak/crash_keeper.h"
+#include "soak/back_end_supervisor.h"
 
 #include <algorithm>
 
@@ -8,49 +8,49 @@
 {
 namespace
 {
-constexpr base::Duration kAwayFor = base::milliseconds(1500);
+constexpr base::Duration kRestartDelay = base::milliseconds(1500);
 /// A fleet knows a crash everywhere within this time.
-constexpr base::Duration kKnownWithin = base::seconds(3);
-constexpr size_t kThird = 3;
+constexpr base::Duration kPropagationLimit = base::seconds(3);
+constexpr size_t kDetectionCrashes = 3;
 
 }  // namespace
 
-crash_keeper::crash_keeper(tools::Fleet& _fleet)
+back_end_supervisor::back_end_supervisor(tools::Fleet& _fleet)
 	: m_fleet(_fleet)
 {
 }
 
-void crash_keeper::look()
+void back_end_supervisor::poll()
 {
 	const auto now = m_fleet.http().loop().now();
 	for (const auto& endpoint : m_fleet.endpoints())
 	{
 		const auto& name = endpoint.backendName;
-		const auto away = m_away.find(name);
-		if (m_away.end() != away)
+		const auto away = m_downSince.find(name);
+		if (m_downSince.end() != away)
 		{
-			if (now - away->second > kAwayFor)
+			if (now - away->second > kRestartDelay)
 			{
 				m_fleet.processes().startAgain(name);
-				m_away.erase(away);
+				m_downSince.erase(away);
 			}
 			continue;
 		}
 		if (!m_fleet.processes().running(name))
 		{
-			m_away[name] = now;
+			m_downSince[name] = now;
 			m_crashes.push_back(now);
 		}
 	}
 }
 
-size_t crash_keeper::pastThird() const
+size_t back_end_supervisor::lateCrashes() const
 {
-	if (kThird > m_crashes.size())
+	if (kDetectionCrashes > m_crashes.size())
 	{
 		return 0;
 	}
-	const auto known = m_crashes[kThird - 1] + kKnownWithin;
+	const auto known = m_crashes[kDetectionCrashes - 1] + kPropagationLimit;
 	return static_cast<size_t>(std::count_if(m_crashes.begin(), m_crashes.end(),
 											 [&](base::TimePoint _at)
 											 {
--- a/tools/soak/crash_keeper.h
+++ b/tools/soak/back_end_supervisor.h
@@ -16,13 +16,13 @@
 namespace driftlug::soak
 {
 /// Watches back ends, one of whose requests ends the process that begins to run it.
-class crash_keeper
+class back_end_supervisor
 {
 public:
-	explicit crash_keeper(tools::Fleet& _fleet);
+	explicit back_end_supervisor(tools::Fleet& _fleet);
 
 	/// Looks at all back ends; those that have been away for long enough are started again.
-	void look();
+	void poll();
 
 	/// @returns Back ends that ended by themselves so far.
 	size_t crashes() const
@@ -31,17 +31,17 @@
 	}
 
 	/// @returns Those of them that ended later than some seconds after the third, by when all nodes must know.
-	size_t pastThird() const;
+	size_t lateCrashes() const;
 
 	/// @returns Whether every back end runs.
-	bool allRun() const
+	bool allRunning() const
 	{
-		return m_away.empty();
+		return m_downSince.empty();
 	}
 
 private:
 	tools::Fleet& m_fleet;
-	std::map<std::string, base::TimePoint> m_away;  //!< By name: since when.
+	std::map<std::string, base::TimePoint> m_downSince;  //!< By name: since when.
 	std::vector<base::TimePoint> m_crashes;
 };
 
--- a/tools/soak/callers_main.cc
+++ b/tools/soak/callers_main.cc
@@ -13,7 +13,7 @@
 #include "base/settings.h"
 #include "call_content.h"
 #include "daemon.h"
-#include "soak/open_connection.h"
+#include "soak/persistent_connection.h"
 
 DEFINE_string(targets, "", "entry nodes as host:port, separated by commas");
 DEFINE_string(host, "", "Host header of requests");
@@ -38,36 +38,36 @@
 struct target
 {
 	std::string name;
-	int64_t witnessUs = 0;
-	std::vector<std::unique_ptr<soak::open_connection>> connections;
+	int64_t newestAnsweredSentUs = 0;
+	std::vector<std::unique_ptr<soak::persistent_connection>> connections;
 };
 
-class callers;
+class caller_pool;
 
 /// Takes the outcomes of one target's connections.
-class target_watcher : public soak::request_watcher
+class target_observer : public soak::request_observer
 {
 public:
-	target_watcher(callers& _owner, target& _target)
+	target_observer(caller_pool& _owner, target& _target)
 		: m_owner(_owner)
 		, m_target(_target)
 	{
 	}
 
-	void onAnswered(const soak::open_request& _request, const transport::HttpHead& _head,
+	void onAnswered(const soak::pending_request& _request, const transport::HttpHead& _head,
 					const std::string& _body) override;
-	void onUnanswered(const soak::open_request& _request, soak::request_end _end) override;
+	void onUnanswered(const soak::pending_request& _request, soak::request_end _end) override;
 	void onStray() override;
 
 private:
-	callers& m_owner;
+	caller_pool& m_owner;
 	target& m_target;
 };
 
-class callers
+class caller_pool
 {
 public:
-	explicit callers(transport::EventLoop& _loop)
+	explicit caller_pool(transport::EventLoop& _loop)
 		: m_loop(_loop)
 		, m_random(static_cast<uint64_t>(FLAGS_seed))
 		, m_lookups(base::splitList(FLAGS_lookups))
@@ -110,19 +110,19 @@
 		return m_unanswered;
 	}
 
-	void onAnswered(target* _target, const soak::open_request& _request, const transport::HttpHead& _head,
+	void onAnswered(target* _target, const soak::pending_request& _request, const transport::HttpHead& _head,
 					const std::string& _body)
 	{
-		_target->witnessUs = std::max(_target->witnessUs, _request.sentUs);
-		note(_request, outcomeOf(_request, _head, _body));
+		_target->newestAnsweredSentUs = std::max(_target->newestAnsweredSentUs, _request.sentUs);
+		recordOutcome(_request, outcomeOf(_request, _head, _body));
 	}
 
-	void onUnanswered(const target& _target, const soak::open_request& _request, soak::request_end _end)
+	void onUnanswered(const target& _target, const soak::pending_request& _request, soak::request_end _end)
 	{
 		const auto nowUs = m_loop.now().time_since_epoch().count();
 		m_unanswered.push_back(
-			{_request.id, _target.name, _end, _request.keyed, _request.sentUs, nowUs, _target.witnessUs});
-		note(_request, "lost");
+			{_request.id, _target.name, _end, _request.keyed, _request.sentUs, nowUs, _target.newestAnsweredSentUs});
+		recordOutcome(_request, "lost");
 	}
 
 	void onStray()
@@ -136,21 +136,21 @@
 		m_targets.push_back(std::make_unique<target>());
 		auto& added = *m_targets.back();
 		added.name = _text;
-		m_watchers.push_back(std::make_unique<target_watcher>(*this, added));
+		m_observers.push_back(std::make_unique<target_observer>(*this, added));
 		const auto address = apps::parseAddressOrExit("targets", _text);
 		for (int i = 0; i < FLAGS_connections; ++i)
 		{
-			added.connections.push_back(std::make_unique<soak::open_connection>(
+			added.connections.push_back(std::make_unique<soak::persistent_connection>(
 				m_loop, address, trafficOf(i), base::RandomSource(m_random.bits()),
 				[this](std::string* _bytes)
 				{
 					return makeRequest(_bytes);
 				},
-				*m_watchers.back()));
+				*m_observers.back()));
 		}
 	}
 
-	static soak::open_connection::traffic trafficOf(int _connection)
+	static soak::persistent_connection::traffic trafficOf(int _connection)
 	{
 		constexpr int kKinds = 4;
 		switch (_connection % kKinds)
@@ -164,9 +164,9 @@
 		}
 	}
 
-	soak::open_request makeRequest(std::string* _bytes)
+	soak::pending_request makeRequest(std::string* _bytes)
 	{
-		soak::open_request request;
+		soak::pending_request request;
 		request.keyed = !m_filings.empty() && m_random.chance(FLAGS_filing_share);
 		request.id = fmt::format("open-{}-{:016x}", FLAGS_seed, m_random.bits());
 		const auto& paths = request.keyed ? m_filings : m_lookups;
@@ -185,7 +185,7 @@
 		return request;
 	}
 
-	static std::string outcomeOf(const soak::open_request& _request, const transport::HttpHead& _head,
+	static std::string outcomeOf(const soak::pending_request& _request, const transport::HttpHead& _head,
 								 const std::string& _body)
 	{
 		const auto body = json::parse(_body, nullptr, false);
@@ -204,7 +204,7 @@
 		return own && !content.empty() ? "ok" : "crossed";
 	}
 
-	void note(const soak::open_request& _request, const std::string& _outcome)
+	void recordOutcome(const soak::pending_request& _request, const std::string& _outcome)
 	{
 		++m_outcomes[_outcome];
 		if (_request.keyed)
@@ -241,25 +241,25 @@
 	std::vector<std::string> m_lookups;
 	std::vector<std::string> m_filings;
 	std::vector<std::unique_ptr<target>> m_targets;
-	std::vector<std::unique_ptr<target_watcher>> m_watchers;
+	std::vector<std::unique_ptr<target_observer>> m_observers;
 	std::vector<soak::unanswered_request> m_unanswered;
 	std::map<std::string, int64_t> m_outcomes;
 	json m_record = json::object();
 	int64_t m_sent = 0;
 };
 
-void target_watcher::onAnswered(const soak::open_request& _request, const transport::HttpHead& _head,
-								const std::string& _body)
+void target_observer::onAnswered(const soak::pending_request& _request, const transport::HttpHead& _head,
+								 const std::string& _body)
 {
 	m_owner.onAnswered(&m_target, _request, _head, _body);
 }
 
-void target_watcher::onUnanswered(const soak::open_request& _request, soak::request_end _end)
+void target_observer::onUnanswered(const soak::pending_request& _request, soak::request_end _end)
 {
 	m_owner.onUnanswered(m_target, _request, _end);
 }
 
-void target_watcher::onStray()
+void target_observer::onStray()
 {
 	m_owner.onStray();
 }
@@ -275,7 +275,7 @@
 	base::loadSettingsOrExit(argc, argv, "driftlug-soak-callers: callers that keep connections in use", false);
 	apps::configureLogsFromSettings();
 	transport::EventLoop loop;
-	callers all(loop);
+	caller_pool all(loop);
 	all.start();
 	loop.run();
 	std::ofstream(FLAGS_record) << all.record().dump();
--- a/tools/soak/connection_record.cc
+++ b/tools/soak/connection_record.cc
@@ -14,20 +14,21 @@
 constexpr int64_t kUsPerMs = 1000;
 
 /// Age from which a request counts as read that a witness follows: many turns of the loop of a busy process.
-constexpr int64_t kCrossingUs = 200 * kUsPerMs;
+constexpr int64_t kReadAgeUs = 200 * kUsPerMs;
 
 /// Age from which it counts as read without a witness: no process of a soak waits that long for its turn.
-constexpr int64_t kLongestTurnUs = 2'000 * kUsPerMs;
+constexpr int64_t kMaxLoopDelayUs = 2'000 * kUsPerMs;
 
 /// How long harm may show behind its end: what a paused process has to catch up with.
-constexpr int64_t kAfterHarmUs = 1'000 * kUsPerMs;
+constexpr int64_t kFaultRecoveryUs = 1'000 * kUsPerMs;
 
-bool harmed(const unanswered_request& _request, std::span<const harm_window> _harms)
+bool overlapsFault(const unanswered_request& _request, std::span<const fault_window> _faults)
 {
-	return std::any_of(_harms.begin(), _harms.end(),
-					   [&](const harm_window& _harm)
+	return std::any_of(_faults.begin(), _faults.end(),
+					   [&](const fault_window& _fault)
 					   {
-						   return _harm.fromUs <= _request.endedUs && _request.sentUs <= _harm.untilUs + kAfterHarmUs;
+						   return _fault.fromUs <= _request.endedUs
+								  && _request.sentUs <= _fault.untilUs + kFaultRecoveryUs;
 					   });
 }
 
@@ -49,19 +50,19 @@
 	{
 		return "it ran, and its connection was cut";
 	}
-	if (age > kCrossingUs && _request.witnessUs > _request.sentUs)
+	if (age > kReadAgeUs && _request.newestAnsweredSentUs > _request.sentUs)
 	{
 		return "its connection was cut while later requests were answered";
 	}
-	return age > kLongestTurnUs ? "its connection was cut long after it was sent" : nullptr;
+	return age > kMaxLoopDelayUs ? "its connection was cut long after it was sent" : nullptr;
 }
 
 }  // namespace
 
-std::string judge(const unanswered_request& _request, int _runs, std::span<const harm_window> _harms)
+std::string findViolation(const unanswered_request& _request, int _runs, std::span<const fault_window> _faults)
 {
 	const auto* reason = reasonOf(_request, _runs);
-	if (nullptr == reason || harmed(_request, _harms))
+	if (nullptr == reason || overlapsFault(_request, _faults))
 	{
 		return {};
 	}
@@ -80,12 +81,12 @@
 						{"keyed", request.keyed},
 						{"sent_us", request.sentUs},
 						{"ended_us", request.endedUs},
-						{"witness_us", request.witnessUs}});
+						{"witness_us", request.newestAnsweredSentUs}});
 	}
 	return list;
 }
 
-std::vector<unanswered_request> requestsOf(const json& _document)
+std::vector<unanswered_request> requestsFromJson(const json& _document)
 {
 	std::vector<unanswered_request> requests;
 	for (const auto& item : _document)
--- a/tools/soak/connection_record.h
+++ b/tools/soak/connection_record.h
@@ -30,11 +30,12 @@
 	bool keyed = false;  //!< May not be repeated; back ends keep a record of it.
 	int64_t sentUs = 0;
 	int64_t endedUs = 0;
-	int64_t witnessUs = 0;  //!< When the last request was sent to the target that it answered before the end.
+	int64_t newestAnsweredSentUs =
+		0;  //!< When the last request was sent to the target that it answered before the end.
 };
 
 /// A time in which a process was harmed, in microseconds of the monotonic clock.
-struct harm_window
+struct fault_window
 {
 	int64_t fromUs = 0;
 	int64_t untilUs = 0;
@@ -49,11 +50,11 @@
 /// @param[in] _runs How often back ends ran it, as far as they keep a record.
 /// @param[in] _harms When the process was harmed by anything but planned stops.
 /// @returns What is wrong, empty when nothing is.
-std::string judge(const unanswered_request& _request, int _runs, std::span<const harm_window> _harms);
+std::string findViolation(const unanswered_request& _request, int _runs, std::span<const fault_window> _faults);
 
 /// Writes requests as JSON, and reads them.
 nlohmann::json toJson(std::span<const unanswered_request> _requests);
-std::vector<unanswered_request> requestsOf(const nlohmann::json& _document);
+std::vector<unanswered_request> requestsFromJson(const nlohmann::json& _document);
 
 }  // namespace driftlug::soak
 
--- a/tools/soak/fault_injector.cc
+++ b/tools/soak/fault_injector.cc
@@ -15,10 +15,10 @@
 /// A planned stop has 10 s for its calls; the rest is what a busy machine takes.
 constexpr base::Duration kStopTimeout = base::seconds(15);
 
-class process_faults : public process_fault_injector
+class signal_injector : public process_fault_injector
 {
 public:
-	process_faults(tools::Fleet& _fleet, bool _stopByKill)
+	signal_injector(tools::Fleet& _fleet, bool _stopByKill)
 		: m_fleet(_fleet)
 		, m_stopByKill(_stopByKill)
 	{
@@ -29,7 +29,7 @@
 		m_fleet.processes().signal(_step.target, signalOf(_step.action));
 		if (soak_action::kill == _step.action || soak_action::restart == _step.action)
 		{
-			auto& state = m_ending[_step.target];
+			auto& state = m_stops[_step.target];
 			state.since = m_fleet.http().loop().now();
 			state.planned = soak_action::restart == _step.action && (0 == state.faults || state.planned);
 			state.startAgain = false;
@@ -42,18 +42,18 @@
 		if (soak_action::pause == _step.action)
 		{
 			// A stop that was in progress has its time from here on.
-			if (const auto stopping = m_ending.find(_step.target); m_ending.end() != stopping)
+			if (const auto stopping = m_stops.find(_step.target); m_stops.end() != stopping)
 			{
 				stopping->second.since = m_fleet.http().loop().now();
 			}
 			return m_fleet.processes().signal(_step.target, SIGCONT);
 		}
-		m_ending[_step.target].startAgain = true;
+		m_stops[_step.target].startAgain = true;
 	}
 
 	std::string poll(std::vector<std::string>* _started) override
 	{
-		for (auto& [name, state] : m_ending)
+		for (auto& [name, state] : m_stops)
 		{
 			if (m_fleet.processes().running(name))
 			{
@@ -77,7 +77,7 @@
 			{
 				m_fleet.processes().startAgain(name);
 				_started->insert(_started->end(), static_cast<size_t>(state.faults), name);
-				m_ending.erase(name);
+				m_stops.erase(name);
 				return {};
 			}
 		}
@@ -86,16 +86,16 @@
 
 	void expectEarlyStop(const std::string& _name) override
 	{
-		m_ending[_name].early = true;
+		m_stops[_name].early = true;
 	}
 
-	bool settled() const override
+	bool allRestarted() const override
 	{
-		return m_ending.empty();
+		return m_stops.empty();
 	}
 
 private:
-	struct ending
+	struct stop_state
 	{
 		base::TimePoint since{};
 		int faults = 0;  // that end it, if one comes while the last one's stop is in progress
@@ -121,13 +121,13 @@
 
 	tools::Fleet& m_fleet;
 	bool m_stopByKill;
-	std::map<std::string, ending> m_ending;
+	std::map<std::string, stop_state> m_stops;
 };
 
-class link_faults : public fault_injector
+class proxy_injector : public fault_injector
 {
 public:
-	explicit link_faults(tools::Fleet& _fleet)
+	explicit proxy_injector(tools::Fleet& _fleet)
 		: m_fleet(_fleet)
 	{
 	}
@@ -148,14 +148,14 @@
 
 }  // namespace
 
-std::unique_ptr<process_fault_injector> makeProcessFaults(tools::Fleet& _fleet, bool _stopByKill)
+std::unique_ptr<process_fault_injector> makeProcessFaultInjector(tools::Fleet& _fleet, bool _stopByKill)
 {
-	return std::make_unique<process_faults>(_fleet, _stopByKill);
+	return std::make_unique<signal_injector>(_fleet, _stopByKill);
 }
 
-std::unique_ptr<fault_injector> makeLinkFaults(tools::Fleet& _fleet)
+std::unique_ptr<fault_injector> makeLinkFaultInjector(tools::Fleet& _fleet)
 {
-	return std::make_unique<link_faults>(_fleet);
+	return std::make_unique<proxy_injector>(_fleet);
 }
 
 }  // namespace driftlug::soak
--- a/tools/soak/fault_injector.h
+++ b/tools/soak/fault_injector.h
@@ -43,15 +43,15 @@
 	virtual void expectEarlyStop(const std::string& _name) = 0;
 
 	/// @returns Whether every process runs again whose fault has ended.
-	virtual bool settled() const = 0;
+	virtual bool allRestarted() const = 0;
 };
 
 /// Signals to processes that the fleet has started.
 /// @param[in] _stopByKill Whether a planned stop kills, to prove that the checks trip.
-std::unique_ptr<process_fault_injector> makeProcessFaults(tools::Fleet& _fleet, bool _stopByKill);
+std::unique_ptr<process_fault_injector> makeProcessFaultInjector(tools::Fleet& _fleet, bool _stopByKill);
 
 /// Faults of the links before processes.
-std::unique_ptr<fault_injector> makeLinkFaults(tools::Fleet& _fleet);
+std::unique_ptr<fault_injector> makeLinkFaultInjector(tools::Fleet& _fleet);
 
 }  // namespace driftlug::soak
 
--- a/tools/soak/fault_proxy.cc
+++ b/tools/soak/fault_proxy.cc
@@ -54,10 +54,10 @@
 	m_connections[id] = std::make_unique<relayed_connection>(*this, id, std::move(_client));
 }
 
-void fault_proxy::setFault(link_fault _fault, const fault_extent& _extent)
+void fault_proxy::setFault(link_fault _fault, const fault_parameters& _parameters)
 {
 	m_fault = _fault;
-	m_extent = _extent;
+	m_parameters = _parameters;
 	std::vector<relayed_connection*> all;
 	for (const auto& [id, connection] : m_connections)
 	{
@@ -81,7 +81,7 @@
 
 int64_t fault_proxy::bytesPerSecond() const
 {
-	return link_fault::throttle == m_fault ? m_extent.bytesPerSecond : m_capacity;
+	return link_fault::throttle == m_fault ? m_parameters.bytesPerSecond : m_capacity;
 }
 
 base::TimePoint fault_proxy::reserve(bool _toServer, size_t _bytes)
@@ -93,7 +93,7 @@
 	return free;
 }
 
-void fault_proxy::forget(uint64_t _id)
+void fault_proxy::scheduleRemoval(uint64_t _id)
 {
 	m_loop.schedule(base::Duration(0),
 					[this, alive = std::weak_ptr<bool>(m_alive), _id]
--- a/tools/soak/fault_proxy.h
+++ b/tools/soak/fault_proxy.h
@@ -38,14 +38,14 @@
 	int port() const;
 
 	/// What a fault needs beside its kind.
-	struct fault_extent
+	struct fault_parameters
 	{
 		base::Duration delay{0};     //!< Of each direction, with `link_fault::delay`.
 		int64_t bytesPerSecond = 0;  //!< Of each direction, with `link_fault::throttle`.
 	};
 
 	/// Puts another fault in force.
-	void setFault(link_fault _fault, const fault_extent& _extent);
+	void setFault(link_fault _fault, const fault_parameters& _parameters);
 
 	/// Sets what the link carries in each direction while no fault throttles it.
 	/// @param[in] _bytesPerSecond 0 for any number.
@@ -58,7 +58,7 @@
 	friend class relayed_connection;
 
 	void onAccepted(std::shared_ptr<transport::TcpStream> _client);
-	void forget(uint64_t _id);
+	void scheduleRemoval(uint64_t _id);
 
 	/// @returns What the link carries in each direction, in bytes a second; 0 for any number.
 	int64_t bytesPerSecond() const;
@@ -71,7 +71,7 @@
 	base::Address m_target;
 	transport::TcpListener m_listener;
 	link_fault m_fault = link_fault::none;
-	fault_extent m_extent;
+	fault_parameters m_parameters;
 	int64_t m_capacity = 0;
 	base::TimePoint m_freeToServer{};  // when the link has passed all that was reserved
 	base::TimePoint m_freeToClient{};
--- a/tools/soak/fault_proxy_main.cc
+++ b/tools/soak/fault_proxy_main.cc
@@ -23,16 +23,16 @@
 constexpr char kLoopback[] = "127.0.0.1";
 constexpr int kBadRequest = 400;
 
-using proxies = std::map<std::string, std::unique_ptr<soak::fault_proxy>>;
+using proxy_map = std::map<std::string, std::unique_ptr<soak::fault_proxy>>;
 
-[[noreturn]] void refuse(const std::string& _text)
+[[noreturn]] void exitWithBadLink(const std::string& _text)
 {
 	apps::exitWithError(base::makeError(base::ErrorCode::kBadSetting, "links: '" + _text + "' is not name=port:port"));
 }
 
-proxies listenOrExit(transport::EventLoop& _loop)
+proxy_map listenOrExit(transport::EventLoop& _loop)
 {
-	proxies all;
+	proxy_map all;
 	for (const auto& text : base::splitList(FLAGS_links))
 	{
 		const std::pair<std::string, std::string> link = absl::StrSplit(text, '=');
@@ -41,7 +41,7 @@
 		int target = 0;
 		if (!absl::SimpleAtoi(ports.first, &port) || !absl::SimpleAtoi(ports.second, &target))
 		{
-			refuse(text);
+			exitWithBadLink(text);
 		}
 		auto& proxy = all[link.first];
 		proxy = std::make_unique<soak::fault_proxy>(_loop, base::Address{kLoopback, target});
@@ -55,7 +55,7 @@
 	return all;
 }
 
-transport::HttpResponse setFault(const proxies& _proxies, const transport::HttpRequest& _request)
+transport::HttpResponse setFault(const proxy_map& _proxies, const transport::HttpRequest& _request)
 {
 	const auto found = _proxies.find(_request.parameter("link"));
 	const auto fault = soak::faultOf(_request.parameter("fault"));
--- a/tools/soak/open_connection.cc
+++ b/tools/soak/persistent_connection.cc
@@ -1,46 +1,47 @@
-#include "soak/open_connection.h"
+#include "soak/persistent_connection.h"
 
 namespace driftlug::soak
 {
 namespace
 {
 /// Before a connection is opened again: a server that starts takes about that long.
-constexpr base::Duration kReopen = base::milliseconds(50);
+constexpr base::Duration kReconnectDelay = base::milliseconds(50);
 
 /// After which an answer doesn't come any more: twice the time of the slowest route, and what a busy machine takes.
-constexpr base::Duration kSilence = base::seconds(8);
+constexpr base::Duration kAnswerTimeout = base::seconds(8);
 
 }  // namespace
 
-open_connection::open_connection(transport::EventLoop& _loop, const base::Address& _target, const traffic& _traffic,
-								 base::RandomSource _random, request_maker _make, request_watcher& _watcher)
+persistent_connection::persistent_connection(transport::EventLoop& _loop, const base::Address& _target,
+											 const traffic& _traffic, base::RandomSource _random, request_factory _make,
+											 request_observer& _observer)
 	: m_loop(_loop)
 	, m_target(_target)
 	, m_traffic(_traffic)
 	, m_random(_random)
-	, m_make(std::move(_make))
-	, m_watcher(_watcher)
-	, m_next(_loop,
-			 [this]
-			 {
-				 if (nullptr == m_stream)
-				 {
-					 open();
-				 }
-				 else
-				 {
-					 send();
-				 }
-			 })
-	, m_silence(_loop,
-				[this]
-				{
-					onSilence();
-				})
+	, m_makeRequest(std::move(_make))
+	, m_observer(_observer)
+	, m_nextTimer(_loop,
+				  [this]
+				  {
+					  if (nullptr == m_stream)
+					  {
+						  open();
+					  }
+					  else
+					  {
+						  send();
+					  }
+				  })
+	, m_answerTimer(_loop,
+					[this]
+					{
+						onAnswerTimeout();
+					})
 {
 }
 
-open_connection::~open_connection()
+persistent_connection::~persistent_connection()
 {
 	if (nullptr != m_stream)
 	{
@@ -48,27 +49,27 @@
 	}
 }
 
-void open_connection::start()
+void persistent_connection::start()
 {
 	open();
 }
 
-void open_connection::finish()
+void persistent_connection::finish()
 {
 	m_finishing = true;
 }
 
-size_t open_connection::outstanding() const
+size_t persistent_connection::outstanding() const
 {
 	return m_outstanding.size();
 }
 
-base::Duration open_connection::pause()
+base::Duration persistent_connection::drawPause()
 {
-	return m_random.duration(m_traffic.longestPause) + base::Duration(1);
+	return m_random.duration(m_traffic.maxPause) + base::Duration(1);
 }
 
-void open_connection::open()
+void persistent_connection::open()
 {
 	if (m_finishing)
 	{
@@ -81,13 +82,13 @@
 	m_stream = transport::TcpStream::connect(m_loop, m_target, this, {});
 }
 
-void open_connection::onConnected()
+void persistent_connection::onConnected()
 {
 	m_connected = true;
 	send();
 }
 
-void open_connection::send()
+void persistent_connection::send()
 {
 	if (m_finishing || !m_connected || m_closeAnnounced || !m_outstanding.empty())
 	{
@@ -98,32 +99,32 @@
 	for (uint64_t i = 0; i < count; ++i)
 	{
 		std::string request;
-		m_outstanding.push_back(m_make(&request));
+		m_outstanding.push_back(m_makeRequest(&request));
 		m_outstanding.back().sentUs = m_loop.now().time_since_epoch().count();
 		bytes += request;
 	}
 	m_stream->write(bytes);
-	m_silence.start(kSilence);
+	m_answerTimer.start(kAnswerTimeout);
 }
 
-bool open_connection::onMessage()
+bool persistent_connection::onMessage()
 {
 	const auto head = m_reader->takeHead();
 	const auto body = m_reader->takeBody();
 	if (m_outstanding.empty())
 	{
-		m_watcher.onStray();
+		m_observer.onStray();
 		return false;
 	}
 	const auto request = std::move(m_outstanding.front());
 	m_outstanding.pop_front();
 	m_closeAnnounced = m_closeAnnounced || !head.keepAlive;
-	m_watcher.onAnswered(request, head, body);
-	m_silence.start(kSilence);
+	m_observer.onAnswered(request, head, body);
+	m_answerTimer.start(kAnswerTimeout);
 	return true;
 }
 
-void open_connection::onBytes(std::string_view _bytes)
+void persistent_connection::onBytes(std::string_view _bytes)
 {
 	while (!_bytes.empty())
 	{
@@ -134,7 +135,7 @@
 		}
 		if (transport::HttpProgress::kMessage != progress)
 		{
-			m_watcher.onStray();
+			m_observer.onStray();
 			break;
 		}
 		if (!onMessage())
@@ -144,38 +145,38 @@
 	}
 	if (m_outstanding.empty())
 	{
-		m_silence.stop();
-		m_next.start(pause());
+		m_answerTimer.stop();
+		m_nextTimer.start(drawPause());
 	}
 }
 
-void open_connection::giveUp(request_end _end)
+void persistent_connection::failOutstanding(request_end _end)
 {
-	m_silence.stop();
+	m_answerTimer.stop();
 	for (const auto& request : m_outstanding)
 	{
-		m_watcher.onUnanswered(request, _end);
+		m_observer.onUnanswered(request, _end);
 		// Only the first one's answer had begun.
 		_end = request_end::partial == _end ? request_end::cut : _end;
 	}
 	m_outstanding.clear();
 	m_stream->close();
 	m_stream.reset();
-	m_next.start(kReopen);
+	m_nextTimer.start(kReconnectDelay);
 }
 
-void open_connection::onSilence()
+void persistent_connection::onAnswerTimeout()
 {
-	giveUp(m_closeAnnounced ? request_end::unread : request_end::silent);
+	failOutstanding(m_closeAnnounced ? request_end::unread : request_end::silent);
 }
 
-void open_connection::onClosed(bool /*_orderly*/)
+void persistent_connection::onClosed(bool /*_orderly*/)
 {
 	if (m_reader->midMessage())
 	{
-		return giveUp(request_end::partial);
+		return failOutstanding(request_end::partial);
 	}
-	giveUp(m_closeAnnounced ? request_end::unread : request_end::cut);
+	failOutstanding(m_closeAnnounced ? request_end::unread : request_end::cut);
 }
 
 }  // namespace driftlug::soak
--- a/tools/soak/open_connection.h
+++ b/tools/soak/persistent_connection.h
@@ -15,7 +15,7 @@
 namespace driftlug::soak
 {
 /// One request that waits for its answer.
-struct open_request
+struct pending_request
 {
 	std::string id;
 	std::string digest;  //!< Of its body.
@@ -24,17 +24,17 @@
 };
 
 /// Takes what becomes of the requests of a connection.
-class request_watcher
+class request_observer
 {
 public:
-	virtual ~request_watcher() = default;
+	virtual ~request_observer() = default;
 
 	/// A whole answer came.
-	virtual void onAnswered(const open_request& _request, const transport::HttpHead& _head,
+	virtual void onAnswered(const pending_request& _request, const transport::HttpHead& _head,
 							const std::string& _body) = 0;
 
 	/// None came.
-	virtual void onUnanswered(const open_request& _request, request_end _end) = 0;
+	virtual void onUnanswered(const pending_request& _request, request_end _end) = 0;
 
 	/// Bytes came that answer nothing.
 	virtual void onStray() = 0;
@@ -43,22 +43,22 @@
 /// Keeps one connection to a server open and in use, and opens the next one when it ends.
 ///
 /// A connection on which no answer said that it closes is used until it ends, whatever is known of the server.
-class open_connection : private transport::StreamHandler
+class persistent_connection : private transport::StreamHandler
 {
 public:
 	/// What a connection sends.
 	struct traffic
 	{
 		size_t burst = 1;  //!< Requests sent at once, at most; more than one are pipelined.
-		base::Duration longestPause = base::milliseconds(400);
+		base::Duration maxPause = base::milliseconds(400);
 	};
 
 	/// Makes the next request, and its bytes as they are sent.
-	using request_maker = std::function<open_request(std::string*)>;
+	using request_factory = std::function<pending_request(std::string*)>;
 
-	open_connection(transport::EventLoop& _loop, const base::Address& _target, const traffic& _traffic,
-					base::RandomSource _random, request_maker _make, request_watcher& _watcher);
-	~open_connection() override;
+	persistent_connection(transport::EventLoop& _loop, const base::Address& _target, const traffic& _traffic,
+						  base::RandomSource _random, request_factory _make, request_observer& _observer);
+	~persistent_connection() override;
 
 	/// Opens the connection and keeps it in use.
 	void start();
@@ -76,25 +76,25 @@
 
 	void open();
 	void send();
-	void onSilence();
+	void onAnswerTimeout();
 	bool onMessage();
-	void giveUp(request_end _end);
-	base::Duration pause();
+	void failOutstanding(request_end _end);
+	base::Duration drawPause();
 
 	transport::EventLoop& m_loop;
 	base::Address m_target;
 	traffic m_traffic;
 	base::RandomSource m_random;
-	request_maker m_make;
-	request_watcher& m_watcher;
+	request_factory m_makeRequest;
+	request_observer& m_observer;
 	std::shared_ptr<transport::TcpStream> m_stream;
 	std::unique_ptr<transport::HttpReader> m_reader;
-	std::deque<open_request> m_outstanding;
+	std::deque<pending_request> m_outstanding;
 	bool m_connected = false;
 	bool m_closeAnnounced = false;
 	bool m_finishing = false;
-	base::Timer m_next;     // for the next requests, or the next connection
-	base::Timer m_silence;  // since the last answer, while one is waited for
+	base::Timer m_nextTimer;    // for the next requests, or the next connection
+	base::Timer m_answerTimer;  // since the last answer, while one is waited for
 };
 
 }  // namespace driftlug::soak
--- a/tools/soak/relayed_connection.cc
+++ b/tools/soak/relayed_connection.cc
@@ -39,28 +39,28 @@
 
 void relayed_connection::direction::onBytes(std::string_view _bytes)
 {
-	owner->hold(this, {{}, std::string(_bytes), false});
+	owner->enqueue(this, {{}, std::string(_bytes), false});
 }
 
 void relayed_connection::direction::onClosed(bool /*_orderly*/)
 {
-	owner->hold(this, {{}, {}, true});
+	owner->enqueue(this, {{}, {}, true});
 }
 
-void relayed_connection::hold(direction* _direction, chunk _chunk)
+void relayed_connection::enqueue(direction* _direction, chunk _chunk)
 {
 	if (m_muted)
 	{
 		return dropMuted(_direction, _chunk.end);
 	}
-	const auto delay = link_fault::delay == m_owner.m_fault ? m_owner.m_extent.delay : base::Duration(0);
+	const auto delay = link_fault::delay == m_owner.m_fault ? m_owner.m_parameters.delay : base::Duration(0);
 	_chunk.due = m_owner.m_loop.now() + delay;
-	if (!_direction->held.empty())
+	if (!_direction->queue.empty())
 	{
-		_chunk.due = std::max(_chunk.due, _direction->held.back().due);
+		_chunk.due = std::max(_chunk.due, _direction->queue.back().due);
 	}
-	_direction->heldBytes += _chunk.bytes.size();
-	_direction->held.push_back(std::move(_chunk));
+	_direction->queuedBytes += _chunk.bytes.size();
+	_direction->queue.push_back(std::move(_chunk));
 	throttleSender(_direction);
 	// Not from within an event of a stream: the end of a connection destroys both.
 	if (!m_timer.running())
@@ -75,8 +75,8 @@
 	m_timer.stop();
 	for (auto* direction : {&m_toServer, &m_toClient})
 	{
-		direction->ended = !direction->held.empty() && direction->held.back().end;
-		direction->held.clear();
+		direction->ended = !direction->queue.empty() && direction->queue.back().end;
+		direction->queue.clear();
 	}
 }
 
@@ -85,7 +85,7 @@
 	_direction->ended = _direction->ended || _end;
 	if (m_toServer.ended && m_toClient.ended)
 	{
-		m_owner.forget(m_id);
+		m_owner.scheduleRemoval(m_id);
 	}
 }
 
@@ -97,7 +97,7 @@
 
 void relayed_connection::throttleSender(direction* _direction)
 {
-	const bool reading = 0 == m_owner.bytesPerSecond() || _direction->heldBytes < kThrottledBufferBytes;
+	const bool reading = 0 == m_owner.bytesPerSecond() || _direction->queuedBytes < kThrottledBufferBytes;
 	if (reading != _direction->reading)
 	{
 		_direction->reading = reading;
@@ -107,7 +107,7 @@
 
 size_t relayed_connection::nextPiece(direction* _direction)
 {
-	const auto waiting = _direction->held.front().bytes.size();
+	const auto waiting = _direction->queue.front().bytes.size();
 	if (0 == m_owner.bytesPerSecond() || 0 == waiting)
 	{
 		_direction->pieceBytes = 0;
@@ -123,20 +123,20 @@
 
 base::TimePoint relayed_connection::nextDue(const direction& _direction) const
 {
-	if (_direction.held.empty() || blocked(_direction))
+	if (_direction.queue.empty() || blocked(_direction))
 	{
 		return base::TimePoint::max();
 	}
-	const auto due = _direction.held.front().due;
+	const auto due = _direction.queue.front().due;
 	return 0 == _direction.pieceBytes ? due : std::max(due, _direction.pieceDue);
 }
 
 bool relayed_connection::deliver(direction* _direction, transport::TcpStream* _to)
 {
 	const auto now = m_owner.m_loop.now();
-	while (!_direction->held.empty() && _direction->held.front().due <= now && !blocked(*_direction))
+	while (!_direction->queue.empty() && _direction->queue.front().due <= now && !blocked(*_direction))
 	{
-		auto& first = _direction->held.front();
+		auto& first = _direction->queue.front();
 		if (first.end)
 		{
 			return false;
@@ -148,11 +148,11 @@
 		}
 		_direction->pieceBytes = 0;
 		_to->write(std::string_view(first.bytes).substr(0, bytes));
-		_direction->heldBytes -= bytes;
+		_direction->queuedBytes -= bytes;
 		first.bytes.erase(0, bytes);
 		if (first.bytes.empty())
 		{
-			_direction->held.pop_front();
+			_direction->queue.pop_front();
 		}
 	}
 	throttleSender(_direction);
@@ -168,7 +168,7 @@
 	if (link_fault::reset == m_owner.m_fault || !deliver(&m_toServer, m_toClient.from.get())
 		|| !deliver(&m_toClient, m_toServer.from.get()))
 	{
-		return m_owner.forget(m_id);
+		return m_owner.scheduleRemoval(m_id);
 	}
 	const auto next = std::min(nextDue(m_toServer), nextDue(m_toClient));
 	if (base::TimePoint::max() != next)
--- a/tools/soak/relayed_connection.h
+++ b/tools/soak/relayed_connection.h
@@ -39,15 +39,15 @@
 		relayed_connection* owner = nullptr;
 		bool toServer = false;
 		std::shared_ptr<transport::TcpStream> from;
-		std::deque<chunk> held;
-		size_t heldBytes = 0;
+		std::deque<chunk> queue;
+		size_t queuedBytes = 0;
 		bool reading = true;
 		bool ended = false;          //!< The sender has closed; kept of a muted connection.
 		size_t pieceBytes = 0;       //!< For which the link's time is taken; 0 when there is none.
 		base::TimePoint pieceDue{};  //!< When they have passed the link.
 	};
 
-	void hold(direction* _direction, chunk _chunk);
+	void enqueue(direction* _direction, chunk _chunk);
 	bool blocked(const direction& _direction) const;
 	bool deliver(direction* _direction, transport::TcpStream* _to);
 	size_t nextPiece(direction* _direction);
--- a/tools/soak/soak_plan.cc
+++ b/tools/soak/soak_plan.cc
@@ -11,15 +11,15 @@
 {
 namespace
 {
-constexpr int kShortestFaultMs = 200;
-constexpr int kLongestDelayMs = 80;
-constexpr int kLongestStormMs = 3'000;
-constexpr int kElectionMs = 1'200;         // For which a disturbed election takes all controllers.
-constexpr int kSecondSignalMs = 500;       // After a stop, at the latest.
-constexpr int kRollingGapMs = 250;         // Between two stops of a rolling stop that is drawn.
-constexpr int kRollingDownMs = 700;        // Before a node of it is started again, at the earliest.
-constexpr int kSlowestLink = 20'000;       // Bytes a second.
-constexpr int kFastestThrottle = 200'000;  // Bytes a second.
+constexpr int kMinFaultMs = 200;
+constexpr int kMaxDelayMs = 80;
+constexpr int kMaxEditStormMs = 3'000;
+constexpr int kElectionFaultMs = 1'200;              // For which a disturbed election takes all controllers.
+constexpr int kMaxSecondSignalDelayMs = 500;         // After a stop, at the latest.
+constexpr int kRollingGapMs = 250;                   // Between two stops of a rolling stop that is drawn.
+constexpr int kRollingRestartDelayMs = 700;          // Before a node of it is started again, at the earliest.
+constexpr int kMinThrottleBytesPerSecond = 20'000;   // Bytes a second.
+constexpr int kMaxThrottleBytesPerSecond = 200'000;  // Bytes a second.
 constexpr link_fault kLinkFaults[] = {link_fault::delay,       link_fault::silence, link_fault::silence_in,
 									  link_fault::silence_out, link_fault::reset,   link_fault::throttle,
 									  link_fault::mute};
@@ -37,13 +37,13 @@
 }
 
 /// Draws one plan.
-class plan_drawer
+class plan_generator
 {
 public:
-	plan_drawer(uint64_t _seed, std::span<const soak_target> _targets, const soak_shape& _shape)
+	plan_generator(uint64_t _seed, std::span<const soak_target> _targets, const plan_options& _options)
 		: m_random(_seed)
 		, m_targets(_targets)
-		, m_shape(_shape)
+		, m_options(_options)
 	{
 	}
 
@@ -52,8 +52,8 @@
 		int atMs = 0;
 		while (true)
 		{
-			atMs += 1 + static_cast<int>(m_random.below(2 * static_cast<uint64_t>(m_shape.meanGapMs)));
-			if (atMs + kShortestFaultMs > m_shape.durationMs)
+			atMs += 1 + static_cast<int>(m_random.below(2 * static_cast<uint64_t>(m_options.meanGapMs)));
+			if (atMs + kMinFaultMs > m_options.durationMs)
 			{
 				break;
 			}
@@ -79,7 +79,7 @@
 		const double kind = m_random.unit();
 		if (kind < 0.06)
 		{
-			return add({_atMs, drawBetween(kShortestFaultMs, kLongestStormMs), {}, soak_action::edit_storm});
+			return add({_atMs, drawBetween(kMinFaultMs, kMaxEditStormMs), {}, soak_action::edit_storm});
 		}
 		if (kind < 0.12)
 		{
@@ -114,13 +114,13 @@
 	/// The leader stops, and another controller while its successor is elected.
 	void drawElection(int _atMs)
 	{
-		if (harmedControllers(_atMs) > 0 || _atMs < m_electionUntil || !fits(_atMs, kElectionMs))
+		if (faultyControllers(_atMs) > 0 || _atMs < m_electionUntil || !fits(_atMs, kElectionFaultMs))
 		{
 			return;
 		}
-		m_electionUntil = _atMs + kElectionMs;
-		add({_atMs, drawBetween(kShortestFaultMs, kElectionMs / 2), std::string(kLeaderTarget), soak_action::restart});
-		add({_atMs + drawBetween(50, kElectionMs / 3), kShortestFaultMs, std::string(kFollowerTarget),
+		m_electionUntil = _atMs + kElectionFaultMs;
+		add({_atMs, drawBetween(kMinFaultMs, kElectionFaultMs / 2), std::string(kLeaderTarget), soak_action::restart});
+		add({_atMs + drawBetween(50, kElectionFaultMs / 3), kMinFaultMs, std::string(kFollowerTarget),
 			 soak_action::restart});
 	}
 
@@ -130,33 +130,33 @@
 		for (const auto& target : m_targets)
 		{
 			const bool node = soak_role::node == target.role || soak_role::entry == target.role;
-			if (node && free(target, domain::process, _atMs) && fits(_atMs, kRollingDownMs))
+			if (node && isFree(target, domain::process, _atMs) && fits(_atMs, kRollingRestartDelayMs))
 			{
-				take(target.name, domain::process, _atMs + kRollingDownMs);
-				add({_atMs, kRollingDownMs, target.name, soak_action::restart});
+				reserve(target.name, domain::process, _atMs + kRollingRestartDelayMs);
+				add({_atMs, kRollingRestartDelayMs, target.name, soak_action::restart});
 				_atMs += kRollingGapMs;
 			}
 		}
-		add({begunMs, std::max(kShortestFaultMs, _atMs - begunMs), {}, soak_action::edit_storm});
+		add({begunMs, std::max(kMinFaultMs, _atMs - begunMs), {}, soak_action::edit_storm});
 	}
 
 	void drawFault(int _atMs)
 	{
 		soak_step step;
 		step.atMs = _atMs;
-		step.forMs = drawBetween(kShortestFaultMs, m_shape.longestFaultMs - 1);
+		step.forMs = drawBetween(kMinFaultMs, m_options.maxFaultMs - 1);
 		const auto& target = m_targets[m_random.below(m_targets.size())];
 		step.target = target.name;
 		step.action = drawAction(target.role);
 		step.fault =
 			soak_action::link == step.action ? kLinkFaults[m_random.below(std::size(kLinkFaults))] : step.fault;
-		step.delayMs = drawBetween(1, kLongestDelayMs);
-		step.bytesPerSecond = drawBetween(kSlowestLink, kFastestThrottle);
-		if (!fits(_atMs, step.forMs) || !free(target, domainOf(step.action), _atMs))
+		step.delayMs = drawBetween(1, kMaxDelayMs);
+		step.bytesPerSecond = drawBetween(kMinThrottleBytesPerSecond, kMaxThrottleBytesPerSecond);
+		if (!fits(_atMs, step.forMs) || !isFree(target, domainOf(step.action), _atMs))
 		{
 			return;
 		}
-		take(target.name, domainOf(step.action), _atMs + step.forMs);
+		reserve(target.name, domainOf(step.action), _atMs + step.forMs);
 		if (soak_action::restart == step.action)
 		{
 			drawMoreSignals(step, target.role);
@@ -166,7 +166,7 @@
 
 	void drawMoreSignals(const soak_step& _stop, soak_role _role)
 	{
-		const int latest = std::min(kSecondSignalMs, _stop.forMs - 1);
+		const int latest = std::min(kMaxSecondSignalDelayMs, _stop.forMs - 1);
 		if (m_random.chance(0.5))
 		{
 			add({_stop.atMs + drawBetween(1, latest), 0, _stop.target, soak_action::stop_again});
@@ -197,41 +197,41 @@
 
 	bool fits(int _atMs, int _forMs) const
 	{
-		return _atMs + _forMs <= m_shape.durationMs;
+		return _atMs + _forMs <= m_options.durationMs;
 	}
 
-	bool busy(const std::string& _name, domain _domain, int _atMs) const
+	bool isReserved(const std::string& _name, domain _domain, int _atMs) const
 	{
-		const auto found = m_until.find({_name, _domain});
-		return m_until.end() != found && found->second > _atMs;
+		const auto found = m_reservedUntil.find({_name, _domain});
+		return m_reservedUntil.end() != found && found->second > _atMs;
 	}
 
-	int64_t harmedControllers(int _atMs) const
+	int64_t faultyControllers(int _atMs) const
 	{
-		return std::count_if(
-			m_targets.begin(), m_targets.end(),
-			[&](const soak_target& _target)
-			{
-				return soak_role::controller == _target.role
-					   && (busy(_target.name, domain::process, _atMs) || busy(_target.name, domain::link, _atMs));
-			});
+		return std::count_if(m_targets.begin(), m_targets.end(),
+							 [&](const soak_target& _target)
+							 {
+								 return soak_role::controller == _target.role
+										&& (isReserved(_target.name, domain::process, _atMs)
+											|| isReserved(_target.name, domain::link, _atMs));
+							 });
 	}
 
-	bool free(const soak_target& _target, domain _domain, int _atMs) const
+	bool isFree(const soak_target& _target, domain _domain, int _atMs) const
 	{
 		const bool election = soak_role::controller == _target.role && _atMs < m_electionUntil;
-		if (election || busy(_target.name, _domain, _atMs))
+		if (election || isReserved(_target.name, _domain, _atMs))
 		{
 			return false;
 		}
 		const auto other = domain::link == _domain ? domain::process : domain::link;
-		return soak_role::controller != _target.role || busy(_target.name, other, _atMs)
-			   || harmedControllers(_atMs) < m_shape.controllersAtOnce;
+		return soak_role::controller != _target.role || isReserved(_target.name, other, _atMs)
+			   || faultyControllers(_atMs) < m_options.maxFaultyControllers;
 	}
 
-	void take(const std::string& _name, domain _domain, int _untilMs)
+	void reserve(const std::string& _name, domain _domain, int _untilMs)
 	{
-		auto& until = m_until[{_name, _domain}];
+		auto& until = m_reservedUntil[{_name, _domain}];
 		until = std::max(until, _untilMs);
 	}
 
@@ -245,9 +245,9 @@
 
 	base::RandomSource m_random;
 	std::span<const soak_target> m_targets;
-	const soak_shape& m_shape;
+	const plan_options& m_options;
 	std::vector<soak_step> m_plan;
-	std::map<std::pair<std::string, domain>, int> m_until;
+	std::map<std::pair<std::string, domain>, int> m_reservedUntil;
 	int m_electionUntil = 0;  // controllers are not harmed otherwise before
 };
 
@@ -275,14 +275,14 @@
 	return "unknown";
 }
 
-bool harms(soak_action _action)
+bool isDisruptive(soak_action _action)
 {
 	return soak_action::reload != _action && soak_action::stop_again != _action && soak_action::edit_storm != _action;
 }
 
-std::vector<soak_step> drawPlan(uint64_t _seed, std::span<const soak_target> _targets, const soak_shape& _shape)
+std::vector<soak_step> drawPlan(uint64_t _seed, std::span<const soak_target> _targets, const plan_options& _options)
 {
-	return plan_drawer(_seed, _targets, _shape).draw();
+	return plan_generator(_seed, _targets, _options).draw();
 }
 
 std::vector<soak_step> rollingPlan(std::span<const soak_target> _targets, int _gapMs)
@@ -296,7 +296,7 @@
 		{
 			if (soak_role::node == target.role || soak_role::entry == target.role)
 			{
-				plan.push_back({atMs, std::min(kRollingDownMs, _gapMs), target.name, soak_action::restart});
+				plan.push_back({atMs, std::min(kRollingRestartDelayMs, _gapMs), target.name, soak_action::restart});
 				atMs += _gapMs;
 			}
 		}
@@ -305,7 +305,7 @@
 	return plan;
 }
 
-int endOf(std::span<const soak_step> _plan)
+int planEndMs(std::span<const soak_step> _plan)
 {
 	int endMs = 0;
 	for (const auto& step : _plan)
--- a/tools/soak/soak_plan.h
+++ b/tools/soak/soak_plan.h
@@ -60,19 +60,19 @@
 };
 
 /// How much goes wrong.
-struct soak_shape
+struct plan_options
 {
 	int durationMs = 60'000;  //!< Time in which faults begin and end.
 	int meanGapMs = 700;      //!< Between the beginnings of two faults.
-	int longestFaultMs = 6'000;
-	int controllersAtOnce = 1;  //!< Controllers harmed at one time at most, but for elections that are disturbed.
+	int maxFaultMs = 6'000;
+	int maxFaultyControllers = 1;  //!< Controllers harmed at one time at most, but for elections that are disturbed.
 };
 
 /// Name of an action, as in reports.
 std::string_view nameOf(soak_action _action);
 
 /// @returns Whether an action harms its process, so that it may be silent or end meanwhile.
-bool harms(soak_action _action);
+bool isDisruptive(soak_action _action);
 
 /// Draws a plan. Equal seeds, targets and shapes give equal plans.
 ///
@@ -81,14 +81,14 @@
 ///
 /// @returns Steps in order of their beginning; no process is ended or paused twice at once, and no link is harmed
 /// twice at once.
-std::vector<soak_step> drawPlan(uint64_t _seed, std::span<const soak_target> _targets, const soak_shape& _shape);
+std::vector<soak_step> drawPlan(uint64_t _seed, std::span<const soak_target> _targets, const plan_options& _options);
 
 /// Stops every node in turn, twice, and changes the table throughout.
 /// @param[in] _gapMs Between the stops of two nodes.
 std::vector<soak_step> rollingPlan(std::span<const soak_target> _targets, int _gapMs);
 
 /// @returns When the last fault of a plan ends.
-int endOf(std::span<const soak_step> _plan);
+int planEndMs(std::span<const soak_step> _plan);
 
 /// One line for a step, as in reports.
 std::string textOf(const soak_step& _step);
--- a/tools/soak/soak_run.cc
+++ b/tools/soak/soak_run.cc
@@ -6,9 +6,9 @@
 #include <set>
 
 #include "fleet.h"
-#include "soak/crash_keeper.h"
+#include "soak/back_end_supervisor.h"
 #include "soak/fault_injector.h"
-#include "soak/promise_watch.h"
+#include "soak/invariant_checker.h"
 
 namespace driftlug::soak
 {
@@ -22,12 +22,12 @@
 constexpr char kFatalName[] = "fatal-load";
 constexpr double kFatalRate = 3;  // Calls a second.
 // Crashes of back ends by one request that are allowed: until it is known, and in all.
-constexpr size_t kMostPastThird = 3;
-constexpr size_t kMostCrashes = 6;
+constexpr size_t kMaxLateCrashes = 3;
+constexpr size_t kMaxCrashes = 6;
 constexpr int kLoadTailMs = 60'000;
-constexpr int kAfterMs = 3'000;
-constexpr int kLookMs = 40;   // Between two looks at the fleet.
-constexpr int kEditMs = 600;  // Between two changes.
+constexpr int kAfterLoadMs = 3'000;
+constexpr int kPollIntervalMs = 40;   // Between two looks at the fleet.
+constexpr int kEditIntervalMs = 600;  // Between two changes.
 
 /// One end of a fault.
 struct event
@@ -81,13 +81,13 @@
 soak_run::soak_run(tools::Fleet& _fleet, const soak_options& _options)
 	: m_fleet(_fleet)
 	, m_options(_options)
-	, m_processFaults(makeProcessFaults(_fleet, _options.stopByKill))
-	, m_linkFaults(makeLinkFaults(_fleet))
-	, m_watch(std::make_unique<promise_watch>(_fleet))
+	, m_processFaults(makeProcessFaultInjector(_fleet, _options.stopByKill))
+	, m_linkFaults(makeLinkFaultInjector(_fleet))
+	, m_checker(std::make_unique<invariant_checker>(_fleet))
 {
 	if (!m_options.fatalPath.empty())
 	{
-		m_crashes = std::make_unique<crash_keeper>(_fleet);
+		m_supervisor = std::make_unique<back_end_supervisor>(_fleet);
 	}
 }
 
@@ -96,12 +96,12 @@
 int soak_run::elapsedMs()
 {
 	const auto nowUs = m_fleet.http().loop().now().time_since_epoch().count();
-	return static_cast<int>((nowUs - m_begunUs) / 1000);
+	return static_cast<int>((nowUs - m_startedUs) / 1000);
 }
 
-void soak_run::broken(const std::string& _what)
+void soak_run::addViolation(const std::string& _what)
 {
-	m_broken.push_back(fmt::format("{} ms: {}", elapsedMs(), _what));
+	m_violations.push_back(fmt::format("{} ms: {}", elapsedMs(), _what));
 }
 
 bool soak_run::resolve(soak_step* _step)
@@ -118,7 +118,7 @@
 	}
 	for (const auto& member : m_fleet.controllers())
 	{
-		if (leader != member.name && !m_watch->harmed(member.name))
+		if (leader != member.name && !m_checker->isFaulty(member.name))
 		{
 			_step->target = member.name;
 			return true;
@@ -131,10 +131,10 @@
 {
 	if (soak_action::edit_storm == _step.action)
 	{
-		m_storms += _begin ? 1 : -1;
+		m_activeEditStorms += _begin ? 1 : -1;
 		return;
 	}
-	if (!harms(_step.action))
+	if (!isDisruptive(_step.action))
 	{
 		if (_begin)
 		{
@@ -149,13 +149,13 @@
 	const auto nowUs = m_fleet.http().loop().now().time_since_epoch().count();
 	if (soak_action::kill == _step.action || soak_action::pause == _step.action)
 	{
-		m_harms[_step.target].push_back({nowUs, nowUs + int64_t{1000} * _step.forMs});
+		m_faultWindows[_step.target].push_back({nowUs, nowUs + int64_t{1000} * _step.forMs});
 	}
 	if (soak_action::restart == _step.action && !isReady(_step.target))
 	{
 		m_processFaults->expectEarlyStop(_step.target);
 	}
-	m_watch->setHarmed(_step.target, true);
+	m_checker->setFaulty(_step.target, true);
 	auto& faults = soak_action::link == _step.action ? *m_linkFaults : static_cast<fault_injector&>(*m_processFaults);
 	faults.begin(_step);
 }
@@ -177,14 +177,14 @@
 	if (soak_action::link == _step.action)
 	{
 		m_linkFaults->end(_step);
-		return m_watch->setHarmed(_step.target, false);
+		return m_checker->setFaulty(_step.target, false);
 	}
 	m_processFaults->end(_step);
 	if (soak_action::pause == _step.action)
 	{
 		const auto nowUs = m_fleet.http().loop().now().time_since_epoch().count();
-		m_harms[_step.target].push_back({nowUs, nowUs});
-		m_watch->setHarmed(_step.target, false);
+		m_faultWindows[_step.target].push_back({nowUs, nowUs});
+		m_checker->setFaulty(_step.target, false);
 	}
 }
 
@@ -208,59 +208,59 @@
 	const auto revision = answer.body.value("revision", int64_t{0});
 	if (revision <= m_lastRevision)
 	{
-		broken(fmt::format("an accepted change got revision {} after {}", revision, m_lastRevision));
+		addViolation(fmt::format("an accepted change got revision {} after {}", revision, m_lastRevision));
 	}
 	m_lastRevision = std::max(m_lastRevision, revision);
 }
 
-void soak_run::turn(int _untilMs)
+void soak_run::pollOnce(int _untilMs)
 {
-	if (m_storms > 0 || elapsedMs() / kEditMs >= m_edits)
+	if (m_activeEditStorms > 0 || elapsedMs() / kEditIntervalMs >= m_edits)
 	{
 		edit();
 	}
 	std::vector<std::string> started;
 	if (auto wrong = m_processFaults->poll(&started); !wrong.empty())
 	{
-		broken(wrong);
+		addViolation(wrong);
 	}
 	for (const auto& name : started)
 	{
-		m_watch->setHarmed(name, false);
+		m_checker->setFaulty(name, false);
 	}
-	if (m_crashes)
+	if (m_supervisor)
 	{
-		m_crashes->look();
+		m_supervisor->poll();
 	}
-	if (auto wrong = m_watch->look(); !wrong.empty())
+	if (auto wrong = m_checker->checkNext(); !wrong.empty())
 	{
-		broken(wrong);
+		addViolation(wrong);
 	}
-	m_fleet.http().wait(base::milliseconds(std::clamp(_untilMs - elapsedMs(), 1, kLookMs)));
+	m_fleet.http().wait(base::milliseconds(std::clamp(_untilMs - elapsedMs(), 1, kPollIntervalMs)));
 }
 
-void soak_run::idleUntil(int _atMs)
+void soak_run::pollUntil(int _atMs)
 {
 	while (elapsedMs() < _atMs)
 	{
-		turn(_atMs);
+		pollOnce(_atMs);
 	}
 }
 
-void soak_run::settle()
+void soak_run::waitForRestarts()
 {
-	while (!m_processFaults->settled() || (m_crashes && !m_crashes->allRun()))
+	while (!m_processFaults->allRestarted() || (m_supervisor && !m_supervisor->allRunning()))
 	{
-		turn(elapsedMs() + kLookMs);
+		pollOnce(elapsedMs() + kPollIntervalMs);
 	}
 }
 
-void soak_run::play(std::vector<soak_step> _plan)
+void soak_run::runPlan(std::vector<soak_step> _plan)
 {
 	std::set<const soak_step*> skipped;
 	for (const auto& event : eventsOf(&_plan))
 	{
-		idleUntil(event.atMs);
+		pollUntil(event.atMs);
 		if (event.begin && !resolve(event.step))
 		{
 			skipped.insert(event.step);
@@ -270,8 +270,8 @@
 			apply(*event.step, event.begin);
 		}
 	}
-	idleUntil(m_options.shape.durationMs);
-	settle();
+	pollUntil(m_options.planOptions.durationMs);
+	waitForRestarts();
 }
 
 void soak_run::checkRecovery()
@@ -279,57 +279,59 @@
 	const auto healed = m_fleet.http().loop().now();
 	for (const auto& member : m_fleet.allMembers())
 	{
-		if (!m_fleet.waitReady(member, m_options.recoverMs))
+		if (!m_fleet.waitReady(member, m_options.recoveryLimitMs))
 		{
-			broken(fmt::format("{} is not ready {} ms after the last fault", member.name, m_options.recoverMs));
+			addViolation(
+				fmt::format("{} is not ready {} ms after the last fault", member.name, m_options.recoveryLimitMs));
 		}
 	}
 	const auto accepted = m_acceptedNotes.size();
 	while (accepted == m_acceptedNotes.size()
-		   && m_fleet.http().loop().now() - healed < base::milliseconds(m_options.recoverMs))
+		   && m_fleet.http().loop().now() - healed < base::milliseconds(m_options.recoveryLimitMs))
 	{
 		edit();
 	}
 	if (accepted == m_acceptedNotes.size())
 	{
-		broken(fmt::format("no change was accepted within {} ms of the last fault", m_options.recoverMs));
+		addViolation(fmt::format("no change was accepted within {} ms of the last fault", m_options.recoveryLimitMs));
 	}
-	if (m_fleet.waitEverywhere(m_lastRevision, healed, m_options.recoverMs) < 0)
+	if (m_fleet.waitForConvergence(m_lastRevision, healed, m_options.recoveryLimitMs) < 0)
 	{
-		broken(fmt::format("revision {} is not in force everywhere", m_lastRevision));
+		addViolation(fmt::format("revision {} is not in force everywhere", m_lastRevision));
 	}
 }
 
 void soak_run::checkOpenConnections(json* _report)
 {
-	const auto summary = m_fleet.finishLoad(kOpenName, m_options.shape.durationMs + kLoadTailMs);
+	const auto summary = m_fleet.finishLoad(kOpenName, m_options.planOptions.durationMs + kLoadTailMs);
 	(*_report)[kOpenName] = summary;
-	const auto unanswered = m_fleet.unansweredOf(kOpenName);
+	const auto unanswered = m_fleet.unansweredRequests(kOpenName);
 	if (summary.contains("failed") || !unanswered.is_array())
 	{
-		return broken(fmt::format("{} did not end", kOpenName));
+		return addViolation(fmt::format("{} did not end", kOpenName));
 	}
 	std::map<std::string, std::string> entryOf;
 	for (const auto& member : m_fleet.entries())
 	{
 		entryOf[fmt::format("127.0.0.1:{}", member.entryPort)] = member.name;
 	}
-	const auto runs = m_fleet.runs();
-	for (const auto& request : requestsOf(unanswered))
+	const auto runs = m_fleet.runCounts();
+	for (const auto& request : requestsFromJson(unanswered))
 	{
 		const auto ran = runs.find(request.id);
 		const auto& entry = entryOf[request.target];
-		const auto wrong = judge(request, runs.end() == ran ? 0 : static_cast<int>(ran->second), m_harms[entry]);
+		const auto wrong =
+			findViolation(request, runs.end() == ran ? 0 : static_cast<int>(ran->second), m_faultWindows[entry]);
 		if (!wrong.empty())
 		{
-			m_broken.push_back(fmt::format("{} ms: {}: {}", (request.endedUs - m_begunUs) / 1000, entry, wrong));
+			m_violations.push_back(fmt::format("{} ms: {}: {}", (request.endedUs - m_startedUs) / 1000, entry, wrong));
 		}
 	}
 	for (const char* outcome : {"crossed", "truncated", "stray"})
 	{
 		if (const auto count = summary["outcomes"].value(outcome, int64_t{0}); 0 != count)
 		{
-			broken(fmt::format("{}: {} answers {}", kOpenName, count, outcome));
+			addViolation(fmt::format("{}: {} answers {}", kOpenName, count, outcome));
 		}
 	}
 	checkRecords(kOpenName);
@@ -338,16 +340,16 @@
 void soak_run::checkRecords(const std::string& _load)
 {
 	const auto records = m_fleet.checkRecords({_load});
-	mustBeZero(_load, "ran more than once", records.doubled);
-	mustBeZero(_load, "answered as done did not run", records.lost);
-	mustBeZero(_load, "answered as not run did run", records.falseNotRun);
+	expectZero(_load, "ran more than once", records.duplicates);
+	expectZero(_load, "answered as done did not run", records.lost);
+	expectZero(_load, "answered as not run did run", records.falseNotRun);
 }
 
-void soak_run::mustBeZero(const std::string& _load, const char* _what, int64_t _count)
+void soak_run::expectZero(const std::string& _load, const char* _what, int64_t _count)
 {
 	if (0 != _count)
 	{
-		broken(fmt::format("{}: {} calls {}", _load, _count, _what));
+		addViolation(fmt::format("{}: {} calls {}", _load, _count, _what));
 	}
 }
 
@@ -359,45 +361,45 @@
 	{
 		if (std::string::npos == text.find("\"" + note + "\""))
 		{
-			broken(fmt::format("the accepted change {} is gone", note));
+			addViolation(fmt::format("the accepted change {} is gone", note));
 		}
 	}
 }
 
 void soak_run::checkCrashes(json* _report)
 {
-	(*_report)[kFatalName] = m_fleet.finishLoad(kFatalName, m_options.shape.durationMs + kLoadTailMs);
-	(*_report)["crashes"] = m_crashes->crashes();
-	if (0 == m_crashes->crashes())
+	(*_report)[kFatalName] = m_fleet.finishLoad(kFatalName, m_options.planOptions.durationMs + kLoadTailMs);
+	(*_report)["crashes"] = m_supervisor->crashes();
+	if (0 == m_supervisor->crashes())
 	{
-		broken("the request that crashes back ends reached none");
+		addViolation("the request that crashes back ends reached none");
 	}
-	if (kMostCrashes < m_crashes->crashes() || kMostPastThird < m_crashes->pastThird())
+	if (kMaxCrashes < m_supervisor->crashes() || kMaxLateCrashes < m_supervisor->lateCrashes())
 	{
-		broken(fmt::format("one request crashed {} back ends, {} of them long after the third", m_crashes->crashes(),
-						   m_crashes->pastThird()));
+		addViolation(fmt::format("one request crashed {} back ends, {} of them long after the third",
+								 m_supervisor->crashes(), m_supervisor->lateCrashes()));
 	}
 }
 
 void soak_run::checkCalls(const std::string& _load, json* _report)
 {
-	const auto load = m_fleet.finishLoad(_load, m_options.shape.durationMs + kLoadTailMs);
+	const auto load = m_fleet.finishLoad(_load, m_options.planOptions.durationMs + kLoadTailMs);
 	(*_report)[_load] = load;
 	if (load.contains("failed"))
 	{
-		return broken(fmt::format("{} did not end", _load));
+		return addViolation(fmt::format("{} did not end", _load));
 	}
 	checkRecords(_load);
-	mustBeZero(_load, "got another call's answer", load.value("crossed", int64_t{0}));
-	mustBeZero(_load, "got a part of their answer", load.value("truncated", int64_t{0}));
+	expectZero(_load, "got another call's answer", load.value("crossed", int64_t{0}));
+	expectZero(_load, "got a part of their answer", load.value("truncated", int64_t{0}));
 	if (kAfterName == _load)
 	{
-		mustBeZero(_load, "failed without a fault", load.value("calls", int64_t{0}) - load.value("ok", int64_t{0}));
+		expectZero(_load, "failed without a fault", load.value("calls", int64_t{0}) - load.value("ok", int64_t{0}));
 		for (const auto& endpoint : m_fleet.endpoints())
 		{
 			if (!load["by_backend"].contains(endpoint.backendName))
 			{
-				broken(fmt::format("{} gets no calls though it is well again", endpoint.backendName));
+				addViolation(fmt::format("{} gets no calls though it is well again", endpoint.backendName));
 			}
 		}
 	}
@@ -406,7 +408,7 @@
 json soak_run::run()
 {
 	auto targets = targetsOf(m_fleet);
-	if (m_crashes)
+	if (m_supervisor)
 	{
 		// Back ends that are paused or cut off don't crash, and no proxy stands before them.
 		std::erase_if(targets,
@@ -415,26 +417,26 @@
 						  return soak_role::back_end == _target.role;
 					  });
 	}
-	auto plan = m_options.rolling ? rollingPlan(targets, m_options.rollingGapMs)
-								  : drawPlan(m_options.seed, targets, m_options.shape);
+	auto plan = m_options.rolling ? rollingPlan(targets, m_options.rollingStopGapMs)
+								  : drawPlan(m_options.seed, targets, m_options.planOptions);
 	if (m_options.rolling)
 	{
-		m_options.shape.durationMs = endOf(plan) + m_options.rollingGapMs;
+		m_options.planOptions.durationMs = planEndMs(plan) + m_options.rollingStopGapMs;
 	}
 	json report = {{"seed", m_options.seed}, {"faults", plan.size()}, {"plan", json::array()}};
 	for (const auto& step : plan)
 	{
 		report["plan"].push_back(textOf(step));
 	}
-	m_begunUs = m_fleet.http().loop().now().time_since_epoch().count();
+	m_startedUs = m_fleet.http().loop().now().time_since_epoch().count();
 	tools::LoadOptions load;
 	load.rate = m_options.rate;
 	load.filingShare = m_options.filingShare;
-	load.durationMs = m_options.shape.durationMs;
+	load.durationMs = m_options.planOptions.durationMs;
 	load.seed = static_cast<int>(m_options.seed % 1'000'000) + 1;
 	m_fleet.startLoad(kLoadName, load);
-	m_fleet.startOpenCallers(kOpenName, load);
-	if (m_crashes)
+	m_fleet.startPersistentCallers(kOpenName, load);
+	if (m_supervisor)
 	{
 		auto fatal = load;
 		fatal.samePath = m_options.fatalPath;
@@ -442,8 +444,8 @@
 		fatal.filingShare = 0;
 		m_fleet.startLoad(kFatalName, fatal);
 	}
-	play(std::move(plan));
-	if (m_crashes)
+	runPlan(std::move(plan));
+	if (m_supervisor)
 	{
 		checkCrashes(&report);
 	}
@@ -451,15 +453,15 @@
 	checkCalls(kLoadName, &report);
 	checkRecovery();
 	checkEdits();
-	load.durationMs = kAfterMs;
+	load.durationMs = kAfterLoadMs;
 	load.seed += 1'000'000;
 	m_fleet.startLoad(kAfterName, load);
 	checkCalls(kAfterName, &report);
 	report["processes"] = m_fleet.allMembers().size() + m_fleet.endpoints().size();
 	report["edits_accepted"] = m_acceptedNotes.size();
 	report["edits_unknown"] = m_unknownEdits;
-	report["looks"] = m_watch->looks();
-	report["broken"] = m_broken;
+	report["looks"] = m_checker->checks();
+	report["broken"] = m_violations;
 	return report;
 }
 
