--- a/test/load_model/load_model_test.cc
+++ b/test/load_model/load_model_test.cc
@@ -12,7 +12,7 @@
 {
 constexpr char kRing[] = DRIFTLUG_SOURCE_DIR "/examples/load/crash-reports-ring.toml";
 
-/// A pattern of one service that one kind asks, some times a second.
+/// @returns A pattern with one service and one kind of request.
 load_pattern singleServicePattern(double _perSecond)
 {
 	load_pattern pattern;
--- a/tools/backend_main.cc
+++ b/tools/backend_main.cc
@@ -1,4 +1,5 @@
-/// driftlug-backend: a stand-in back end with slots, service times, drain, shedding, and a record of what it ran.
+/// driftlug-backend: a test back end with concurrency slots, random service times, draining and load shedding, which
+/// records the requests that it ran.
 #include <absl/strings/numbers.h>
 #include <gflags/gflags.h>
 
@@ -14,26 +15,27 @@
 #include "daemon.h"
 #include "transport/http_server.h"
 
-DEFINE_string(name, "backend", "name in answers and in the record");
+DEFINE_string(name, "backend", "name reported in responses");
 DEFINE_string(listen_host, "127.0.0.1", "IP number to listen on");
 DEFINE_int32(port, 0, "port to listen on");
-DEFINE_int32(slots, 20, "requests that run at once; more wait");
-DEFINE_int32(queue, 1000, "requests that wait at once; more are shed");
-DEFINE_int32(service_time_us, 5000, "mean time of a request");
-DEFINE_string(distribution, "exponential", "of service times: fixed, exponential or lognormal");
-DEFINE_int32(content_bytes, 2000, "size of the content of an answer");
-DEFINE_int32(connection_cost_us, 1000, "added to the first request of a connection");
-DEFINE_int32(cold_start_ms, 0, "time after the start in which requests take ten times as long");
+DEFINE_int32(slots, 20, "requests that run concurrently; further ones are queued");
+DEFINE_int32(queue, 1000, "capacity of the queue; further requests are shed");
+DEFINE_int32(service_time_us, 5000, "mean service time of a request");
+DEFINE_string(distribution, "exponential", "distribution of service times: fixed, exponential or lognormal");
+DEFINE_int32(content_bytes, 2000, "size of the content of a response");
+DEFINE_int32(connection_cost_us, 1000, "extra service time of the first request on a connection");
+DEFINE_int32(cold_start_ms, 0, "time after startup in which requests take ten times as long");
 DEFINE_double(slow_factor, 1.0, "multiplies service times");
-DEFINE_double(load_report_factor, 1.0, "multiplies the reported load; other than 1 it lies");
+DEFINE_double(load_report_factor, 1.0, "multiplies the reported load; values other than 1 make the report inaccurate");
 DEFINE_int32(load_report_lag_ms, 0, "age of the reported load");
-DEFINE_bool(health_lies, false, "health answers are good even while draining");
-DEFINE_string(record_file, "", "file that keeps the record across restarts; empty for none");
+DEFINE_bool(health_lies, false, "health checks succeed even while draining");
+DEFINE_string(record_file, "", "file that persists the record of runs across restarts; empty for none");
 DEFINE_int32(seed, 1, "seed of service times");
-DEFINE_string(note_ids, "",
-              "the beginning, the end and the abort of requests whose x-request-id begins so are written to standard "
-              "output, with microseconds of the boot clock; empty for none");
-DEFINE_string(fatal_path, "", "a request for this path ends the process while it runs; empty for none");
+DEFINE_string(
+    note_ids, "",
+    "writes the start, end and abort of each request whose x-request-id has this prefix to standard output, with "
+    "the boot clock in microseconds; empty for none");
+DEFINE_string(fatal_path, "", "a request for this path terminates the process at the end of its run; empty for none");
 
 namespace {
 
@@ -41,11 +43,11 @@
 using transport::ExchangeId;
 using transport::HttpRequest;
 
-constexpr int kCrashed = 70;  // exit code
+constexpr int kCrashed = 70;  // exit code after a request for --fatal-path
 constexpr double kColdFactor = 10;
 constexpr double kLognormalSigma = 0.8;
 
-/// Runs requests in slots and keeps the truth of what ran.
+/// Runs requests in a fixed number of slots and counts the runs of each idempotency key.
 class Backend {
  public:
   explicit Backend(transport::EventLoop& loop)
@@ -91,7 +93,7 @@
     startWaiting();
   }
 
-  /// Tells that a request did not run.
+  /// Responds that a request was shed without running.
   void sendShedResponse(ExchangeId exchange) {
     auto response = transport::jsonResponse(503, "{\"error\":\"shed\"}\n");
     response.headers.push_back(transport::makeHeader("x-shed", "1"));
@@ -112,7 +114,7 @@
         if (fatal) std::_Exit(kCrashed);
         finish(exchange);
       });
-      // What may not be repeated counts as run from here on, whether or not its caller waits.
+      // A request with an idempotency key counts as run from here on, even if its caller disconnects.
       recordStart(job.request);
       printEvent("began", job.request);
       running_[exchange] = {std::move(job), timer};
@@ -143,7 +145,7 @@
     const auto key = std::string(request.header("idempotency-key"));
     if (key.empty()) return;
     ++record_[key];
-    // Written before the request runs, so that the record outlives a killed process.
+    // Flushed before the request runs, so that the record survives a kill of the process.
     if (recordFile_.is_open()) recordFile_ << key << std::endl;
   }
 
@@ -176,7 +178,7 @@
     return load_;
   }
 
-  /// A caller that went away cancels what has not run, and what may be repeated.
+  /// Cancels the request of a disconnected caller, unless it is running and has an idempotency key.
   void onAbort(ExchangeId exchange) {
     std::erase_if(waiting_, [&](const auto& job) { return job.exchange == exchange; });
     const auto found = running_.find(exchange);
@@ -216,7 +218,7 @@
   std::deque<Job> waiting_;
   std::map<ExchangeId, Running> running_;
   std::map<std::string, int> record_;  // runs by idempotency key
-  std::ofstream recordFile_;           // one key a line; closed when there is none
+  std::ofstream recordFile_;           // one key per line; closed if --record-file is empty
   int load_ = 0;
   base::TimePoint loadAt_{};
   transport::HttpServer server_;
@@ -228,7 +230,7 @@
   base::declareRange("port", 1, 65535);
   base::declareRange("slots", 1, 100'000);
   base::declareRange("service_time_us", 0, 60'000'000);
-  base::loadSettingsOrExit(argc, argv, "driftlug-backend: a stand-in back end", false);
+  base::loadSettingsOrExit(argc, argv, "driftlug-backend: a test back end", false);
   apps::configureLogsFromSettings();
   transport::EventLoop loop;
   Backend backend(loop);
--- a/tools/call_content.h
+++ b/tools/call_content.h
@@ -1,4 +1,4 @@
-/// Content of calls that lets both ends check that an answer is whole and belongs to its request.
+/// Deterministic call content that lets a caller verify that a response is complete and belongs to its request.
 #pragma once
 
 #include <xxhash.h>
@@ -7,7 +7,7 @@
 
 namespace driftlug::tools {
 
-/// @return a body that depends on the id in every byte.
+/// @return content of the given size that is derived from the id.
 inline std::string contentFor(const std::string& id, size_t bytes) {
   constexpr char kDigits[] = "0123456789abcdef";
   std::string content(bytes, '0');
--- a/tools/deployment.h
+++ b/tools/deployment.h
@@ -1,4 +1,4 @@
-/// A deployment as an example folder describes it.
+/// Reads the description of a deployment from an example folder.
 #pragma once
 
 #include <absl/status/statusor.h>
@@ -10,7 +10,7 @@
 
 namespace driftlug::tools {
 
-/// One service and its upstreams.
+/// A service and the resources of its upstreams.
 struct DeployedService {
   std::string name;
   std::string path;
@@ -18,10 +18,10 @@
   int slots = 20;
   int connections = 130;
   int serviceTimeUs = 5000;
-  bool filings = false;  ///< requests may not be repeated
+  bool filings = false;  ///< requests are not idempotent and may not be repeated
 };
 
-/// Sizes and latencies of one deployment.
+/// Process counts, latencies and services of a deployment.
 struct Deployment {
   std::string name;
   std::string host;
@@ -31,20 +31,21 @@
   int controllers = 3;
   int relaysPerZone = 2;
   int entriesPerZone = 1;
-  double rate = 500;    ///< calls a second of the standard load
-  double linkMbps = 0;  ///< what the link of a process carries, in Mbit/s, where a fault proxy stands; 0 for any number
-  int bodyBytes = 1000;  ///< of requests that may not be repeated, at most, on connections that are kept in use
+  double rate = 500;     ///< default load, in calls per second
+  double linkMbps = 0;   ///< capacity of a process's link behind a fault proxy, in Mbit/s; 0 for unlimited
+  int bodyBytes = 1000;  ///< maximum body size of non-repeatable requests on persistent connections
   std::vector<DeployedService> services;
 };
 
 /// Reads `FOLDER/deployment.toml`.
-/// @return the deployment, or kBadSetting naming the first mistake
+/// @return the deployment, or kBadSetting naming the first error
 absl::StatusOr<Deployment> readDeployment(const std::string& folder);
 
-/// @return relays of a zone's release group as positions: the zone's own, then one of each of the next two zones.
+/// @return indexes of the relays in a zone's release group: the zone's own relays, then one from each of the next two
+/// zones.
 std::vector<int> releaseGroupOf(const Deployment& deployment, int zone);
 
-/// @return the edits that create the deployment's table, without endpoints.
+/// @return the edits that create all rows of the deployment's table except the endpoints.
 nlohmann::json tableEdits(const Deployment& deployment);
 
 }  // namespace driftlug::tools
--- a/tools/exact_histogram.h
+++ b/tools/exact_histogram.h
@@ -1,4 +1,4 @@
-/// Exact percentiles of latencies.
+/// Exact latency percentiles.
 #pragma once
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 
 namespace driftlug::tools {
 
-/// Keeps every value, in microseconds.
+/// Stores every value, in microseconds, and computes percentiles from the sorted values.
 class ExactHistogram {
  public:
   void add(int64_t microseconds) {
@@ -16,7 +16,7 @@
   }
 
   /// @param share in [0, 1]
-  /// @return the smallest value that at least this share of values does not exceed; 0 when there is none
+  /// @return the percentile in microseconds; 0 if there are no values
   int64_t percentile(double share) {
     if (values_.empty()) return 0;
     if (!sorted_) std::sort(values_.begin(), values_.end());
--- a/tools/fleet.cc
+++ b/tools/fleet.cc
@@ -32,7 +32,7 @@
     : deployment_(std::move(deployment)), options_(std::move(options)), processes_(options_.report) {
   std::filesystem::create_directories(options_.report);
   plan();
-  // State of an earlier run in the same folder would form another cluster.
+  // State left in the folder by an earlier run belongs to a different cluster.
   for (const auto& member : controllers_) std::filesystem::remove_all(options_.report + "/data-" + member.name);
   for (const auto& endpoint : endpoints_) {
     std::filesystem::remove(options_.report + "/" + endpoint.backendName + ".record");
@@ -237,7 +237,7 @@
 }
 
 bool Fleet::acceptsConnections(const FleetMember& member) {
-  // The connection that an earlier question left may be one to a process that has ended.
+  // The first attempt may reuse a pooled connection to a process that has since exited.
   constexpr int kTries = 2;
   for (int i = 0; i < kTries; ++i) {
     const auto result = http_.get({kHost, member.entryPort}, "/", kHttpTimeout);
--- a/tools/fleet.h
+++ b/tools/fleet.h
@@ -1,4 +1,4 @@
-/// A deployment running as processes on loopback.
+/// Runs a deployment as processes on loopback.
 #pragma once
 
 #include <map>
@@ -13,55 +13,56 @@
 
 namespace driftlug::tools {
 
-/// One started process and where it answers.
+/// A process of the fleet and its ports.
 struct FleetMember {
   std::string name;
   std::string zone;
   int framePort = 0;
   int httpPort = 0;
   int entryPort = 0;
-  int dialPort = 0;  ///< where others reach its frame port: itself, or the fault proxy before it
+  int dialPort = 0;  ///< port at which peers reach the frame port: the frame port, or the fault proxy in front of it
 };
 
-/// One back end with the node beside it.
+/// A back end and its local node.
 struct FleetEndpoint {
   FleetMember node;
   std::string service;
   int backendPort = 0;
   std::string backendName;
-  int backendDialPort = 0;  ///< where its node reaches it
+  int backendDialPort = 0;  ///< port at which its node reaches it: the back end, or the fault proxy in front of it
 };
 
-/// Options of a run.
+/// Options of a fleet.
 struct FleetOptions {
-  std::string binaries;  ///< folder of the programs
+  std::string binaries;  ///< folder of the executables
   std::string report;    ///< folder for logs, data and the report
   bool emulateLatency = true;
-  bool faultProxy = false;   ///< whether a fault proxy stands before every frame port and back end
-  bool backendProxy = true;  ///< with faultProxy: before back ends too; it takes connections to one that is away
+  bool faultProxy = false;  ///< whether a fault proxy fronts every frame port and back end
+  bool backendProxy =
+      true;  ///< with faultProxy: whether it fronts back ends too; it accepts connections even while a back end is down
   std::vector<std::string> controllerFlags;
   std::vector<std::string> relayFlags;
   std::vector<std::string> nodeFlags;
   std::vector<std::string> backendFlags;
-  base::Duration apiTimeout = base::seconds(20);  ///< for an answer of a controller that leads
+  base::Duration apiTimeout = base::seconds(20);  ///< for a response from the leader
 };
 
-/// What a stand-in caller sends.
+/// Traffic of a load generator.
 struct LoadOptions {
-  double rate = 500;
+  double rate = 500;  ///< calls per second
   int durationMs = 5000;
   int seed = 1;
-  double filingShare = 0.1;
-  bool direct = false;   ///< lookups straight to the back ends, to compare with
-  std::string samePath;  ///< all calls are lookups of this path with the same query; empty for the deployment's paths
+  double filingShare = 0.1;  ///< share of calls that may not be repeated
+  bool direct = false;       ///< lookups are sent directly to the back ends, as a baseline
+  std::string samePath;      ///< path of all lookups, which have equal queries; empty for the deployment's paths
 };
 
-/// What was counted in the back ends after a run.
+/// Result of comparing the callers' outcomes with the back ends' records.
 struct RecordCheck {
   int64_t filings = 0;
-  int64_t duplicates = 0;
-  int64_t lost = 0;         ///< answered as done, but no back end ran it
-  int64_t falseNotRun = 0;  ///< answered "not run", but a back end ran it
+  int64_t duplicates = 0;   ///< ran more than once
+  int64_t lost = 0;         ///< reported as completed, but no back end ran it
+  int64_t falseNotRun = 0;  ///< reported as not run, but a back end ran it
 };
 
 /// Starts, changes and stops the processes of one deployment.
@@ -69,45 +70,44 @@
  public:
   Fleet(Deployment deployment, FleetOptions options);
 
-  /// Starts everything and loads the table.
+  /// Starts all processes, loads the table and waits until every process is ready.
   absl::Status start();
 
-  /// Stops everything in order: entries, nodes, back ends, relays, controllers.
-  /// @return names of processes that did not end by themselves in time
+  /// Stops all processes in order: entries, nodes, back ends, relays, controllers, fault proxy.
+  /// @return names of processes that did not exit with code 0 in time
   std::vector<std::string> stop();
 
-  /// Starts the stand-in caller in the background.
+  /// Starts a load generator in the background.
   void startLoad(const std::string& name, const LoadOptions& options);
 
-  /// Starts callers that keep connections to the entry nodes in use, in the background.
+  /// Starts callers with persistent connections to the entry nodes in the background.
   void startPersistentCallers(const std::string& name, const LoadOptions& options);
 
-  /// @return the requests that got no complete answer from such callers once they have ended, as they wrote them.
+  /// @return the requests without a complete response, from the JSON file that the persistent callers write on exit.
   nlohmann::json unansweredRequests(const std::string& name) const;
 
-  /// Waits for a stand-in caller and returns its summary.
+  /// Waits for a load generator to exit and returns its summary; `failed` is set if it has none.
   nlohmann::json finishLoad(const std::string& name, int timeoutMs);
 
-  /// Makes an edit.
+  /// Submits edits to the controllers.
   apps::ApiAnswer edit(const nlohmann::json& edits);
 
-  /// Asks whichever controller leads.
+  /// Sends a request to the current leader.
   apps::ApiAnswer request(const std::string& method, const std::string& path);
 
-  /// Waits until a revision is in force everywhere.
-  /// @return milliseconds since `since`, or -1 when it took longer than the limit
+  /// Waits until every process has activated a revision.
+  /// @return milliseconds since `since`, or -1 if the limit was exceeded
   double waitForConvergence(int64_t revision, base::TimePoint since, int limitMs);
 
-  /// @return how often back ends ran each request that may not be repeated, by its key.
+  /// @return the number of runs per idempotency key, summed over all back ends.
   std::map<std::string, int64_t> runCounts();
 
   /// Compares the callers' outcomes with the back ends' records.
   RecordCheck checkRecords(const std::vector<std::string>& loads);
 
-  /// @return the sum of a metric over members.
+  /// @return the sum of a metric over some members; unreachable members count as 0.
   double sumMetric(const std::vector<FleetMember>& members, const std::string& metric);
 
-  /// @return the changed rows' encoded size and the interested nodes of one limit edit.
   const Deployment& deployment() const { return deployment_; }
   ProcessGroup& processes() { return processes_; }
   apps::SyncHttp& http() { return http_; }
@@ -117,22 +117,23 @@
   const std::vector<FleetEndpoint>& endpoints() const { return endpoints_; }
   std::vector<FleetMember> allNodes() const;
 
-  /// @return nodes, controllers and relays.
+  /// @return all nodes, controllers and relays.
   std::vector<FleetMember> allMembers() const;
 
-  /// Puts a fault in force on the link to a process, or ends it with `none`.
+  /// Injects a fault into the link to a process; `none` ends the current fault.
+  /// @return whether the fault proxy accepted the request
   bool setLinkFault(const std::string& link, std::string_view fault, int delayMs, int bytesPerSecond);
 
-  /// @return the name of the controller that leads, or empty.
+  /// @return the name of the leader, or empty.
   std::string leader();
 
-  /// @return whether a member's /readyz is good.
+  /// @return whether a member's /readyz responds with 200.
   bool isReady(const FleetMember& member);
 
-  /// @return whether a node takes a connection of a caller, and answers something on it.
+  /// @return whether an entry node accepts a caller's connection and responds on it.
   bool acceptsConnections(const FleetMember& member);
 
-  /// Waits until a member's /readyz is good.
+  /// Waits until a member's /readyz responds with 200.
   bool waitReady(const FleetMember& member, int timeoutMs);
 
  private:
@@ -143,7 +144,7 @@
   bool startRelays();
   bool startEndpoints();
   bool startEntries();
-  /// Adds where callers go and what they ask for.
+  /// Adds the flags for targets, paths and duration.
   void addTrafficFlags(const LoadOptions& options, std::vector<std::string>* command) const;
   std::vector<std::string> program(const std::string& name) const;
   std::string relayAddresses(int zone) const;
@@ -159,8 +160,8 @@
   std::vector<FleetMember> relays_;
   std::vector<FleetMember> entries_;
   std::vector<FleetEndpoint> endpoints_;
-  std::vector<std::string> links_;  ///< of the fault proxy, as its flag takes them
-  int proxyPort_ = 0;               ///< of its control page
+  std::vector<std::string> links_;  ///< value of the fault proxy's --links
+  int proxyPort_ = 0;               ///< control port of the fault proxy
 };
 
 }  // namespace driftlug::tools
--- a/tools/fleet_main.cc
+++ b/tools/fleet_main.cc
@@ -1,4 +1,4 @@
-/// driftlug-fleet: runs a deployment as processes on loopback and measures it.
+/// driftlug-fleet: runs a deployment as processes on loopback and measures or soaks it.
 #include <absl/strings/numbers.h>
 #include <gflags/gflags.h>
 
@@ -15,23 +15,23 @@
 #include "soak/soak_run.h"
 
 DEFINE_string(deployment, "examples/crash-report", "folder of the deployment");
-DEFINE_string(scenario, "", "TOML file with steps; empty for edits alone");
-DEFINE_int32(rounds, 0, "how often the scenario runs; 0 for as often as its file says");
+DEFINE_string(scenario, "", "TOML file with steps; empty for edits only");
+DEFINE_int32(rounds, 0, "number of times the scenario runs; 0 for the number in its file");
 DEFINE_string(report, "", "folder for logs and report.json");
-DEFINE_int32(duration_ms, 6000, "time in which calls begin");
-DEFINE_int32(edits, 20, "edits made while calls run");
-DEFINE_double(rate, 0, "calls a second; 0 for the deployment's own");
+DEFINE_int32(duration_ms, 6000, "duration of the load");
+DEFINE_int32(edits, 20, "edits submitted under load");
+DEFINE_double(rate, 0, "calls per second; 0 for the deployment's rate");
 DEFINE_int32(seed, 1, "seed of the load");
-DEFINE_bool(emulate_latency, true, "delay frames and calls by the deployment's latencies");
-DEFINE_int32(longest_fault_ms, 6000, "soak: time that a fault lasts at most");
-DEFINE_int32(fault_gap_ms, 700, "soak: mean time between the beginnings of two faults");
-DEFINE_string(plan, "drawn", "soak: drawn from the seed, or rolling: every node is stopped in turn, twice");
+DEFINE_bool(emulate_latency, true, "delay frames and calls by the latencies of the deployment");
+DEFINE_int32(longest_fault_ms, 6000, "soak: maximum duration of a fault");
+DEFINE_int32(fault_gap_ms, 700, "soak: mean time between the starts of two faults");
+DEFINE_string(plan, "drawn", "soak: drawn (randomly, from the seed) or rolling (every node is stopped in turn, twice)");
 DEFINE_int32(rolling_gap_ms, 900, "soak: time between two stops of the rolling plan");
-DEFINE_int32(recover_ms, 15'000, "soak: time within which all is well again once the last fault is over");
-DEFINE_bool(stop_by_kill, false, "soak: planned stops kill, to prove that the checks trip");
-DEFINE_bool(crashes, false, "soak: callers ask again and again for what crashes the back ends of a service");
-DEFINE_string(node_flags, "", "soak: further settings of nodes, as --name=value, separated by commas");
-DEFINE_bool(full_push, false, "baseline: send everything with each update");
+DEFINE_int32(recover_ms, 15'000, "soak: time limit for full recovery after the last fault");
+DEFINE_bool(stop_by_kill, false, "soak: planned stops send SIGKILL, to verify that the checks fail");
+DEFINE_bool(crashes, false, "soak: callers keep sending a request that crashes the back ends of a service");
+DEFINE_string(node_flags, "", "soak: additional node flags, as --name=value, separated by commas");
+DEFINE_bool(full_push, false, "baseline: send the full table with each update");
 
 namespace {
 
@@ -43,14 +43,14 @@
   return slash == std::string::npos ? "." : program.substr(0, slash);
 }
 
-/// Measurements of the edits of one run.
+/// Results of the edits of one run.
 struct EditMeasurements {
   std::vector<double> convergenceMs;
   int accepted = 0;
   int failed = 0;
 };
 
-/// An edit that touches the limit of one service; nodes of that service and all entries need it.
+/// @return an edit of one service's limit, which affects the nodes of that service and all entries.
 json limitEdit(const tools::DeployedService& service, int step) {
   const json row = {
       {"service", service.name}, {"max_concurrent", service.slots}, {"max_queued", 4 * service.slots + step % 7}};
@@ -78,7 +78,7 @@
   }
 }
 
-/// CPU seconds used so far by some members together.
+/// @return the CPU seconds used so far by some members in total.
 double cpuOf(tools::Fleet& fleet, const std::vector<tools::FleetMember>& members) {
   double seconds = 0;
   for (const auto& member : members) seconds += tools::usageOf(fleet.processes().pidOf(member.name)).cpuSeconds;
@@ -91,7 +91,8 @@
   return members.empty() ? 0 : megabytes / static_cast<double>(members.size());
 }
 
-/// The same calls straight to the back ends and through the mesh, in turns, with back ends that take no time.
+/// Measures the latency of equal calls sent directly to the back ends and through the mesh, alternately, with a service
+/// time of zero.
 int latency() {
   constexpr int kRounds = 3;
   const auto deployment = tools::readDeployment(FLAGS_deployment);
@@ -213,7 +214,7 @@
   return callsFailed || wrong ? 1 : 0;
 }
 
-/// @return a path that callers look up, of the first service that has one.
+/// @return the path of the first service whose requests may be repeated.
 std::string lookupPath(const tools::Deployment& deployment) {
   for (const auto& service : deployment.services) {
     if (!service.filings) return service.path;
@@ -221,7 +222,7 @@
   return "";
 }
 
-/// Faults on running processes and their links, drawn from the seed.
+/// Injects faults into running processes and their links, drawn from the seed, and checks the results.
 int runSoak() {
   const auto deployment = tools::readDeployment(FLAGS_deployment);
   if (!deployment.ok()) apps::exitWithError(deployment.status());
--- a/tools/load_main.cc
+++ b/tools/load_main.cc
@@ -1,4 +1,4 @@
-/// driftlug-load: a stand-in caller with open-loop arrivals that checks every answer.
+/// driftlug-load: an open-loop load generator that verifies every response.
 #include <absl/strings/numbers.h>
 #include <absl/strings/str_format.h>
 #include <gflags/gflags.h>
@@ -19,17 +19,17 @@
 #include "transport/http_client.h"
 
 DEFINE_string(targets, "", "entry nodes or back ends as host:port, separated by commas");
-DEFINE_string(host, "", "Host header of calls");
+DEFINE_string(host, "", "Host header of the calls");
 DEFINE_string(lookups, "/", "paths of lookups, separated by commas");
 DEFINE_string(filings, "", "paths of requests that may not be repeated, separated by commas");
 DEFINE_double(filing_share, 0.1, "share of calls that are filings");
-DEFINE_double(rate, 500, "calls a second");
-DEFINE_int32(duration_ms, 5000, "time in which calls begin");
-DEFINE_int32(call_timeout_ms, 5000, "a call without an answer by then is lost");
-DEFINE_int32(connections, 256, "connections to each target at most");
+DEFINE_double(rate, 500, "calls per second");
+DEFINE_int32(duration_ms, 5000, "duration of the load");
+DEFINE_int32(call_timeout_ms, 5000, "a call without a response by then counts as lost");
+DEFINE_int32(connections, 256, "maximum connections to each target");
 DEFINE_int32(emulated_delay_us, 0, "one-way latency between caller and target; for tests only");
-DEFINE_string(query, "", "query of all calls, so that they ask for the same; empty for their ids");
-DEFINE_string(record, "", "file for the outcome of each filing, as JSON");
+DEFINE_string(query, "", "query of all calls, which makes them equal; empty for a unique id per call");
+DEFINE_string(record, "", "JSON file for the outcome of each filing");
 DEFINE_int32(seed, 1, "seed of arrivals and ids");
 
 namespace {
@@ -37,7 +37,7 @@
 using namespace driftlug;
 using nlohmann::json;
 
-/// Latencies of one kind of call.
+/// Paths, counts and latencies of one kind of call.
 struct CallKind {
   std::vector<std::string> paths;
   tools::ExactHistogram latencies;
@@ -45,7 +45,7 @@
   int64_t ok = 0;
 };
 
-/// What went wrong, by kind.
+/// Failed calls by outcome.
 struct FailureCounts {
   int64_t refused = 0;
   int64_t unknown = 0;
@@ -214,7 +214,7 @@
   base::declareRequired("targets");
   base::declareRange("duration_ms", 1, 3'600'000);
   base::declareRange("connections", 1, 10'000);
-  base::loadSettingsOrExit(argc, argv, "driftlug-load: a stand-in caller", false);
+  base::loadSettingsOrExit(argc, argv, "driftlug-load: an open-loop load generator", false);
   apps::configureLogsFromSettings();
   transport::EventLoop loop;
   Load load(loop);
--- a/tools/load_model/goodput_plot.cc
+++ b/tools/load_model/goodput_plot.cc
@@ -12,7 +12,7 @@
 constexpr double kWidth = 720;
 constexpr double kHeight = 400;
 constexpr double kLeft = 60;
-constexpr double kRight = 150;  // for the names of the lines
+constexpr double kRight = 150;  // for the legend
 constexpr double kTop = 40;
 constexpr double kBottom = 50;
 constexpr const char* kColours[] = {"#1b6ca8", "#c0392b", "#2e8b57", "#8e44ad", "#b9770e", "#555555"};
--- a/tools/load_model/goodput_plot.h
+++ b/tools/load_model/goodput_plot.h
@@ -1,4 +1,4 @@
-/// A plot of goodput over offered load.
+/// Plots goodput over offered load.
 #ifndef DRIFTLUG_LOAD_MODEL_GOODPUT_PLOT_H_HEADER_GUARD
 #define DRIFTLUG_LOAD_MODEL_GOODPUT_PLOT_H_HEADER_GUARD
 
@@ -8,15 +8,15 @@
 
 namespace driftlug::load_model
 {
-/// One line of a plot.
+/// A line of the plot.
 struct goodput_line
 {
 	std::string name;
-	std::vector<double> shares;  //!< Served in time, by offered load.
+	std::vector<double> shares;  //!< Share of requests served in time, for each offered load.
 };
 
-/// @returns An SVG image of the lines.
-/// @param[in] _offered The offered loads, ascending, as multiples of the pattern's.
+/// @returns An SVG image of the plot.
+/// @param[in] _offered Offered loads in ascending order, as multiples of the pattern's load.
 std::string plotGoodput(const std::string& _title, std::span<const double> _offered,
 						std::span<const goodput_line> _lines);
 
--- a/tools/load_model/load_model.cc
+++ b/tools/load_model/load_model.cc
@@ -10,9 +10,9 @@
 {
 namespace
 {
-/// Links come up, and what is learned of callers settles, before anything is counted.
+/// Warm-up before the load starts, in which connections open and adaptive state converges.
 constexpr base::Duration kWarmUpTime = base::seconds(3);
-/// Requests that are under way at the end get their answers.
+/// Time for the requests in flight at the end of the load to complete.
 constexpr base::Duration kDrainTime = base::seconds(12);
 
 wire::Row routeOf(const kind_pattern& _kind)
--- a/tools/load_model/load_model.h
+++ b/tools/load_model/load_model.h
@@ -1,4 +1,4 @@
-/// A fleet under load on the virtual clock: the true entry and endpoint sides of calls, and all that they decide with.
+/// Models a fleet under load on a virtual clock, with the production code for the entry and endpoint sides of calls.
 #ifndef DRIFTLUG_LOAD_MODEL_LOAD_MODEL_H_HEADER_GUARD
 #define DRIFTLUG_LOAD_MODEL_LOAD_MODEL_H_HEADER_GUARD
 
@@ -15,59 +15,58 @@
 
 namespace driftlug::load_model
 {
-/// What became of the requests of one kind.
+/// Outcomes of the requests of one kind.
 struct kind_result
 {
 	int64_t requests = 0;
-	int64_t inTime = 0;   //!< Served within their target, from the caller's first try.
-	int64_t late = 0;     //!< Served behind it.
-	int64_t refused = 0;  //!< Not run, in the end.
-	int64_t failed = 0;
-	int64_t refusedRetries = 0;  //!< Tries that were refused behind an earlier refusal.
-	double utility = 0;          //!< Of all that was asked.
-	double earnedUtility = 0;    //!< Of that, by the answers.
+	int64_t inTime = 0;          //!< Served within the target latency, counted from the caller's first attempt.
+	int64_t late = 0;            //!< Served after the target latency.
+	int64_t refused = 0;         //!< Last attempt refused without being run.
+	int64_t failed = 0;          //!< Last attempt failed in another way.
+	int64_t refusedRetries = 0;  //!< Refused attempts other than a request's first.
+	double utility = 0;          //!< Utility of all requests if served in time.
+	double earnedUtility = 0;    //!< Utility of the responses received.
 
 	kind_result& operator+=(const kind_result& _other);
 };
 
-/// What a run showed.
+/// Result of a run.
 struct load_result
 {
 	std::map<std::string, kind_result> kinds;
 	slot_time_totals work;
-	int64_t linkBytes = 0;           //!< Of all machines, outgoing.
-	base::Duration maxLinkDelay{0};  //!< The longest that anything waited for a link.
+	int64_t linkBytes = 0;           //!< Bytes sent by all machines.
+	base::Duration maxLinkDelay{0};  //!< Longest queuing and transmission delay on any link.
 
-	/// @returns Of the requests of a kind, or of all kinds that callers ask for, the share served in time.
+	/// @returns The share of requests served in time, of one kind or, if `_kind` is empty, of all kinds.
 	double inTimeShare(const std::string& _kind = "") const;
 
-	/// @returns Of the worth that was asked for, the share earned.
+	/// @returns The share of the utility of all requests that was earned.
 	double earnedUtilityShare() const;
 
-	/// @returns The same of the kind of which it is least.
+	/// @returns The lowest earned share of utility of any kind.
 	double minKindUtilityShare() const;
 
 	load_result& operator+=(const load_result& _other);
 };
 
-/// What the fleet decides by.
+/// Settings of the modelled fleet.
 struct load_policy
 {
 	node::EntryOptions entry;
 	node::EndpointOptions endpoint;
 };
 
-/// @returns Settings of a fleet whose links carry so much, as the daemons have them.
+/// @returns The settings that the daemons use at a link bandwidth, in Mbit/s.
 load_policy defaultPolicy(double _linkMbps);
 
-/// One node with its back end and callers.
 class modelled_node;
 
-/// Plays a pattern.
+/// Simulates a load pattern.
 class load_model
 {
 public:
-	/// @param[in] _offered The load of the pattern is multiplied by it.
+	/// @param[in] _offered Multiplier of the pattern's load.
 	load_model(const load_pattern& _pattern, const load_policy& _policy, uint64_t _seed, double _offered = 1);
 	~load_model();
 
--- a/tools/load_model/load_model_main.cc
+++ b/tools/load_model/load_model_main.cc
@@ -1,4 +1,4 @@
-/// driftlug-load-model: how a fleet serves a pattern of load, on the virtual clock.
+/// driftlug-load-model: simulates how a fleet serves a load pattern, on a virtual clock.
 #include <gflags/gflags.h>
 
 #include <cstdio>
@@ -10,10 +10,10 @@
 #include "load_model/goodput_plot.h"
 #include "load_model/load_model.h"
 
-DEFINE_string(pattern, "", "TOML file with the pattern of load");
-DEFINE_int32(seeds, 5, "runs with seeds from 1 on, of which the means are told");
+DEFINE_string(pattern, "", "TOML file with the load pattern");
+DEFINE_int32(seeds, 5, "number of runs, with seeds from 1; results are summed or averaged over them");
 DEFINE_double(offered, 1, "multiple of the pattern's load");
-DEFINE_string(plot, "", "SVG file for goodput over offered loads of 0.5 to 3; empty for none");
+DEFINE_string(plot, "", "SVG file to plot goodput over offered loads of 0.5 to 3; empty for none");
 
 namespace driftlug::load_model
 {
@@ -51,7 +51,8 @@
 	}
 	const double wastedShare = _result.work.wastedMs / (_result.work.usefulMs + _result.work.wastedMs);
 	std::printf(
-		"in time %.3f; earned %.3f, least of a kind %.3f; slot time in vain %.3f; links %.1f MB, longest wait %.2f s\n",
+		"in time %.3f; earned utility %.3f, lowest of a kind %.3f; wasted slot time %.3f; links %.1f MB, longest delay "
+		"%.2f s\n",
 		_result.inTimeShare(), _result.earnedUtilityShare(), _result.minKindUtilityShare(), wastedShare,
 		static_cast<double>(_result.linkBytes) / 1e6 / FLAGS_seeds,
 		std::chrono::duration<double>(_result.maxLinkDelay).count());
@@ -105,7 +106,7 @@
 
 int main(int argc, char** argv)
 {
-	gflags::SetUsageMessage("how a fleet serves a pattern of load, on the virtual clock");
+	gflags::SetUsageMessage("simulates how a fleet serves a load pattern, on a virtual clock");
 	gflags::ParseCommandLineFlags(&argc, &argv, true);
 	driftlug::base::configureLogs(false, "off");
 	return driftlug::load_model::runModel();
--- a/tools/load_model/load_pattern.cc
+++ b/tools/load_model/load_pattern.cc
@@ -14,7 +14,7 @@
 	return _table[_name].value_or(_default);
 }
 
-/// Calls back for each table of an array of tables.
+/// Calls back for each table in an array of tables.
 template <typename Callback>
 void forEach(const toml::table& _table, std::string_view _name, Callback _callback)
 {
@@ -79,7 +79,7 @@
 	return kind;
 }
 
-/// @returns What is wrong; empty when nothing is.
+/// @returns The first error in a pattern; empty if it is valid.
 std::string problemOf(const load_pattern& _pattern)
 {
 	const auto knows = [](const auto& _list, const std::string& _name)
--- a/tools/load_model/load_pattern.h
+++ b/tools/load_model/load_pattern.h
@@ -1,4 +1,4 @@
-/// What a modelled fleet is made of, and what its callers ask for.
+/// Reads the description of a modelled fleet and its load.
 #ifndef DRIFTLUG_LOAD_MODEL_LOAD_PATTERN_H_HEADER_GUARD
 #define DRIFTLUG_LOAD_MODEL_LOAD_PATTERN_H_HEADER_GUARD
 
@@ -17,18 +17,18 @@
 {
 	std::string name;
 	size_t backEnds = 0;
-	int slots = 1;                    //!< Of each back end.
-	int queue = 0;                    //!< Requests that one keeps beside those; more are refused as not run.
-	std::vector<double> speeds{1.0};  //!< Of the back ends in turn, of the usual one.
+	int slots = 1;                    //!< Requests that a back end runs concurrently.
+	int queue = 0;                    //!< Capacity of a back end's queue; further requests are refused as not run.
+	std::vector<double> speeds{1.0};  //!< Speed factors, assigned to the back ends in turn.
 };
 
-/// Calls that a back end makes for a request before it answers.
+/// Nested calls that a back end makes before it responds to a request.
 struct nested_pattern
 {
-	std::string kind;  //!< Empty for none.
-	int times = 0;
-	double share = 0;         //!< Of the requests.
-	bool concurrent = false;  //!< At once, or one after the other.
+	std::string kind;         //!< Empty for none.
+	int times = 0;            //!< Number of nested calls per request.
+	double share = 0;         //!< Share of requests that make nested calls.
+	bool concurrent = false;  //!< Whether the calls are made concurrently instead of sequentially.
 };
 
 /// A kind of request.
@@ -36,24 +36,24 @@
 {
 	std::string name;
 	std::string service;
-	double perSecond = 0;  //!< From callers of all nodes together; 0 for one that only back ends make.
-	double workMs = 0;     //!< Mean, on a back end of the usual speed.
-	double spread = 0;     //!< Standard deviation of its logarithm.
-	double maxWorkMs = 0;
-	int targetMs = 0;
-	int deadlineMs = 0;
-	int timeoutMs = 0;  //!< Of the route.
+	double perSecond = 0;  //!< Arrival rate over all nodes; 0 for a kind that is only used in nested calls.
+	double workMs = 0;     //!< Mean service time at speed 1.
+	double spread = 0;     //!< Standard deviation of the logarithm of the service time.
+	double maxWorkMs = 0;  //!< Upper bound of the service time at speed 1.
+	int targetMs = 0;      //!< Target latency; later responses count as late.
+	int deadlineMs = 0;    //!< After which the caller gives up.
+	int timeoutMs = 0;     //!< Timeout of the route.
 	int priority = 0;
 	bool repeatable = true;
-	int callerRetries = 0;
-	double utility = 1;             //!< Of an answer in time.
-	double lateUtilityShare = 0.3;  //!< Of that, of a late one.
-	double requestBytes = 0;        //!< Mean of the bodies, exponentially distributed.
-	double answerBytes = 0;
+	int callerRetries = 0;          //!< Maximum retries by the caller.
+	double utility = 1;             //!< Utility of a response in time.
+	double lateUtilityShare = 0.3;  //!< Share of that utility that a late response earns.
+	double requestBytes = 0;        //!< Mean body size; exponentially distributed.
+	double answerBytes = 0;         //!< As requestBytes, for responses.
 	nested_pattern nested;
 };
 
-/// The load is multiplied for some time.
+/// A time interval in which the load is multiplied by a factor.
 struct burst_pattern
 {
 	double fromS = 0;
@@ -61,7 +61,7 @@
 	double factor = 1;
 };
 
-/// Back ends of a service are away for some time.
+/// A time interval in which some back ends of a service are down.
 struct outage_pattern
 {
 	std::string service;
@@ -70,12 +70,12 @@
 	double toS = 0;
 };
 
-/// Everything that one run of the model is drawn from.
+/// A modelled fleet, its load, and the bursts and outages during a run.
 struct load_pattern
 {
 	std::string name;
-	double linkMbps = 1000;  //!< Of each machine, each way.
-	double zoneDelayMs = 0.5;
+	double linkMbps = 1000;    //!< Bandwidth of each machine's link, in each direction.
+	double zoneDelayMs = 0.5;  //!< One-way delay between zones; half of it within a zone.
 	size_t zones = 1;
 	double lengthS = 20;
 	std::vector<service_pattern> services;
@@ -84,7 +84,7 @@
 	std::vector<outage_pattern> outages;
 };
 
-/// @returns The pattern of a TOML file, or kBadSetting with what is wrong.
+/// @returns The pattern read from a TOML file, or kBadSetting with the first error.
 absl::StatusOr<load_pattern> readPattern(const std::string& _path);
 
 }  // namespace driftlug::load_model
--- a/tools/load_model/modelled_back_end.cc
+++ b/tools/load_model/modelled_back_end.cc
@@ -12,12 +12,12 @@
 constexpr int kTimedOut = 504;
 constexpr int kFull = 503;
 constexpr char kNotRunHeader[] = "x-shed";
-/// Way to the back end beside a node and back.
+/// Round-trip time between a node and its local back end.
 constexpr base::Duration kLocalDelay = base::microseconds(300);
 
 double drawNormal(base::RandomSource* _random)
 {
-	// The sum of twelve draws has a variance of one.
+	// Approximates a standard normal distribution: the sum of twelve uniform draws has a variance of one.
 	double sum = -6;
 	for (int i = 0; i < 12; ++i)
 	{
@@ -53,7 +53,7 @@
 								 std::function<void(node::BackendAnswer)> _done)
 {
 	const auto id = ++m_lastId;
-	// The path of a request begins with the name of its kind.
+	// The first path segment is the name of the request's kind.
 	const auto name = _request.path.substr(1, _request.path.find('/', 1) - 1);
 	const bool full = m_busySlots >= m_service.slots && m_waiting.size() >= static_cast<size_t>(m_service.queue);
 	if (!m_up || full)
--- a/tools/load_model/modelled_back_end.h
+++ b/tools/load_model/modelled_back_end.h
@@ -1,4 +1,4 @@
-/// A back end that works on some requests at once, at a speed of its own.
+/// A modelled back end with a fixed number of slots and a speed factor.
 #ifndef DRIFTLUG_LOAD_MODEL_MODELLED_BACK_END_H_HEADER_GUARD
 #define DRIFTLUG_LOAD_MODEL_MODELLED_BACK_END_H_HEADER_GUARD
 
@@ -14,21 +14,21 @@
 
 namespace driftlug::load_model
 {
-/// Calls a kind through the node beside the back end; answers whether it was served.
+/// Makes a nested call through the local node; the callback receives whether it was served.
 using nested_call = std::function<void(const std::string& kind, int deadlineMs, std::function<void(bool)>)>;
 
-/// What back ends did, over the run.
+/// Slot time that back ends used during a run, in total.
 struct slot_time_totals
 {
-	double usefulMs = 0;  //!< Slot time of runs that were answered with success.
-	double wastedMs = 0;  //!< Of runs that failed or were cut off.
+	double usefulMs = 0;  //!< Of requests that succeeded.
+	double wastedMs = 0;  //!< Of requests that failed or were cancelled.
 };
 
-/// Runs a request: its own work, with the calls that it makes before. It holds its slot until it answers.
+/// Runs requests: first the nested calls, then the request's own work. A request holds its slot until it completes.
 class modelled_back_end : public node::BackendClient
 {
 public:
-	/// @param[in] _kinds By name; outlives the back end, as all else given here does.
+	/// @param[in] _kinds Kinds by name. All references must outlive the back end.
 	modelled_back_end(simulation::Process& _process, base::RandomSource _random, const service_pattern& _service,
 					  double _speed, const std::map<std::string, kind_pattern>& _kinds, slot_time_totals& _totals);
 
@@ -41,7 +41,7 @@
 				  std::function<void(node::BackendAnswer)> _done) override;
 	void cancel(uint64_t _id) override;
 
-	/// Nothing listens at its address, or it does again; what it works on is lost.
+	/// Starts or stops the back end; stopping it fails all its requests with an unknown outcome.
 	void setUp(bool _up);
 
 	bool isUp() const
@@ -57,8 +57,8 @@
 		base::TimePoint deadline{};
 		base::TimePoint startedAt{};
 		bool started = false;
-		int pendingCalls = 0;    //!< Nested calls without an answer.
-		int remainingCalls = 0;  //!< Nested calls that are still to be made.
+		int pendingCalls = 0;    //!< Nested calls in flight.
+		int remainingCalls = 0;  //!< Nested calls not yet made.
 		bool failed = false;
 	};
 
--- a/tools/load_model/modelled_link.h
+++ b/tools/load_model/modelled_link.h
@@ -1,4 +1,4 @@
-/// One direction of a machine's link.
+/// Models one direction of a machine's network link.
 #ifndef DRIFTLUG_LOAD_MODEL_MODELLED_LINK_H_HEADER_GUARD
 #define DRIFTLUG_LOAD_MODEL_MODELLED_LINK_H_HEADER_GUARD
 
@@ -9,7 +9,7 @@
 
 namespace driftlug::load_model
 {
-/// What is put on a link leaves it in the order in which it was put there, at the link's rate.
+/// A FIFO link with a fixed bandwidth.
 class modelled_link
 {
 public:
@@ -18,7 +18,7 @@
 	{
 	}
 
-	/// @returns When bytes that are put on the link now have crossed it.
+	/// @returns The time at which bytes enqueued now have been transmitted.
 	base::TimePoint transmit(size_t _bytes, base::TimePoint _now)
 	{
 		const auto seconds = static_cast<double>(_bytes) / m_bytesPerSecond;
@@ -34,7 +34,7 @@
 		return m_bytes;
 	}
 
-	/// @returns The longest time for which anything has waited.
+	/// @returns The longest queuing and transmission delay so far.
 	base::Duration maxDelay() const
 	{
 		return m_maxDelay;
--- a/tools/load_model/modelled_network.cc
+++ b/tools/load_model/modelled_network.cc
@@ -4,7 +4,7 @@
 {
 namespace
 {
-/// Of each frame: headers of TCP and IP.
+/// TCP and IP headers of each frame.
 constexpr size_t kPacketBytes = 40;
 
 }  // namespace
@@ -46,8 +46,8 @@
 	m_network.queue().after(2 * m_network.delay(m_zone, peer->m_zone),
 							[this, connection, peer]
 							{
-								// Both ends of a machine's connection to itself are one: the kind of a message tells
-								// its end.
+								// Both ends of a loopback connection share one id; the message type identifies the
+								// receiving end.
 								m_peers[connection] = peer;
 								m_handler->onOpen(connection, peer->m_hello);
 								if (peer != this)
--- a/tools/load_model/modelled_network.h
+++ b/tools/load_model/modelled_network.h
@@ -1,4 +1,4 @@
-/// Connections between modelled machines, over links that carry so much.
+/// Models connections between machines over links of limited bandwidth.
 #ifndef DRIFTLUG_LOAD_MODEL_MODELLED_NETWORK_H_HEADER_GUARD
 #define DRIFTLUG_LOAD_MODEL_MODELLED_NETWORK_H_HEADER_GUARD
 
@@ -15,7 +15,7 @@
 {
 class machine_network;
 
-/// All machines' connections. A frame crosses the sender's link, a delay between zones, and the receiver's link.
+/// The network of all machines. A frame passes the sender's link, the propagation delay, and the receiver's link.
 class modelled_network
 {
 public:
@@ -38,7 +38,7 @@
 
 	void add(machine_network* _machine);
 
-	/// @returns The machine of an address; null for none.
+	/// @returns The machine at an address, or null.
 	machine_network* find(const base::Address& _address);
 
 	base::Duration delay(const std::string& _from, const std::string& _to) const
@@ -59,7 +59,7 @@
 	base::ConnectionId m_lastConnection = 0;
 };
 
-/// One machine's connections. Connections within a machine cross no link.
+/// The connections of one machine. Connections within a machine bypass its link.
 class machine_network : public base::Network
 {
 public:
@@ -108,7 +108,7 @@
 	std::string m_zone;
 	wire::Hello m_hello;
 	base::ConnectionHandler* m_handler = nullptr;
-	std::map<base::ConnectionId, machine_network*> m_peers;  //!< Open connections.
+	std::map<base::ConnectionId, machine_network*> m_peers;  //!< Peer of each open connection.
 	modelled_link m_out;
 	modelled_link m_in;
 };
--- a/tools/load_model/modelled_node.cc
+++ b/tools/load_model/modelled_node.cc
@@ -9,7 +9,7 @@
 {
 constexpr char kHost[] = "model.example";
 constexpr int kPort = 7000;
-constexpr int kMinRetryTimeMs = 20;  // with less, a caller does not ask again
+constexpr int kMinRetryTimeMs = 20;  // remaining time below which a caller does not retry
 
 std::string hostOf(size_t _position)
 {
@@ -151,7 +151,7 @@
 		++(notRun ? result.refused : result.failed);
 		return;
 	}
-	// Callers heed what they are told, up to a third of the time that they have left.
+	// Callers honour the retry-after delay, up to a third of the remaining time.
 	const auto pause = std::min<base::Duration>(base::milliseconds(_answer.retryAfterMs), left / 3);
 	m_process.schedule(pause + base::milliseconds(1 + m_model.m_random.below(20)),
 					   [this, _request]
--- a/tools/load_model/modelled_node.h
+++ b/tools/load_model/modelled_node.h
@@ -1,4 +1,4 @@
-/// A node of the load model.
+/// A node of the load model, with its back end and callers.
 #ifndef DRIFTLUG_LOAD_MODEL_MODELLED_NODE_H_HEADER_GUARD
 #define DRIFTLUG_LOAD_MODEL_MODELLED_NODE_H_HEADER_GUARD
 
@@ -9,7 +9,7 @@
 
 namespace driftlug::load_model
 {
-/// The two sides of calls on one machine, the back end beside them, and callers.
+/// The entry and endpoint sides of calls on one machine, the local back end, and the callers of this node.
 class modelled_node : public base::ConnectionHandler
 {
 public:
@@ -17,13 +17,13 @@
 				  const std::string& _zone);
 	~modelled_node() override;
 
-	/// @returns How others reach the back end.
+	/// @returns The endpoint state that other nodes receive for the back end.
 	wire::EndpointState endpoint() const;
 
-	/// All nodes are there.
+	/// Starts the node with the table and the states of all endpoints.
 	void start(const routing::RoutingTablePtr& _table, const std::vector<wire::EndpointState>& _states);
 
-	/// A caller asks for the first time.
+	/// Starts a caller's request of a kind.
 	void startRequest(const kind_pattern& _kind);
 
 	void setUp(bool _up);
@@ -43,7 +43,7 @@
 	void onClose(base::ConnectionId _connection) override;
 
 private:
-	/// One request of a caller, with its tries.
+	/// A caller's request and its attempts.
 	struct caller_request
 	{
 		const kind_pattern* kind = nullptr;
--- a/tools/percentiles.h
+++ b/tools/percentiles.h
@@ -7,7 +7,7 @@
 
 namespace driftlug::tools {
 
-/// @return p50, p99, max and count; zeros when there are no values.
+/// @return p50, p99, max and count; zeros if there are no values.
 inline nlohmann::json percentiles(std::vector<double> values) {
   std::sort(values.begin(), values.end());
   const auto at = [&values](double share) {
--- a/tools/process_group.cc
+++ b/tools/process_group.cc
@@ -26,13 +26,13 @@
 constexpr int kPollMs = 5;
 constexpr int kSignalBase = 128;
 
-/// Claims a block of ports for the life of this process, so that two fleets on one machine never draw the same port:
-/// one that is free now may be that of a process which another fleet is about to start.
+/// Claims a block of ports for the lifetime of this process, so that two fleets on one machine never select the same
+/// port: a port that is free now may be reserved for a process that another fleet is about to start.
 bool claimPortBlock(int block) {
   const auto name = "driftlug-fleet-ports-" + std::to_string(block);
   sockaddr_un address{};
   address.sun_family = AF_UNIX;
-  // An abstract name: it goes away with the socket, which is left open on purpose.
+  // Abstract socket name: released when the socket closes, which is deliberately left open until this process exits.
   std::copy(name.begin(), name.end(), &address.sun_path[1]);
   const auto length = static_cast<socklen_t>(offsetof(sockaddr_un, sun_path) + 1 + name.size());
   const int fd = ::socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0);
@@ -82,7 +82,7 @@
 }
 
 bool ProcessGroup::startAgain(const std::string& name) {
-  // A second instance beside a running one would fight it for its ports, and could no longer be stopped.
+  // A second instance would conflict with the running one over its ports, and the first could no longer be stopped.
   if (running(name)) return true;
   const auto command = processes_[name].command;
   return start(name, command);
@@ -140,7 +140,7 @@
   ProcessUsage usage;
   std::ifstream stat("/proc/" + std::to_string(pid) + "/stat");
   std::string text((std::istreambuf_iterator<char>(stat)), {});
-  // Fields are counted behind the name, which may contain blanks.
+  // Fields are counted after the process name, which may contain spaces.
   std::istringstream fields(text.substr(std::min(text.size(), text.rfind(')') + 1)));
   constexpr int kUserTimeField = 12;
   constexpr int kRssField = 22;
@@ -155,13 +155,13 @@
 }
 
 std::vector<int> findFreePorts(size_t count) {
-  // Below the range from which the system takes the ports of outgoing connections: one of those could take the port of
-  // a process that is about to start again.
+  // Below the ephemeral port range: an outgoing connection could otherwise occupy the port of a process that is about
+  // to be restarted.
   constexpr int kFirstPort = 12'000;
   constexpr int kBlockPorts = 250;
   constexpr int kBlocks = 80;
   static int block = static_cast<int>(::getpid()) % kBlocks;
-  static int position = kBlockPorts;  // in the block that is in use; at its end to begin with
+  static int position = kBlockPorts;  // next port in the current block; starts at its end to claim the first block
   std::vector<int> ports;
   for (int tried = 0; ports.size() < count && tried <= kBlocks;) {
     if (position == kBlockPorts) {
--- a/tools/process_group.h
+++ b/tools/process_group.h
@@ -1,4 +1,4 @@
-/// The processes that a fleet run has started; nothing else is ever signalled.
+/// Starts and signals the child processes of a fleet; other processes are never signalled.
 #pragma once
 
 #include <sys/types.h>
@@ -9,7 +9,7 @@
 
 namespace driftlug::tools {
 
-/// Starts processes and ends just those.
+/// Owns child processes by name; the destructor kills those that still run.
 class ProcessGroup {
  public:
   explicit ProcessGroup(std::string folder) : folder_(std::move(folder)) {}
@@ -17,27 +17,27 @@
   ProcessGroup(const ProcessGroup&) = delete;
   ProcessGroup& operator=(const ProcessGroup&) = delete;
 
-  /// Starts a program; its output goes to `FOLDER/NAME.out` and `NAME.log`.
+  /// Starts a program; standard output goes to `FOLDER/NAME.out`, standard error to `FOLDER/NAME.log`.
   /// @return whether it was started
   bool start(const std::string& name, const std::vector<std::string>& command);
 
-  /// Starts a program again with the same command.
+  /// Restarts an exited program with the same command; returns true at once if it still runs.
   bool startAgain(const std::string& name);
 
-  /// Sends a signal, if the process runs.
+  /// Sends a signal if the process is running.
   void signal(const std::string& name, int number);
 
-  /// Waits for the end of a process.
-  /// @return its exit code, 128 + signal when it was killed, -1 when it did not end in time and was killed
+  /// Waits for a process to exit.
+  /// @return its exit code, 128 + signal if a signal ended it, -1 if it timed out and was killed
   int waitFor(const std::string& name, int timeoutMs);
 
-  /// @return the exit code of a process that has ended, 128 + signal when it was killed.
+  /// @return the exit code of an exited process, 128 + signal if a signal ended it.
   int exitCodeOf(const std::string& name);
 
-  /// @return whether a process runs.
+  /// @return whether a process is running.
   bool running(const std::string& name);
 
-  /// @return what a process wrote to its standard output.
+  /// @return the standard output of a process so far.
   std::string output(const std::string& name) const;
 
   pid_t pidOf(const std::string& name) const;
@@ -46,7 +46,7 @@
 
  private:
   struct Process {
-    pid_t pid = 0;  // 0 once it has ended and was waited for
+    pid_t pid = 0;  // 0 once it has been reaped
     int exitCode = 0;
     std::vector<std::string> command;
   };
@@ -57,16 +57,16 @@
   std::map<std::string, Process> processes_;
 };
 
-/// What one process has used since it started.
+/// Resource usage of a process.
 struct ProcessUsage {
-  double cpuSeconds = 0;
+  double cpuSeconds = 0;  ///< user and system time since its start
   double rssMb = 0;
 };
 
-/// @return what a process has used, zeros when there is none.
+/// @return the usage of a process, zeros if it does not exist.
 ProcessUsage usageOf(pid_t pid);
 
-/// @return ports on loopback that are free now, all different.
+/// @return distinct loopback ports that are currently free; fewer than `count` if there are not enough.
 std::vector<int> findFreePorts(size_t count);
 
 }  // namespace driftlug::tools
--- a/tools/scenario.h
+++ b/tools/scenario.h
@@ -1,4 +1,4 @@
-/// Steps that change a running fleet: edits, kills, restarts, pauses, drains.
+/// Scripted steps on a running fleet: edits, kills, restarts, pauses, drains.
 #pragma once
 
 #include <absl/status/statusor.h>
@@ -11,37 +11,37 @@
 
 namespace driftlug::tools {
 
-/// What a step does to its target.
+/// Action of a step on its target.
 enum class StepAction {
-  kEdit,     ///< one edit, measured until it is in force everywhere
+  kEdit,     ///< submits an edit and measures its convergence
   kKill,     ///< SIGKILL, without a restart
-  kRestart,  ///< SIGTERM, wait for the end, start again
-  kRevive,   ///< start again after a kill
+  kRestart,  ///< SIGTERM, waits for the exit, starts it again
+  kRevive,   ///< starts it again after a kill
   kPause,    ///< SIGSTOP
   kResume,   ///< SIGCONT
-  kDrain,    ///< the node takes no new work
+  kDrain,    ///< the node accepts no new calls
 };
 
 struct ScenarioStep {
-  int atMs = 0;  ///< since the load began
+  int atMs = 0;  ///< since the start of the round
   StepAction action = StepAction::kEdit;
   std::string target;  ///< a process name, `leader`, `relays`, `controllers` or `nodes`
 };
 
 struct Scenario {
   std::string name;
-  bool callsMayFail = false;  ///< whether typed failures are expected
+  bool callsMayFail = false;  ///< whether failed calls are expected
   std::vector<ScenarioStep> steps;
-  int rounds = 1;   ///< how often the steps run
-  int roundMs = 0;  ///< time from the begin of a round to that of the next
+  int rounds = 1;   ///< number of times the steps run
+  int roundMs = 0;  ///< time between the starts of two rounds
 };
 
 /// Reads a scenario file.
-/// @return the scenario, or kBadSetting naming the first mistake
+/// @return the scenario, or kBadSetting naming the first error
 absl::StatusOr<Scenario> readScenario(const std::string& path);
 
-/// Runs all steps; `edit` makes one measured edit.
-/// @param rounds how often the steps run; 0 for as often as the file says
+/// Runs all steps; `edit` submits one edit and measures its convergence.
+/// @param rounds number of times the steps run; 0 for the number in the scenario
 void runScenario(const Scenario& scenario, int rounds, Fleet& fleet, const std::function<void()>& edit);
 
 }  // namespace driftlug::tools
--- a/tools/sim_main.cc
+++ b/tools/sim_main.cc
@@ -1,4 +1,4 @@
-/// driftlug-sim: the true decision objects on a virtual clock, under faults drawn from a seed.
+/// driftlug-sim: runs the production decision logic on a virtual clock, with faults drawn from a seed.
 #include <absl/strings/numbers.h>
 #include <gflags/gflags.h>
 
@@ -14,17 +14,17 @@
 
 DEFINE_string(deployment, "examples/crash-report", "folder of the deployment");
 DEFINE_string(seeds, "1-20", "seeds to run, as A-B");
-DEFINE_string(duration, "120s", "virtual time of each run, in whole seconds");
-DEFINE_string(fault, "all", "classes of faults, separated by commas; all, or none");
-DEFINE_string(disable, "", "safety mechanisms to switch off, separated by commas");
-DEFINE_bool(list_mechanisms, false, "list the mechanisms that --disable takes");
-DEFINE_bool(list_faults, false, "list the classes that --fault takes");
-DEFINE_bool(shrink, true, "find a short list of faults for the first seed that fails");
+DEFINE_string(duration, "120s", "virtual duration of each run, in whole seconds");
+DEFINE_string(fault, "all", "fault classes, separated by commas; or all, or none");
+DEFINE_string(disable, "", "safety mechanisms to disable, separated by commas");
+DEFINE_bool(list_mechanisms, false, "list the mechanisms accepted by --disable");
+DEFINE_bool(list_faults, false, "list the classes accepted by --fault");
+DEFINE_bool(shrink, true, "minimize the list of faults of the first seed that fails");
 DEFINE_bool(stop_at_first, false, "stop at the first seed that fails");
-DEFINE_bool(node_disk_faults, false, "full and failing disks strike nodes too, not controllers alone");
-DEFINE_bool(full_push, false, "baseline: send everything with each update");
-DEFINE_bool(verbose, false, "write the logs of all simulated processes");
-DEFINE_int32(threads, 0, "seeds run at once; 0 for one a core");
+DEFINE_bool(node_disk_faults, false, "apply disk faults to nodes as well as to controllers");
+DEFINE_bool(full_push, false, "baseline: send the full table with each update");
+DEFINE_bool(verbose, false, "print the logs of all simulated processes");
+DEFINE_int32(threads, 0, "seeds run concurrently; 0 for one per core");
 DEFINE_int32(mean_fault_gap_ms, 6000, "mean time between faults");
 DEFINE_int32(mean_edit_gap_ms, 1500, "mean time between edits");
 
@@ -125,6 +125,6 @@
     for (const auto& info : simulation::allFaults()) std::printf("%s\n", std::string(info.name).c_str());
     return 0;
   }
-  if (arguments.size() != 1 || arguments[0] != "run") exitWithBadSetting("say what to do: run");
+  if (arguments.size() != 1 || arguments[0] != "run") exitWithBadSetting("the command is 'run'");
   return run();
 }
--- a/tools/sim_run.cc
+++ b/tools/sim_run.cc
@@ -59,7 +59,7 @@
 RunSummary runSeeds(const simulation::RunOptions& options, SeedRange range, int threads, bool stopAtFirst) {
   RunSummary summary;
   std::mutex mutex;
-  std::map<uint64_t, simulation::RunResult> finished;  // not yet printed
+  std::map<uint64_t, simulation::RunResult> finished;  // results not yet printed
   uint64_t nextToPrint = range.first;
   std::atomic<uint64_t> nextSeed{range.first};
   std::atomic<bool> stop{false};
--- a/tools/sim_run.h
+++ b/tools/sim_run.h
@@ -1,4 +1,4 @@
-/// `driftlug-sim run`: many seeds on several threads, one line each, and a summary.
+/// `driftlug-sim run`: runs a range of seeds on several threads, with one line of output per seed and a summary.
 #pragma once
 
 #include <string>
@@ -8,16 +8,17 @@
 
 namespace driftlug::tools {
 
-/// What to run.
+/// An inclusive range of seeds.
 struct SeedRange {
   uint64_t first = 1;
   uint64_t last = 1;
 };
 
-/// @return the range of `A-B` or `A`; false when it is none.
+/// Parses `A-B` or `A`.
+/// @return false if the text is not a valid range
 bool parseSeeds(const std::string& text, SeedRange* range);
 
-/// Result of all seeds.
+/// Aggregated results of all seeds.
 struct RunSummary {
   uint64_t seeds = 0;
   uint64_t failedSeeds = 0;
@@ -29,12 +30,12 @@
   simulation::OperatorCounters operators;
 };
 
-/// Runs seeds and prints a line for each, in order.
-/// @param threads seeds run at once
-/// @param stopAtFirst whether to stop once a seed fails
+/// Runs the seeds and prints one line for each, in order.
+/// @param threads number of seeds run concurrently
+/// @param stopAtFirst whether to stop after the first seed that fails
 RunSummary runSeeds(const simulation::RunOptions& options, SeedRange range, int threads, bool stopAtFirst);
 
-/// @return the summary as one JSON line.
+/// @return the summary as a single-line JSON object.
 std::string summaryLine(const std::string& deployment, RunSummary summary);
 
 }  // namespace driftlug::tools
--- a/tools/simulated_plan.h
+++ b/tools/simulated_plan.h
@@ -1,4 +1,4 @@
-/// Plans of simulated clusters from deployments.
+/// Converts deployments to plans of simulated clusters.
 #pragma once
 
 #include "deployment.h"
@@ -6,7 +6,7 @@
 
 namespace driftlug::tools {
 
-/// @return the deployment's processes, latencies and first rows.
+/// @return a plan with the deployment's processes, latencies and initial table rows.
 simulation::ClusterPlan planOf(const Deployment& deployment);
 
 }  // namespace driftlug::tools
