--- a/tools/soak/back_end_supervisor.cc
+++ b/tools/soak/back_end_supervisor.cc
@@ -9,7 +9,7 @@
 namespace
 {
 constexpr base::Duration kRestartDelay = base::milliseconds(1500);
-/// A fleet knows a crash everywhere within this time.
+/// Limit for a crash to become known to all nodes of a fleet.
 constexpr base::Duration kPropagationLimit = base::seconds(3);
 constexpr size_t kDetectionCrashes = 3;
 
--- a/tools/soak/back_end_supervisor.h
+++ b/tools/soak/back_end_supervisor.h
@@ -1,4 +1,4 @@
-/// Back ends that a request crashes, in a soak: starts them again, and counts.
+/// Restarts back ends that a request crashes during a soak, and counts the crashes.
 #ifndef DRIFTLUG_SOAK_CRASH_KEEPER_H_HEADER_GUARD
 #define DRIFTLUG_SOAK_CRASH_KEEPER_H_HEADER_GUARD
 
@@ -15,25 +15,26 @@
 
 namespace driftlug::soak
 {
-/// Watches back ends, one of whose requests ends the process that begins to run it.
+/// Supervises the back ends of a fleet in which one request crashes every back end that runs it.
 class back_end_supervisor
 {
 public:
 	explicit back_end_supervisor(tools::Fleet& _fleet);
 
-	/// Looks at all back ends; those that have been away for long enough are started again.
+	/// Checks all back ends; records those that have exited and restarts them after a delay.
 	void poll();
 
-	/// @returns Back ends that ended by themselves so far.
+	/// @returns The number of crashes so far.
 	size_t crashes() const
 	{
 		return m_crashes.size();
 	}
 
-	/// @returns Those of them that ended later than some seconds after the third, by when all nodes must know.
+	/// @returns The number of crashes later than a few seconds after the third one, by when all nodes must refuse the
+	/// request.
 	size_t lateCrashes() const;
 
-	/// @returns Whether every back end runs.
+	/// @returns Whether no back end is waiting for its restart.
 	bool allRunning() const
 	{
 		return m_downSince.empty();
@@ -41,7 +42,7 @@
 
 private:
 	tools::Fleet& m_fleet;
-	std::map<std::string, base::TimePoint> m_downSince;  //!< By name: since when.
+	std::map<std::string, base::TimePoint> m_downSince;  //!< Time since which a back end is down, by name.
 	std::vector<base::TimePoint> m_crashes;
 };
 
--- a/tools/soak/callers_main.cc
+++ b/tools/soak/callers_main.cc
@@ -1,4 +1,5 @@
-/// driftlug-soak-callers: callers that keep their connections in use until these end, and report what got no answer.
+/// driftlug-soak-callers: callers that use persistent connections until the server closes them, and report the requests
+/// without a response.
 #include <fmt/format.h>
 #include <gflags/gflags.h>
 
@@ -16,15 +17,16 @@
 #include "soak/persistent_connection.h"
 
 DEFINE_string(targets, "", "entry nodes as host:port, separated by commas");
-DEFINE_string(host, "", "Host header of requests");
+DEFINE_string(host, "", "Host header of the requests");
 DEFINE_string(lookups, "/", "paths of requests that may be repeated, separated by commas");
 DEFINE_string(filings, "", "paths of requests that may not be repeated, separated by commas");
 DEFINE_double(filing_share, 0.3, "share of requests that may not be repeated");
-DEFINE_int32(connections, 8, "connections kept to each target; a quarter of them pipelines, a quarter is mostly idle");
-DEFINE_int32(body_bytes, 1000, "size of the body of a request that may not be repeated, at most");
-DEFINE_int32(duration_ms, 5000, "time in which requests begin");
-DEFINE_string(record, "", "file for the outcome of each request that may not be repeated, as JSON");
-DEFINE_string(unanswered, "", "file for the requests without a complete answer, as JSON");
+DEFINE_int32(connections, 8,
+			 "persistent connections to each target; a quarter of them pipeline, a quarter are mostly idle");
+DEFINE_int32(body_bytes, 1000, "maximum body size of a request that may not be repeated");
+DEFINE_int32(duration_ms, 5000, "duration of the load");
+DEFINE_string(record, "", "JSON file for the outcome of each request that may not be repeated");
+DEFINE_string(unanswered, "", "JSON file for the requests without a complete response");
 DEFINE_int32(seed, 1, "seed of requests and pauses");
 
 namespace
@@ -34,7 +36,7 @@
 
 constexpr int kOkStatus = 200;
 
-/// Connections of one target, and when the newest request was sent that it answered.
+/// A target, its connections, and the send time of the newest request that it answered.
 struct target
 {
 	std::string name;
@@ -44,7 +46,7 @@
 
 class caller_pool;
 
-/// Takes the outcomes of one target's connections.
+/// Forwards the outcomes of one target's connections.
 class target_observer : public soak::request_observer
 {
 public:
@@ -156,7 +158,7 @@
 		switch (_connection % kKinds)
 		{
 			case 0:
-				return {4, base::milliseconds(100)};  // pipelines
+				return {4, base::milliseconds(100)};  // pipelined
 			case 1:
 				return {1, base::milliseconds(3000)};  // mostly idle
 			default:
@@ -272,7 +274,7 @@
 	base::declareRange("duration_ms", 1, 3'600'000);
 	base::declareRange("connections", 1, 1'000);
 	base::declareRange("body_bytes", 1, 64 << 20);
-	base::loadSettingsOrExit(argc, argv, "driftlug-soak-callers: callers that keep connections in use", false);
+	base::loadSettingsOrExit(argc, argv, "driftlug-soak-callers: callers with persistent connections", false);
 	apps::configureLogsFromSettings();
 	transport::EventLoop loop;
 	caller_pool all(loop);
--- a/tools/soak/connection_record.cc
+++ b/tools/soak/connection_record.cc
@@ -13,13 +13,13 @@
 
 constexpr int64_t kUsPerMs = 1000;
 
-/// Age from which a request counts as read that a witness follows: many turns of the loop of a busy process.
+/// Age from which a request counts as read if a later one was answered: many event-loop iterations of a busy process.
 constexpr int64_t kReadAgeUs = 200 * kUsPerMs;
 
-/// Age from which it counts as read without a witness: no process of a soak waits that long for its turn.
+/// Age from which a request counts as read without such evidence: no process in a soak is delayed that long.
 constexpr int64_t kMaxLoopDelayUs = 2'000 * kUsPerMs;
 
-/// How long harm may show behind its end: what a paused process has to catch up with.
+/// Time for which the effects of a fault may outlast it: a resumed process has a backlog to work off.
 constexpr int64_t kFaultRecoveryUs = 1'000 * kUsPerMs;
 
 bool overlapsFault(const unanswered_request& _request, std::span<const fault_window> _faults)
--- a/tools/soak/connection_record.h
+++ b/tools/soak/connection_record.h
@@ -1,4 +1,4 @@
-/// What callers saw of their requests on connections that they kept in use, and how it is judged.
+/// Records requests on persistent connections that got no complete response, and detects violations among them.
 #ifndef DRIFTLUG_SOAK_CONNECTION_RECORD_H_HEADER_GUARD
 #define DRIFTLUG_SOAK_CONNECTION_RECORD_H_HEADER_GUARD
 
@@ -12,47 +12,47 @@
 
 namespace driftlug::soak
 {
-/// How a request ended that got no complete answer.
+/// Why a request got no complete response.
 enum class request_end
 {
-	cut,      //!< Its connection ended, and nothing told that it was not read.
-	partial,  //!< The same, within its answer.
-	unread,   //!< An answer before it said that the connection closes; nothing behind is read.
-	silent,   //!< Its connection stays open, and no answer came in time.
+	cut,      //!< Its connection closed, with no indication that the request was not read.
+	partial,  //!< Its connection closed in the middle of the response.
+	unread,   //!< An earlier response announced the close of the connection; later requests are not read.
+	silent,   //!< The connection stayed open, and no response arrived in time.
 };
 
-/// One request without a complete answer. Times are of the monotonic clock, in microseconds.
+/// A request without a complete response. Times are in microseconds of the monotonic clock.
 struct unanswered_request
 {
 	std::string id;
-	std::string target;  //!< Address that the connection was opened to.
+	std::string target;  //!< Address of the server.
 	request_end end = request_end::cut;
-	bool keyed = false;  //!< May not be repeated; back ends keep a record of it.
+	bool keyed = false;  //!< Has an idempotency key; back ends record its runs.
 	int64_t sentUs = 0;
 	int64_t endedUs = 0;
-	int64_t newestAnsweredSentUs =
-		0;  //!< When the last request was sent to the target that it answered before the end.
+	int64_t newestAnsweredSentUs = 0;  //!< Send time of the newest request that the target had answered by endedUs.
 };
 
-/// A time in which a process was harmed, in microseconds of the monotonic clock.
+/// A time interval in which a fault affected a process, in microseconds of the monotonic clock.
 struct fault_window
 {
 	int64_t fromUs = 0;
 	int64_t untilUs = 0;
 };
 
-/// Judges a request that got no complete answer from a process whose planned stops are no excuse.
+/// Decides whether a request without a complete response violates the guarantees of a server. Planned stops excuse
+/// nothing.
 ///
-/// A request that crosses the end of its connection is no break. It was read if the process answered one that was sent
-/// later: the later one was read in a turn of the loop that found this one as well. Bytes on loopback can be read as
-/// soon as they are sent.
+/// A request that is in transit while the server closes its connection is no violation. It counts as read if the server
+/// answered a request that was sent later: the event-loop iteration that read the later one could read this one as
+/// well, since bytes on loopback are readable as soon as they are sent.
 ///
-/// @param[in] _runs How often back ends ran it, as far as they keep a record.
-/// @param[in] _harms When the process was harmed by anything but planned stops.
-/// @returns What is wrong, empty when nothing is.
+/// @param[in] _runs How often back ends ran the request, as far as they record it.
+/// @param[in] _faults Faults of the server other than planned stops.
+/// @returns A description of the violation; empty if there is none.
 std::string findViolation(const unanswered_request& _request, int _runs, std::span<const fault_window> _faults);
 
-/// Writes requests as JSON, and reads them.
+/// Converts requests to JSON and back.
 nlohmann::json toJson(std::span<const unanswered_request> _requests);
 std::vector<unanswered_request> requestsFromJson(const nlohmann::json& _document);
 
--- a/tools/soak/fault_injector.cc
+++ b/tools/soak/fault_injector.cc
@@ -12,7 +12,7 @@
 {
 namespace
 {
-/// A planned stop has 10 s for its calls; the rest is what a busy machine takes.
+/// A planned stop allows 10 s for the calls in flight; the rest is margin for a busy machine.
 constexpr base::Duration kStopTimeout = base::seconds(15);
 
 class signal_injector : public process_fault_injector
@@ -41,7 +41,7 @@
 	{
 		if (soak_action::pause == _step.action)
 		{
-			// A stop that was in progress has its time from here on.
+			// The timeout of a stop in progress starts over when its process resumes.
 			if (const auto stopping = m_stops.find(_step.target); m_stops.end() != stopping)
 			{
 				stopping->second.since = m_fleet.http().loop().now();
@@ -98,7 +98,7 @@
 	struct stop_state
 	{
 		base::TimePoint since{};
-		int faults = 0;  // that end it, if one comes while the last one's stop is in progress
+		int faults = 0;  // faults that stop it; a further one may start during a stop
 		bool planned = false;
 		bool early = false;
 		bool startAgain = false;
--- a/tools/soak/fault_injector.h
+++ b/tools/soak/fault_injector.h
@@ -1,4 +1,4 @@
-/// Brings faults about and ends them.
+/// Injects faults into processes and links.
 #ifndef DRIFTLUG_SOAK_FAULT_INJECTOR_H_HEADER_GUARD
 #define DRIFTLUG_SOAK_FAULT_INJECTOR_H_HEADER_GUARD
 
@@ -15,42 +15,42 @@
 {
 struct soak_step;
 
-/// One way to bring faults about.
+/// Injects one class of faults.
 class fault_injector
 {
 public:
 	virtual ~fault_injector() = default;
 
-	/// Puts the fault of a step in force.
+	/// Starts the fault of a step.
 	virtual void begin(const soak_step& _step) = 0;
 
-	/// Ends it.
+	/// Ends the fault of a step.
 	virtual void end(const soak_step& _step) = 0;
 };
 
-/// Faults of processes. An ended process is started again as soon as it is gone, which may be later than its fault
-/// ends.
+/// Injects faults into processes. A stopped process is restarted once it has exited, which may be after the end of its
+/// fault.
 class process_fault_injector : public fault_injector
 {
 public:
-	/// Starts what is due.
-	/// @param[out] _started Names of processes that run again, once for each fault that had ended them.
-	/// @returns What is wrong: a planned stop that took too long or failed. Empty when nothing is.
+	/// Restarts the processes that are due.
+	/// @param[out] _started Names of restarted processes, once for each fault that had stopped them.
+	/// @returns A description of a planned stop that timed out or failed; empty if there is none.
 	virtual std::string poll(std::vector<std::string>* _started) = 0;
 
-	/// The next planned stop comes to a process that never was ready in this life: it may end by the signal alone, as
-	/// it may not deal with signals yet.
+	/// Announces that the next planned stop hits a process that has not been ready since its start. The signal may
+	/// terminate it directly, because its signal handlers may not be installed yet.
 	virtual void expectEarlyStop(const std::string& _name) = 0;
 
-	/// @returns Whether every process runs again whose fault has ended.
+	/// @returns Whether all stopped processes have been restarted.
 	virtual bool allRestarted() const = 0;
 };
 
-/// Signals to processes that the fleet has started.
-/// @param[in] _stopByKill Whether a planned stop kills, to prove that the checks trip.
+/// Creates an injector that sends signals to the processes of a fleet.
+/// @param[in] _stopByKill Whether planned stops send SIGKILL, to verify that the checks fail.
 std::unique_ptr<process_fault_injector> makeProcessFaultInjector(tools::Fleet& _fleet, bool _stopByKill);
 
-/// Faults of the links before processes.
+/// Creates an injector that sets faults of the fault proxy's links.
 std::unique_ptr<fault_injector> makeLinkFaultInjector(tools::Fleet& _fleet);
 
 }  // namespace driftlug::soak
--- a/tools/soak/fault_proxy.cc
+++ b/tools/soak/fault_proxy.cc
@@ -63,7 +63,7 @@
 	{
 		all.push_back(connection.get());
 	}
-	// Connections end later, so none of these goes away meanwhile.
+	// scheduleRemoval() removes connections in a later event, so all of these pointers stay valid here.
 	for (auto* connection : all)
 	{
 		if (link_fault::mute == _fault)
--- a/tools/soak/fault_proxy.h
+++ b/tools/soak/fault_proxy.h
@@ -1,4 +1,4 @@
-/// A loopback proxy of one server that harms the connections to it.
+/// A loopback proxy that injects faults into the connections to a server.
 #ifndef DRIFTLUG_SOAK_FAULT_PROXY_H_HEADER_GUARD
 #define DRIFTLUG_SOAK_FAULT_PROXY_H_HEADER_GUARD
 
@@ -16,11 +16,11 @@
 {
 class relayed_connection;
 
-/// Forwards connections to one server.
+/// Forwards connections to a server and applies the current fault to them.
 ///
-/// Bytes of one direction keep their order, also when the delay changes. What a silent link holds back is delivered
-/// after the fault, as TCP would, unless one of the sides has given the connection up by then. A throttled link is
-/// shared by its connections, piece by piece, in the order in which these have something to send.
+/// Bytes of one direction keep their order, even when the delay changes. Bytes held back by a silent link are delivered
+/// after the fault, as with TCP retransmission, unless one of the sides has closed the connection by then. The
+/// connections of a throttled link share its bandwidth piece by piece, in the order in which they have data to send.
 class fault_proxy
 {
 public:
@@ -31,27 +31,27 @@
 	fault_proxy(transport::EventLoop& _loop, const base::Address& _target);
 	~fault_proxy();
 
-	/// Listens on a port of loopback.
+	/// Listens on a loopback port; 0 for any free port.
 	absl::Status listen(int _port);
 
 	/// @returns The port it listens on.
 	int port() const;
 
-	/// What a fault needs beside its kind.
+	/// Parameters of a fault.
 	struct fault_parameters
 	{
-		base::Duration delay{0};     //!< Of each direction, with `link_fault::delay`.
-		int64_t bytesPerSecond = 0;  //!< Of each direction, with `link_fault::throttle`.
+		base::Duration delay{0};     //!< Delay of each direction with `link_fault::delay`.
+		int64_t bytesPerSecond = 0;  //!< Bandwidth of each direction with `link_fault::throttle`.
 	};
 
-	/// Puts another fault in force.
+	/// Replaces the current fault.
 	void setFault(link_fault _fault, const fault_parameters& _parameters);
 
-	/// Sets what the link carries in each direction while no fault throttles it.
-	/// @param[in] _bytesPerSecond 0 for any number.
+	/// Sets the bandwidth of each direction while no fault throttles the link.
+	/// @param[in] _bytesPerSecond Bandwidth in bytes per second; 0 for unlimited.
 	void setCapacity(int64_t _bytesPerSecond);
 
-	/// @returns Open connections.
+	/// @returns The number of open connections.
 	size_t connections() const;
 
 private:
@@ -60,11 +60,11 @@
 	void onAccepted(std::shared_ptr<transport::TcpStream> _client);
 	void scheduleRemoval(uint64_t _id);
 
-	/// @returns What the link carries in each direction, in bytes a second; 0 for any number.
+	/// @returns The current bandwidth of each direction, in bytes per second; 0 for unlimited.
 	int64_t bytesPerSecond() const;
 
-	/// Takes the link's next time to send some bytes.
-	/// @returns When they have passed.
+	/// Reserves the link's next time slot for some bytes.
+	/// @returns The time at which they have been transmitted.
 	base::TimePoint reserve(bool _toServer, size_t _bytes);
 
 	transport::EventLoop& m_loop;
@@ -73,7 +73,7 @@
 	link_fault m_fault = link_fault::none;
 	fault_parameters m_parameters;
 	int64_t m_capacity = 0;
-	base::TimePoint m_freeToServer{};  // when the link has passed all that was reserved
+	base::TimePoint m_freeToServer{};  // end of the last reservation
 	base::TimePoint m_freeToClient{};
 	uint64_t m_nextId = 1;
 	std::map<uint64_t, std::unique_ptr<relayed_connection>> m_connections;
--- a/tools/soak/fault_proxy_main.cc
+++ b/tools/soak/fault_proxy_main.cc
@@ -1,4 +1,4 @@
-/// driftlug-fault-proxy: stands between the processes of a fleet on loopback and harms their connections.
+/// driftlug-fault-proxy: a proxy between the processes of a fleet on loopback that injects faults into connections.
 #include <absl/strings/numbers.h>
 #include <absl/strings/str_split.h>
 #include <gflags/gflags.h>
@@ -14,7 +14,7 @@
 
 DEFINE_string(links, "", "links as name=port:target_port, separated by commas");
 DEFINE_int32(control_port, 0, "port for GET /fault?link=NAME&fault=FAULT[&delay_ms=N][&bytes_per_second=N]");
-DEFINE_double(link_mbps, 0, "what each link carries in each direction, in Mbit/s; 0 for any number");
+DEFINE_double(link_mbps, 0, "bandwidth of each link in each direction, in Mbit/s; 0 for unlimited");
 
 namespace
 {
@@ -78,7 +78,7 @@
 	base::declareRequired("links");
 	base::declareRange("control_port", 1, 65535);
 	base::declareRange("link_mbps", 0, 1'000'000);
-	base::loadSettingsOrExit(argc, argv, "driftlug-fault-proxy: harms connections on loopback", false);
+	base::loadSettingsOrExit(argc, argv, "driftlug-fault-proxy: injects faults into connections on loopback", false);
 	apps::configureLogsFromSettings();
 	transport::EventLoop loop;
 	auto all = listenOrExit(loop);
--- a/tools/soak/invariant_checker.cc
+++ b/tools/soak/invariant_checker.cc
@@ -63,7 +63,7 @@
 	const auto pid = processes.pidOf(_member.name);
 	auto& observed = m_observed[_member.name];
 	const bool sameProcess = pid == observed.pid;
-	// Nothing is heard of a process that is busy; that is no revision.
+	// A busy process may not respond; the sum of its metric is then 0, which is not a revision.
 	if (0 == revision)
 	{
 		return {};
--- a/tools/soak/invariant_checker.h
+++ b/tools/soak/invariant_checker.h
@@ -1,4 +1,4 @@
-/// Watches a fleet while it is harmed.
+/// Checks invariants of a fleet during fault injection.
 #ifndef DRIFTLUG_SOAK_PROMISE_WATCH_H_HEADER_GUARD
 #define DRIFTLUG_SOAK_PROMISE_WATCH_H_HEADER_GUARD
 
@@ -15,25 +15,24 @@
 
 namespace driftlug::soak
 {
-/// Notices nodes that go back to an older revision within one life, processes that end by themselves, and nodes that
-/// say that they are ready and take no connections.
+/// Detects processes that return to an older revision without a restart, processes that exit unexpectedly, and nodes
+/// that report readiness but accept no connections.
 class invariant_checker
 {
 public:
 	explicit invariant_checker(tools::Fleet& _fleet);
 
-	/// Tells that a process is harmed, or no longer; it may be harmed by several things at once. While it is, it isn't
-	/// asked, and may end.
+	/// Adds or removes one fault of a process; several may overlap. A process with a fault is not checked and may exit.
 	void setFaulty(const std::string& _name, bool _faulty);
 
-	/// @returns Whether a process is harmed.
+	/// @returns Whether a process has a fault.
 	bool isFaulty(const std::string& _name) const;
 
-	/// Looks at one process; the next call at the next one.
-	/// @returns What is wrong, empty when nothing is.
+	/// Checks one process; successive calls check the processes in turn.
+	/// @returns A description of the violation; empty if there is none.
 	std::string checkNext();
 
-	/// @returns How often a process was looked at.
+	/// @returns The number of checks so far.
 	int checks() const;
 
 private:
@@ -47,7 +46,7 @@
 	std::string checkListener(const tools::FleetMember& _member);
 
 	tools::Fleet& m_fleet;
-	std::map<std::string, int> m_faultCounts;  // by how many things
+	std::map<std::string, int> m_faultCounts;  // number of active faults by process
 	std::map<std::string, observed_revision> m_observed;
 	size_t m_next = 0;
 	int m_checks = 0;
--- a/tools/soak/link_fault.h
+++ b/tools/soak/link_fault.h
@@ -1,4 +1,4 @@
-/// What a fault proxy does to the connections of one link.
+/// Faults that a fault proxy injects into the connections of a link.
 #ifndef DRIFTLUG_SOAK_LINK_FAULT_H_HEADER_GUARD
 #define DRIFTLUG_SOAK_LINK_FAULT_H_HEADER_GUARD
 
@@ -7,23 +7,23 @@
 
 namespace driftlug::soak
 {
-/// State of a link.
+/// Fault of a link. A link has at most one at a time.
 enum class link_fault
 {
-	none,         //!< Bytes pass.
-	delay,        //!< Bytes pass later.
-	silence,      //!< Nothing passes, not even an end; held bytes follow once the fault is over.
-	silence_in,   //!< As silence, towards the server only.
-	silence_out,  //!< As silence, towards the client only.
-	reset,        //!< Connections are closed, new ones as soon as they are opened.
-	throttle,     //!< Each direction of a connection carries few bytes a second, and little of them waits on the way.
-	mute,         //!< Connections open when it begins carry nothing ever again, not even an end; new ones do.
+	none,         //!< Bytes are forwarded without delay.
+	delay,        //!< Bytes are forwarded after a delay.
+	silence,      //!< Nothing is forwarded, not even a close; held bytes follow after the fault.
+	silence_in,   //!< As silence, only towards the server.
+	silence_out,  //!< As silence, only towards the client.
+	reset,        //!< Existing connections are closed; new ones are closed once accepted.
+	throttle,     //!< Each direction of the link has a low bandwidth and a small buffer.
+	mute,         //!< Connections open when it starts never forward anything again, not even a close; new ones do.
 };
 
-/// Name of a fault, as in plans and requests.
+/// @returns The name of a fault in plans and control requests.
 std::string_view nameOf(link_fault _fault);
 
-/// @returns The fault of that name, nothing when there is none.
+/// @returns The fault with a name, or nothing if the name is unknown.
 std::optional<link_fault> faultOf(std::string_view _name);
 
 }  // namespace driftlug::soak
--- a/tools/soak/persistent_connection.cc
+++ b/tools/soak/persistent_connection.cc
@@ -4,10 +4,10 @@
 {
 namespace
 {
-/// Before a connection is opened again: a server that starts takes about that long.
+/// Delay before reconnecting: a server takes about that long to start.
 constexpr base::Duration kReconnectDelay = base::milliseconds(50);
 
-/// After which an answer doesn't come any more: twice the time of the slowest route, and what a busy machine takes.
+/// Time limit for a response: twice the timeout of the slowest route, with margin for a busy machine.
 constexpr base::Duration kAnswerTimeout = base::seconds(8);
 
 }  // namespace
@@ -156,7 +156,7 @@
 	for (const auto& request : m_outstanding)
 	{
 		m_observer.onUnanswered(request, _end);
-		// Only the first one's answer had begun.
+		// Only the first request can have a partial response.
 		_end = request_end::partial == _end ? request_end::cut : _end;
 	}
 	m_outstanding.clear();
--- a/tools/soak/persistent_connection.h
+++ b/tools/soak/persistent_connection.h
@@ -1,4 +1,4 @@
-/// A caller's connection that is kept in use until its server ends it.
+/// A caller's connection that stays in use until the server closes it.
 #ifndef DRIFTLUG_SOAK_OPEN_CONNECTION_H_HEADER_GUARD
 #define DRIFTLUG_SOAK_OPEN_CONNECTION_H_HEADER_GUARD
 
@@ -14,59 +14,59 @@
 
 namespace driftlug::soak
 {
-/// One request that waits for its answer.
+/// A request in flight.
 struct pending_request
 {
 	std::string id;
-	std::string digest;  //!< Of its body.
-	bool keyed = false;
-	int64_t sentUs = 0;
+	std::string digest;  //!< Digest of its body.
+	bool keyed = false;  //!< Has an idempotency key.
+	int64_t sentUs = 0;  //!< In microseconds of the monotonic clock.
 };
 
-/// Takes what becomes of the requests of a connection.
+/// Receives the outcomes of a connection's requests.
 class request_observer
 {
 public:
 	virtual ~request_observer() = default;
 
-	/// A whole answer came.
+	/// A complete response arrived.
 	virtual void onAnswered(const pending_request& _request, const transport::HttpHead& _head,
 							const std::string& _body) = 0;
 
-	/// None came.
+	/// A request ended without a complete response.
 	virtual void onUnanswered(const pending_request& _request, request_end _end) = 0;
 
-	/// Bytes came that answer nothing.
+	/// Bytes arrived that are not a response to a request in flight.
 	virtual void onStray() = 0;
 };
 
-/// Keeps one connection to a server open and in use, and opens the next one when it ends.
+/// Keeps one connection to a server open and in use, and reconnects when it closes.
 ///
-/// A connection on which no answer said that it closes is used until it ends, whatever is known of the server.
+/// A connection is used until a response announces its close or the server closes it, regardless of the server's state.
 class persistent_connection : private transport::StreamHandler
 {
 public:
-	/// What a connection sends.
+	/// Traffic of a connection.
 	struct traffic
 	{
-		size_t burst = 1;  //!< Requests sent at once, at most; more than one are pipelined.
+		size_t burst = 1;  //!< Maximum number of requests sent at once; several are pipelined.
 		base::Duration maxPause = base::milliseconds(400);
 	};
 
-	/// Makes the next request, and its bytes as they are sent.
+	/// Creates the next request and serializes it into the given string.
 	using request_factory = std::function<pending_request(std::string*)>;
 
 	persistent_connection(transport::EventLoop& _loop, const base::Address& _target, const traffic& _traffic,
 						  base::RandomSource _random, request_factory _make, request_observer& _observer);
 	~persistent_connection() override;
 
-	/// Opens the connection and keeps it in use.
+	/// Opens the connection and starts sending requests.
 	void start();
 
-	/// Sends nothing more; what waits for an answer is waited for.
+	/// Stops sending requests; those in flight still wait for their responses.
 	void finish();
 
-	/// @returns Requests without an answer so far.
+	/// @returns The number of requests in flight.
 	size_t outstanding() const;
 
 private:
@@ -93,8 +93,8 @@
 	bool m_connected = false;
 	bool m_closeAnnounced = false;
 	bool m_finishing = false;
-	base::Timer m_nextTimer;    // for the next requests, or the next connection
-	base::Timer m_answerTimer;  // since the last answer, while one is waited for
+	base::Timer m_nextTimer;    // next requests, or next connection attempt
+	base::Timer m_answerTimer;  // runs while a response is awaited; restarted by each response
 };
 
 }  // namespace driftlug::soak
--- a/tools/soak/relayed_connection.cc
+++ b/tools/soak/relayed_connection.cc
@@ -6,10 +6,10 @@
 {
 namespace
 {
-/// What waits in a throttled link, as in a small buffer of a router; more stays with the sender.
+/// Buffer of a throttled link, as in a router with a small buffer; further bytes stay with the sender.
 constexpr size_t kThrottledBufferBytes = 16U << 10;
 
-/// What a throttled link passes at once: about one packet.
+/// Unit of transmission of a throttled link: about one packet.
 constexpr size_t kPieceBytes = 1460;
 
 }  // namespace
@@ -62,7 +62,7 @@
 	_direction->queuedBytes += _chunk.bytes.size();
 	_direction->queue.push_back(std::move(_chunk));
 	throttleSender(_direction);
-	// Not from within an event of a stream: the end of a connection destroys both.
+	// Not called from a stream event: removing the connection destroys both streams.
 	if (!m_timer.running())
 	{
 		m_timer.start(delay);
--- a/tools/soak/relayed_connection.h
+++ b/tools/soak/relayed_connection.h
@@ -1,4 +1,4 @@
-/// One client's connection through a fault proxy.
+/// A client's connection through a fault proxy.
 #ifndef DRIFTLUG_SOAK_RELAYED_CONNECTION_H_HEADER_GUARD
 #define DRIFTLUG_SOAK_RELAYED_CONNECTION_H_HEADER_GUARD
 
@@ -9,17 +9,17 @@
 
 namespace driftlug::soak
 {
-/// Two streams and what is on its way between them.
+/// A pair of streams and the bytes in transit between them.
 class relayed_connection
 {
 public:
 	relayed_connection(fault_proxy& _owner, uint64_t _id, std::shared_ptr<transport::TcpStream> _client);
 	~relayed_connection();
 
-	/// Delivers what the fault in force lets pass by now.
+	/// Delivers the bytes that are due and not blocked by the current fault.
 	void pump();
 
-	/// Carries nothing from now on. The connection goes away once both sides have given it up.
+	/// Stops forwarding for good. The connection is removed once both sides have closed it.
 	void mute();
 
 private:
@@ -27,10 +27,10 @@
 	{
 		base::TimePoint due;
 		std::string bytes;
-		bool end = false;  //!< The sender has closed.
+		bool end = false;  //!< The sender has closed; no bytes.
 	};
 
-	/// One direction: bytes read from a stream on their way to the other one.
+	/// One direction: reads from a stream and queues the bytes for the other one.
 	struct direction : transport::StreamHandler
 	{
 		void onBytes(std::string_view _bytes) override;
@@ -42,9 +42,9 @@
 		std::deque<chunk> queue;
 		size_t queuedBytes = 0;
 		bool reading = true;
-		bool ended = false;          //!< The sender has closed; kept of a muted connection.
-		size_t pieceBytes = 0;       //!< For which the link's time is taken; 0 when there is none.
-		base::TimePoint pieceDue{};  //!< When they have passed the link.
+		bool ended = false;          //!< The sender has closed; only used when muted.
+		size_t pieceBytes = 0;       //!< Bytes with a reservation of the link; 0 if there is none.
+		base::TimePoint pieceDue{};  //!< End of the reservation.
 	};
 
 	void enqueue(direction* _direction, chunk _chunk);
--- a/tools/soak/soak_plan.cc
+++ b/tools/soak/soak_plan.cc
@@ -14,17 +14,17 @@
 constexpr int kMinFaultMs = 200;
 constexpr int kMaxDelayMs = 80;
 constexpr int kMaxEditStormMs = 3'000;
-constexpr int kElectionFaultMs = 1'200;              // For which a disturbed election takes all controllers.
-constexpr int kMaxSecondSignalDelayMs = 500;         // After a stop, at the latest.
-constexpr int kRollingGapMs = 250;                   // Between two stops of a rolling stop that is drawn.
-constexpr int kRollingRestartDelayMs = 700;          // Before a node of it is started again, at the earliest.
-constexpr int kMinThrottleBytesPerSecond = 20'000;   // Bytes a second.
-constexpr int kMaxThrottleBytesPerSecond = 200'000;  // Bytes a second.
+constexpr int kElectionFaultMs = 1'200;       // Time reserved on all controllers for a disturbed election.
+constexpr int kMaxSecondSignalDelayMs = 500;  // Latest second signal after a stop.
+constexpr int kRollingGapMs = 250;            // Between two stops of a random rolling stop.
+constexpr int kRollingRestartDelayMs = 700;   // Minimum time before a node of it is restarted.
+constexpr int kMinThrottleBytesPerSecond = 20'000;
+constexpr int kMaxThrottleBytesPerSecond = 200'000;
 constexpr link_fault kLinkFaults[] = {link_fault::delay,       link_fault::silence, link_fault::silence_in,
 									  link_fault::silence_out, link_fault::reset,   link_fault::throttle,
 									  link_fault::mute};
 
-/// What of a process is harmed: itself, or the link to it. Both may be at once.
+/// Target of a fault: a process or the link to it. Both may have faults at the same time.
 enum class domain
 {
 	process,
@@ -36,7 +36,7 @@
 	return soak_action::link == _action ? domain::link : domain::process;
 }
 
-/// Draws one plan.
+/// Draws a random plan.
 class plan_generator
 {
 public:
@@ -105,13 +105,13 @@
 		}
 	}
 
-	/// A relay has no settings to read again, and neither has a back end.
+	/// Relays and back ends have no settings to reload.
 	static bool takesReload(soak_role _role)
 	{
 		return soak_role::relay != _role && soak_role::back_end != _role;
 	}
 
-	/// The leader stops, and another controller while its successor is elected.
+	/// Stops the leader, and another controller during the election of a successor.
 	void drawElection(int _atMs)
 	{
 		if (faultyControllers(_atMs) > 0 || _atMs < m_electionUntil || !fits(_atMs, kElectionFaultMs))
@@ -179,7 +179,7 @@
 
 	soak_action drawAction(soak_role _role)
 	{
-		// What a back end has run is known to itself alone, so it is only paused or cut off.
+		// Only the back end itself records what it has run, so it is never stopped, only paused or disconnected.
 		if (soak_role::back_end == _role)
 		{
 			return m_random.chance(0.3) ? soak_action::pause : soak_action::link;
@@ -248,7 +248,7 @@
 	const plan_options& m_options;
 	std::vector<soak_step> m_plan;
 	std::map<std::pair<std::string, domain>, int> m_reservedUntil;
-	int m_electionUntil = 0;  // controllers are not harmed otherwise before
+	int m_electionUntil = 0;  // until then, controllers get no other faults
 };
 
 }  // namespace
--- a/tools/soak/soak_plan.h
+++ b/tools/soak/soak_plan.h
@@ -1,4 +1,4 @@
-/// What goes wrong during a soak, drawn from a seed.
+/// Plans the faults of a soak, drawn from a seed.
 #ifndef DRIFTLUG_SOAK_SOAK_PLAN_H_HEADER_GUARD
 #define DRIFTLUG_SOAK_SOAK_PLAN_H_HEADER_GUARD
 
@@ -12,85 +12,86 @@
 
 namespace driftlug::soak
 {
-/// What is done to a process, or to the link to it.
+/// Fault or signal applied to a process or to the link to it.
 enum class soak_action
 {
-	kill,        //!< SIGKILL; started again when the fault ends.
+	kill,        //!< SIGKILL; restarted when the fault ends.
 	pause,       //!< SIGSTOP, then SIGCONT.
-	restart,     //!< SIGTERM; started again when the fault ends, once it has ended.
+	restart,     //!< SIGTERM; restarted when the fault has ended and the process has exited.
 	link,        //!< A link fault.
 	reload,      //!< SIGHUP, at any time, also during a stop.
-	stop_again,  //!< SIGTERM to a process that stops already.
-	edit_storm,  //!< One change after another; of no process.
+	stop_again,  //!< SIGTERM to a process that is already stopping.
+	edit_storm,  //!< Edits in quick succession; affects no process directly.
 };
 
-/// Part that a process plays; decides what may happen to it.
+/// Role of a process, which determines the applicable faults.
 enum class soak_role
 {
 	controller,
 	relay,
 	node,
-	entry,  //!< A node that callers have connections to; their links have no proxy.
+	entry,  //!< A node that accepts connections from callers, which bypass the fault proxy.
 	back_end,
 };
 
-/// A process that may be harmed.
+/// A process that faults may be applied to.
 struct soak_target
 {
 	std::string name;
 	soak_role role;
 };
 
-/// Stands for whichever controller leads when the fault begins.
+/// Placeholder for the controller that is the leader when the fault starts.
 inline constexpr std::string_view kLeaderTarget = "(leader)";
 
-/// Stands for some controller that doesn't.
+/// Placeholder for a controller that is not the leader.
 inline constexpr std::string_view kFollowerTarget = "(follower)";
 
-/// One fault on one process.
+/// A fault of one process, or a signal to it.
 struct soak_step
 {
-	int atMs = 0;
-	int forMs = 0;
+	int atMs = 0;   //!< Start, relative to the start of the soak.
+	int forMs = 0;  //!< Duration.
 	std::string target;
 	soak_action action = soak_action::kill;
-	link_fault fault = link_fault::none;  //!< With `soak_action::link`.
-	int delayMs = 0;                      //!< With `link_fault::delay`.
-	int bytesPerSecond = 0;               //!< With `link_fault::throttle`.
+	link_fault fault = link_fault::none;  //!< Only for `soak_action::link`.
+	int delayMs = 0;                      //!< Only for `link_fault::delay`.
+	int bytesPerSecond = 0;               //!< Only for `link_fault::throttle`.
 };
 
-/// How much goes wrong.
+/// Intensity of a random plan.
 struct plan_options
 {
-	int durationMs = 60'000;  //!< Time in which faults begin and end.
-	int meanGapMs = 700;      //!< Between the beginnings of two faults.
+	int durationMs = 60'000;  //!< Duration of the plan; all faults end within it.
+	int meanGapMs = 700;      //!< Mean time between the starts of two faults.
 	int maxFaultMs = 6'000;
-	int maxFaultyControllers = 1;  //!< Controllers harmed at one time at most, but for elections that are disturbed.
+	int maxFaultyControllers = 1;  //!< Controllers with a fault at the same time, except for disturbed elections.
 };
 
-/// Name of an action, as in reports.
+/// @returns The name of an action in reports.
 std::string_view nameOf(soak_action _action);
 
-/// @returns Whether an action harms its process, so that it may be silent or end meanwhile.
+/// @returns Whether a process may become unresponsive or exit during an action.
 bool isDisruptive(soak_action _action);
 
 /// Draws a plan. Equal seeds, targets and shapes give equal plans.
 ///
-/// Faults overlap: a process and the link to it may be harmed at once, a process that stops is told so again and told
-/// to reload, all nodes stop one after another, and a controller restarts while another one's end is dealt with.
+/// Faults overlap: a process and the link to it may have faults at the same time, a stopping process may get a second
+/// SIGTERM or a SIGHUP, all nodes may stop one after another, and a controller may restart during the election of the
+/// successor of another one.
 ///
-/// @returns Steps in order of their beginning; no process is ended or paused twice at once, and no link is harmed
-/// twice at once.
+/// @returns Steps in order of their start. No process is stopped or paused by two overlapping steps, and no link has
+/// two overlapping faults.
 std::vector<soak_step> drawPlan(uint64_t _seed, std::span<const soak_target> _targets, const plan_options& _options);
 
-/// Stops every node in turn, twice, and changes the table throughout.
-/// @param[in] _gapMs Between the stops of two nodes.
+/// @returns A plan that stops every node in turn, twice, and edits the table throughout.
+/// @param[in] _gapMs Time between the stops of two nodes.
 std::vector<soak_step> rollingPlan(std::span<const soak_target> _targets, int _gapMs);
 
-/// @returns When the last fault of a plan ends.
+/// @returns The end of the last fault of a plan, in milliseconds from its start.
 int planEndMs(std::span<const soak_step> _plan);
 
-/// One line for a step, as in reports.
+/// @returns The description of a step in reports, as one line.
 std::string textOf(const soak_step& _step);
 
 }  // namespace driftlug::soak
--- a/tools/soak/soak_run.cc
+++ b/tools/soak/soak_run.cc
@@ -20,16 +20,16 @@
 constexpr char kOpenName[] = "open-connections";
 constexpr char kAfterName[] = "after-load";
 constexpr char kFatalName[] = "fatal-load";
-constexpr double kFatalRate = 3;  // Calls a second.
-// Crashes of back ends by one request that are allowed: until it is known, and in all.
+constexpr double kFatalRate = 3;  // Calls per second.
+// Limits on the back ends that one request crashes: after the first crashes have become known, and in total.
 constexpr size_t kMaxLateCrashes = 3;
 constexpr size_t kMaxCrashes = 6;
 constexpr int kLoadTailMs = 60'000;
 constexpr int kAfterLoadMs = 3'000;
-constexpr int kPollIntervalMs = 40;   // Between two looks at the fleet.
-constexpr int kEditIntervalMs = 600;  // Between two changes.
+constexpr int kPollIntervalMs = 40;   // Between two checks of the fleet.
+constexpr int kEditIntervalMs = 600;  // Between two edits.
 
-/// One end of a fault.
+/// Start or end of a fault.
 struct event
 {
 	int atMs;
@@ -410,7 +410,7 @@
 	auto targets = targetsOf(m_fleet);
 	if (m_supervisor)
 	{
-		// Back ends that are paused or cut off don't crash, and no proxy stands before them.
+		// Paused or disconnected back ends do not crash, and they have no proxy in this mode.
 		std::erase_if(targets,
 					  [](const soak_target& _target)
 					  {
--- a/tools/soak/soak_run.h
+++ b/tools/soak/soak_run.h
@@ -1,4 +1,5 @@
-/// Runs a deployment as processes on loopback, harms them from outside, and checks what callers and back ends see.
+/// Injects faults into a deployment running as processes on loopback, and checks the results seen by callers and back
+/// ends.
 #ifndef DRIFTLUG_SOAK_SOAK_RUN_H_HEADER_GUARD
 #define DRIFTLUG_SOAK_SOAK_RUN_H_HEADER_GUARD
 
@@ -24,21 +25,21 @@
 class process_fault_injector;
 class invariant_checker;
 
-/// How a soak runs.
+/// Options of a soak.
 struct soak_options
 {
 	uint64_t seed = 1;
 	plan_options planOptions;
-	double rate = 150;             //!< Calls a second.
-	double filingShare = 0.2;      //!< Of calls, those that may not be repeated.
-	bool rolling = false;          //!< Every node is stopped in turn, twice, instead of a drawn plan.
-	int rollingStopGapMs = 900;    //!< Between two of these stops.
-	bool stopByKill = false;       //!< Planned stops kill; proves that the checks trip.
-	int recoveryLimitMs = 15'000;  //!< Within which all is well again once the last fault is over.
-	std::string fatalPath;         //!< Callers ask for it again and again, and it crashes back ends; empty for none.
+	double rate = 150;             //!< Calls per second.
+	double filingShare = 0.2;      //!< Share of calls that may not be repeated.
+	bool rolling = false;          //!< Stops every node in turn, twice, instead of using a random plan.
+	int rollingStopGapMs = 900;    //!< Time between two of these stops.
+	bool stopByKill = false;       //!< Planned stops send SIGKILL, to verify that the checks fail.
+	int recoveryLimitMs = 15'000;  //!< Time limit for full recovery after the last fault.
+	std::string fatalPath;         //!< Path that callers keep requesting and that crashes back ends; empty for none.
 };
 
-/// One soak of one fleet.
+/// Runs one soak on a fleet.
 class soak_run
 {
 public:
@@ -48,8 +49,8 @@
 	soak_run(tools::Fleet& _fleet, const soak_options& _options);
 	~soak_run();
 
-	/// Plays the plan and checks the promises.
-	/// @returns A report with `broken`, one text for each broken promise.
+	/// Runs the plan and checks the guarantees.
+	/// @returns A report, whose `broken` lists one description per violation.
 	nlohmann::json run();
 
 private:
@@ -77,8 +78,9 @@
 	std::unique_ptr<process_fault_injector> m_processFaults;
 	std::unique_ptr<fault_injector> m_linkFaults;
 	std::unique_ptr<invariant_checker> m_checker;
-	std::unique_ptr<back_end_supervisor> m_supervisor;                //!< Null where no request crashes back ends.
-	std::map<std::string, std::vector<fault_window>> m_faultWindows;  // of processes, by anything but planned stops
+	std::unique_ptr<back_end_supervisor> m_supervisor;  //!< Null if fatalPath is empty.
+	std::map<std::string, std::vector<fault_window>>
+		m_faultWindows;  // kills and pauses by process; planned stops excuse nothing
 	int64_t m_startedUs = 0;
 	int m_activeEditStorms = 0;  // edit storms in progress
 	int m_edits = 0;
@@ -88,7 +90,7 @@
 	std::vector<std::string> m_violations;
 };
 
-/// @returns What of a fleet may be harmed.
+/// @returns The processes of a fleet that faults may be applied to.
 std::vector<soak_target> targetsOf(const tools::Fleet& _fleet);
 
 }  // namespace driftlug::soak
