--- a/test/fleet/controller_stub.h
+++ b/test/fleet/controller_stub.h
@@ -1,4 +1,4 @@
-/// Plays the controllers of a simulated fleet.
+/// Stands in for the controllers of a simulated fleet.
 #ifndef DRIFTLUG_TEST_FLEET_TABLE_SOURCE_H_HEADER_GUARD
 #define DRIFTLUG_TEST_FLEET_TABLE_SOURCE_H_HEADER_GUARD
 
@@ -9,11 +9,11 @@
 
 namespace driftlug::test
 {
-/// Plays the leading controller for relays: one table, always fresh.
+/// Acts as the leader for relays, with a constant table and heartbeats that keep it fresh.
 class controller_stub : public base::ConnectionHandler
 {
 public:
-	/// @param[in] _rows Of the table; their revisions are set.
+	/// @param[in] _rows Rows of the table; their revisions are set to 1.
 	controller_stub(simulation::EventQueue& _queue, simulation::SimulatedNetwork& _network,
 					std::vector<wire::Row> _rows);
 
--- a/test/fleet/fleet_back_end.h
+++ b/test/fleet/fleet_back_end.h
@@ -1,4 +1,4 @@
-/// A back end on the virtual clock, as a node of a simulated fleet needs it.
+/// Interface of a simulated back end for a node of a simulated fleet.
 #ifndef DRIFTLUG_TEST_FLEET_FLEET_BACK_END_H_HEADER_GUARD
 #define DRIFTLUG_TEST_FLEET_FLEET_BACK_END_H_HEADER_GUARD
 
@@ -9,17 +9,17 @@
 
 namespace driftlug::test
 {
-/// Runs requests, and tells its node of itself now and then.
+/// Runs requests, and reports its state to its node periodically.
 class fleet_back_end : public node::BackendClient
 {
 public:
-	/// Begins to tell of itself.
+	/// Starts the periodic reports.
 	virtual void heartbeat() = 0;
 
-	/// @returns Whether something listens at its address.
+	/// @returns Whether it accepts connections.
 	virtual bool up() const = 0;
 
-	/// All connections are lost; it works on nothing more.
+	/// Drops all connections and the requests in progress.
 	virtual void dropConnections() = 0;
 
 	std::function<void(const node::BackendReport&)> onReport;
--- a/test/fleet/fleet_node.cc
+++ b/test/fleet/fleet_node.cc
@@ -4,7 +4,7 @@
 
 namespace driftlug::test
 {
-/// Asks the back end beside the node.
+/// Checks the local back end directly.
 class fleet_node::back_end_probe : public quarantine::back_end_presence
 {
 public:
@@ -27,7 +27,7 @@
 	fleet_node& m_node;
 };
 
-/// For nodes without a back end.
+/// Null object for nodes without a back end.
 class fleet_node::no_back_end : public node::BackendClient
 {
 public:
@@ -53,7 +53,7 @@
 	, m_noBackEnd(std::make_unique<no_back_end>())
 	, m_presence(std::make_unique<back_end_probe>(*this))
 {
-	// A node prefers one relay, half of them the second.
+	// Rotates the list so that the preferred relay alternates between nodes.
 	std::rotate(m_relays.begin(), m_relays.begin() + static_cast<int>(_position % m_relays.size()), m_relays.end());
 	if (m_options.hasBackEnd)
 	{
--- a/test/fleet/fleet_node.h
+++ b/test/fleet/fleet_node.h
@@ -19,15 +19,15 @@
 
 namespace driftlug::test
 {
-/// What a node is started with.
+/// Options of a node.
 struct fleet_node_options
 {
-	std::string service;  //!< Beside the node.
-	int slots = 9;        //!< Of its back end.
+	std::string service;  //!< Service of the local back end.
+	int slots = 9;        //!< Slots of the back end.
 	bool hasBackEnd = false;
 };
 
-/// One node with both sides of calls and, for some, a back end beside it, which outlives the node's process.
+/// A node with the entry and endpoint sides of calls and an optional local back end, which outlives the node's process.
 class fleet_node : public base::ConnectionHandler
 {
 public:
@@ -35,7 +35,7 @@
 			   const std::string& _zone, std::vector<base::Address> _relays, const fleet_node_options& _options);
 	~fleet_node() override;
 
-	/// Sets the back end, before the first start; its events belong to backEndProcess().
+	/// Sets the back end; must be called before the first start. The back end schedules its events on backEndProcess().
 	void useBackEnd(std::unique_ptr<fleet_back_end> _backEnd);
 
 	void start();
@@ -93,7 +93,7 @@
 	simulation::SimulatedNetwork& m_simulated;
 	fleet_node_options m_options;
 	simulation::Process m_process;
-	simulation::Process m_backEndProcess;  //!< Of the back end, which lives longer than the node.
+	simulation::Process m_backEndProcess;  //!< Process of the back end; keeps running when the node is killed.
 	std::vector<base::Address> m_relays;
 	size_t m_position;
 	uint64_t m_startCount = 0;
--- a/test/fleet/fleet_relay.h
+++ b/test/fleet/fleet_relay.h
@@ -14,7 +14,7 @@
 class fleet_relay
 {
 public:
-	/// @param[in] _position Of its address among those of all relays.
+	/// @param[in] _position Index of its address in `_relays`.
 	fleet_relay(simulation::EventQueue& _queue, simulation::SimulatedNetwork& _network, size_t _position,
 				std::vector<base::Address> _relays, std::vector<base::Address> _controllers);
 
--- a/test/fuzz/binary_decoders_test.cc
+++ b/test/fuzz/binary_decoders_test.cc
@@ -1,4 +1,5 @@
-// Frames and files, whatever is in them: a value or a typed error; and what decodes ends no process that it is sent to.
+// Decoders of frames and files return a value or a typed error for any input, and no decoded message crashes a
+// receiver.
 #include <catch2/catch.hpp>
 
 #include <cmath>
@@ -50,7 +51,7 @@
 	return row;
 }
 
-/// Version v2 is on trial.
+/// A rollout of version v2 in progress.
 wire::Row rolloutRow()
 {
 	wire::Row row;
@@ -167,7 +168,7 @@
 	return {wire::Message(std::in_place_index<Index>)...};
 }
 
-/// One frame of every kind, and some with content.
+/// @returns An empty frame of every kind, and some frames with content.
 std::vector<std::string> frames()
 {
 	auto messages = emptyMessages(std::make_index_sequence<std::variant_size_v<wire::Message>>());
@@ -202,7 +203,7 @@
 	return samples;
 }
 
-/// Every part of a node and a relay, with all that they would need to act on a message.
+/// All message handlers of a node and a relay, with the state needed to process messages.
 class message_receivers
 {
 public:
@@ -215,7 +216,7 @@
 		startRelay();
 	}
 
-	/// Sends a message to each of them, as if each kind of peer had.
+	/// Delivers a message to each handler, as if from each kind of peer.
 	void sendToAll(const wire::Message& _message)
 	{
 		m_entry->onMessage(1, _message);
@@ -398,7 +399,7 @@
 	CHECK(rounds / 10 < decoded);
 }
 
-TEST_CASE("reports of a version on trial, and what is decided from them")
+TEST_CASE("mutated version reports lead to valid rollout decisions")
 {
 	mutator inputs(fuzzSeed());
 	const std::vector<std::string> samples = {
@@ -484,7 +485,7 @@
 	CHECK(0 < good);
 }
 
-TEST_CASE("a version that a node kept on its disk")
+TEST_CASE("a mutated table slice on a node's disk is loaded or rejected")
 {
 	mutator inputs(fuzzSeed());
 	const auto frame = wire::encodeFrame(updateOfRows<wire::SliceUpdate>());
--- a/test/fuzz/mutator.h
+++ b/test/fuzz/mutator.h
@@ -1,4 +1,4 @@
-/// Changes valid input at random, the same for the same seed.
+/// Mutates valid input randomly; deterministic for a seed.
 #ifndef DRIFTLUG_TEST_FUZZ_MUTATOR_H_HEADER_GUARD
 #define DRIFTLUG_TEST_FUZZ_MUTATOR_H_HEADER_GUARD
 
@@ -13,14 +13,15 @@
 
 namespace driftlug::test
 {
-/// @returns How many inputs a test tries: DRIFTLUG_FUZZ_ROUNDS by hand, else as many as fit into a moment.
+/// @returns The number of inputs that a test tries: DRIFTLUG_FUZZ_ROUNDS if set, otherwise a number that keeps the test
+/// short.
 inline int fuzzRounds(int _usual)
 {
 	const char* asked = std::getenv("DRIFTLUG_FUZZ_ROUNDS");
 	return nullptr == asked ? _usual : std::atoi(asked);
 }
 
-/// @returns The seed: DRIFTLUG_FUZZ_SEED by hand.
+/// @returns The seed: DRIFTLUG_FUZZ_SEED if set, otherwise 1.
 inline uint64_t fuzzSeed()
 {
 	const char* asked = std::getenv("DRIFTLUG_FUZZ_SEED");
@@ -35,7 +36,7 @@
 	{
 	}
 
-	/// @returns One of the samples with up to eight changes.
+	/// @returns A random sample with up to eight mutations.
 	std::string next(const std::vector<std::string>& _samples)
 	{
 		std::string bytes = _samples[m_random.below(_samples.size())];
@@ -90,7 +91,7 @@
 		}
 	}
 
-	/// Puts something odd in the place of a number or a word.
+	/// Replaces a number or a word by an unusual value.
 	void replaceWord(std::string* _bytes, size_t _at)
 	{
 		static constexpr std::array<std::string_view, 16> kUnusualValues = {"-1",
--- a/test/fuzz/text_decoders_test.cc
+++ b/test/fuzz/text_decoders_test.cc
@@ -1,4 +1,4 @@
-// Whatever is sent, a decoder gives a value or a typed error: no exception, no end of the process.
+// Text decoders return a value or a typed error for any input; they never throw or crash.
 #include <catch2/catch.hpp>
 #include <nlohmann/json.hpp>
 
--- a/test/load_model/load_model_test.cc
+++ b/test/load_model/load_model_test.cc
@@ -46,7 +46,7 @@
 
 }  // namespace
 
-TEST_CASE("a fleet with slots to spare serves what it is asked, in time")
+TEST_CASE("a fleet with spare capacity serves all requests in time")
 {
 	const auto result = play(singleServicePattern(100));
 	CHECK(result.kinds.at("view").requests > 400);
@@ -55,7 +55,7 @@
 	CHECK(result.work.wastedMs == 0);
 }
 
-TEST_CASE("each request has one end, and equal seeds have equal ends")
+TEST_CASE("each request has one outcome, and equal seeds give equal outcomes")
 {
 	const auto pattern = singleServicePattern(500);
 	const auto result = play(pattern);
@@ -66,7 +66,7 @@
 	CHECK(play(pattern, 1, 2).kinds.at("view").inTime != kind.inTime);
 }
 
-TEST_CASE("back ends that are away take nothing, and their load goes to the others")
+TEST_CASE("the load of back ends that are down is shifted to the others")
 {
 	auto pattern = singleServicePattern(150);
 	pattern.outages = {{"tiles", 2, 1, 3}};
@@ -75,14 +75,14 @@
 	CHECK(play(pattern).inTimeShare() < 0.7);
 }
 
-TEST_CASE("a burst is asked for")
+TEST_CASE("a burst multiplies the number of requests")
 {
 	auto pattern = singleServicePattern(100);
 	pattern.bursts = {{1, 3, 3}};
 	CHECK(play(pattern).kinds.at("view").requests > 700);
 }
 
-TEST_CASE("patterns of files are read, and what is wrong with them is told")
+TEST_CASE("patterns are read from files, and errors in them are reported")
 {
 	const auto ring = readPattern(kRing);
 	REQUIRE(ring.ok());
--- a/test/soak/close_propagation_test.cc
+++ b/test/soak/close_propagation_test.cc
@@ -1,4 +1,4 @@
-/// How soon a back end hears that the caller has gone, over two nodes.
+/// Measures how soon a caller's disconnect is propagated to the back end through two nodes.
 #include <arpa/inet.h>
 #include <fmt/format.h>
 #include <sys/socket.h>
@@ -23,7 +23,7 @@
 constexpr base::Duration kCloseDelay = base::milliseconds(100);
 constexpr char kTracedIdPrefix[] = "close-";
 
-/// Bound of the promise: a back end that works for a caller who has gone is told within this time.
+/// Guaranteed time within which a request is aborted in the back end after its caller disconnects.
 constexpr base::Duration kAbortLimit = base::milliseconds(500);
 
 int connectTo(int _port)
@@ -37,15 +37,15 @@
 	return socket;
 }
 
-/// What back ends saw of the noted requests.
+/// Events of the traced requests in the back ends.
 struct request_events
 {
-	std::map<std::string, int64_t> began;    //!< In microseconds of the boot clock.
-	std::map<std::string, int64_t> aborted;  //!< The same, as all of these.
-	std::map<std::string, int64_t> ended;    //!< Run to their end.
+	std::map<std::string, int64_t> began;    //!< Start of the run, in microseconds of the boot clock.
+	std::map<std::string, int64_t> aborted;  //!< Abort, in the same unit.
+	std::map<std::string, int64_t> ended;    //!< Completion, in the same unit.
 };
 
-/// A small fleet under load, and callers that close their connections while a back end works for them.
+/// A small fleet under load, and callers that disconnect while a back end runs their requests.
 class disconnecting_callers
 {
 public:
@@ -118,7 +118,7 @@
 		return kTracedIdPrefix + std::to_string(_call);
 	}
 
-	/// @param[in] _reset Whether the other side gets a reset in place of an end of data.
+	/// @param[in] _reset Whether the connection is closed with a TCP reset instead of an orderly close.
 	static void close(int _socket, bool _reset)
 	{
 		const linger atOnce{1, 0};
@@ -130,10 +130,10 @@
 	}
 
 	small_fleet m_fleet;
-	std::map<std::string, int64_t> m_closed;  //!< When callers closed, in microseconds of the boot clock.
+	std::map<std::string, int64_t> m_closed;  //!< Time of each disconnect, in microseconds of the boot clock.
 };
 
-/// @returns how long each back end that was at work took to hear of its caller's end.
+/// @returns The time from each disconnect to the abort of a running request.
 ExactHistogram abortDelays(const disconnecting_callers& _callers, const request_events& _notes)
 {
 	ExactHistogram delays;
@@ -152,14 +152,14 @@
 	callers.closeMany(_closes);
 	const auto noted = callers.read();
 	auto delays = abortDelays(callers, noted);
-	// The others had ended by then, or were refused.
+	// The other requests had completed by then, or were refused.
 	REQUIRE(static_cast<size_t>(_closes) / 2 <= delays.count());
 	const auto isLate = [&](const auto& _noted)
 	{
 		return _noted.second > callers.closed().at(_noted.first) + kAbortLimit.count();
 	};
 	const auto figures =
-		fmt::format("{} of {} closes reached a back end at work, p50 {} us, p99 {} us, longest {} us", delays.count(),
+		fmt::format("{} of {} closes aborted a running request, p50 {} us, p99 {} us, max {} us", delays.count(),
 					_closes, delays.percentile(0.5), delays.percentile(0.99), delays.percentile(1));
 	INFO(figures);
 	CHECK(delays.percentile(1) < kAbortLimit.count());
@@ -171,7 +171,7 @@
 
 }  // namespace
 
-TEST_CASE("a back end hears within half a second that its caller has gone, over two nodes under load")
+TEST_CASE("a back end aborts a request within half a second of its caller's disconnect, through two nodes under load")
 {
 	check(100, 100);
 }
--- a/test/soak/connection_record_test.cc
+++ b/test/soak/connection_record_test.cc
@@ -10,7 +10,8 @@
 {
 constexpr int64_t kMs = 1000;
 
-/// A request that was sent at 10 s and whose connection ended some time later, with nothing answered behind it.
+/// @returns A request that was sent at 10 s and whose connection closed some time later, with no later request
+/// answered.
 unanswered_request cutAfter(int64_t _ageMs)
 {
 	unanswered_request request;
@@ -28,14 +29,14 @@
 
 }  // namespace
 
-TEST_CASE("a request that crosses the end of its connection is no break")
+TEST_CASE("a request in transit while its connection closes is no violation")
 {
 	CHECK_FALSE(isViolation(cutAfter(150)));
-	// Its process may have been kept from its turn, as nothing shows that it had one.
+	// The process may not have been scheduled; nothing shows that it was.
 	CHECK_FALSE(isViolation(cutAfter(1'000)));
 }
 
-TEST_CASE("a request is broken that is cut while later ones are answered")
+TEST_CASE("a request cut off while later ones are answered is a violation")
 {
 	auto request = cutAfter(250);
 	request.newestAnsweredSentUs = request.sentUs + kMs;
@@ -44,13 +45,13 @@
 	CHECK_FALSE(isViolation(request));
 }
 
-TEST_CASE("a request is broken that is cut long after it was sent, or has run, at any age")
+TEST_CASE("a request cut off long after it was sent, or after it ran, is a violation")
 {
 	CHECK(isViolation(cutAfter(2'500)));
 	CHECK(isViolation(cutAfter(1), 1));
 }
 
-TEST_CASE("behind an answer that closes the connection nothing runs")
+TEST_CASE("no request runs after a response that closes the connection")
 {
 	auto request = cutAfter(3'000);
 	request.end = request_end::unread;
@@ -58,7 +59,7 @@
 	CHECK(isViolation(request, 1));
 }
 
-TEST_CASE("an answer cut short and a request without an answer are broken")
+TEST_CASE("a partial response and a missing response are violations")
 {
 	auto request = cutAfter(1);
 	request.end = request_end::partial;
@@ -67,7 +68,7 @@
 	CHECK(isViolation(request));
 }
 
-TEST_CASE("harm beside a planned stop excuses what met it, and nothing else")
+TEST_CASE("a fault other than a planned stop excuses only the requests that it overlaps")
 {
 	const auto request = cutAfter(3'000);
 	const auto excused = [&](int64_t _fromMs, int64_t _untilMs)
--- a/test/soak/fault_proxy_test.cc
+++ b/test/soak/fault_proxy_test.cc
@@ -11,7 +11,7 @@
 {
 using transport::TcpStream;
 
-/// Keeps what a stream brings.
+/// Records the bytes and the close of a stream.
 struct recorder : transport::StreamHandler
 {
 	void onBytes(std::string_view _bytes) override
@@ -27,7 +27,7 @@
 	bool closed = false;
 };
 
-/// A server that keeps what it gets, a proxy before it, and a client.
+/// A client connected to a recording server through a proxy.
 struct proxied_server
 {
 	proxied_server()
@@ -57,7 +57,7 @@
 		loop.close();
 	}
 
-	/// Runs the loop until something holds; a bounded number of turns.
+	/// Runs the loop until a condition holds, for a bounded number of iterations.
 	template <typename Condition>
 	bool runUntil(Condition _condition, int _turns = 2'000)
 	{
@@ -181,7 +181,7 @@
 	stream->close();
 }
 
-TEST_CASE_METHOD(proxied_server, "a throttled link takes its time, keeps the order, and is shared")
+TEST_CASE_METHOD(proxied_server, "a throttled link limits the bandwidth and keeps the order of bytes")
 {
 	constexpr int64_t kBytesPerSecond = 20'000;
 	constexpr size_t kBytes = 4'000;
@@ -201,7 +201,8 @@
 	CHECK(loop.now() - begun >= base::milliseconds(1'000 * kBytes / kBytesPerSecond));
 }
 
-TEST_CASE_METHOD(proxied_server, "a muted connection carries nothing any more, not even its end, and new ones do")
+TEST_CASE_METHOD(proxied_server,
+				 "a muted connection forwards nothing any more, not even a close, and new connections do")
 {
 	proxy->setFault(link_fault::mute, {});
 	proxy->setFault(link_fault::none, {});
--- a/test/soak/silence_detection_test.cc
+++ b/test/soak/silence_detection_test.cc
@@ -1,4 +1,4 @@
-/// How soon each kind of connection is given up once it carries nothing any more, not even its end.
+/// Measures how soon each kind of connection is closed after it goes silent without a close.
 #include <unistd.h>
 #include <catch2/catch.hpp>
 
@@ -15,16 +15,16 @@
 namespace
 {
 constexpr base::Duration kPoll = base::milliseconds(5);
-constexpr base::Duration kReconnectTime = base::seconds(6);  //!< Until everyone is connected anew.
+constexpr base::Duration kReconnectTime = base::seconds(6);  //!< Until all processes have reconnected.
 constexpr base::Duration kDetectionLimit = base::seconds(20);
 constexpr double kCallsPerSecond = 200;
 
-/// One kind of connection, and the line by which an observer says that it has given one up.
+/// A kind of connection, and the log line that an observer writes when it closes a silent one.
 struct connection_kind
 {
 	std::string name;
-	std::string muted;                   //!< The process whose connections fall silent.
-	std::vector<std::string> observers;  //!< Each is to write the line.
+	std::string muted;                   //!< The process whose connections go silent.
+	std::vector<std::string> observers;  //!< Each must write the line.
 	std::string line;
 	base::Duration bound;
 };
@@ -45,7 +45,7 @@
 		return *m_fleet;
 	}
 
-	/// @returns Time from the silence to each observer's line.
+	/// @returns The time from the start of the silence to each observer's log line.
 	std::vector<base::Duration> detect(const connection_kind& _kind)
 	{
 		std::map<std::string, size_t> seen;
@@ -73,7 +73,7 @@
 		}
 		for (const auto& [observer, count] : seen)
 		{
-			FAIL_CHECK(_kind.name << ": " << observer << " has not noticed");
+			FAIL_CHECK(_kind.name << ": " << observer << " has not detected the silence");
 		}
 		REQUIRE(m_fleet->setLinkFault(_kind.muted, soak::nameOf(soak::link_fault::none), 0, 0));
 		::usleep(static_cast<useconds_t>(kReconnectTime.count()));
@@ -112,7 +112,7 @@
 	return names;
 }
 
-/// The kinds, each bound with its terms.
+/// @returns The kinds of connections; each comment lists the terms of the bound.
 std::vector<connection_kind> kindsOf(Fleet& _fleet)
 {
 	const auto relay = _fleet.relays()[0].name;
@@ -127,12 +127,12 @@
 	}
 	const auto& endpoint = _fleet.endpoints()[0].node.name;
 	return {
-		// 250 ms, looked at each 100 ms, and the time to the next call; twice that beside load.
+		// 250 ms timeout, checked every 100 ms, plus the time to the next call; doubled for load.
 		{"node to node, calls in progress", endpoint, namesOf(_fleet.entries()), " is silent",
 		 base::milliseconds(1500)},
-		// 1.8 s without a heartbeat, looked at each 200 ms.
+		// 1.8 s heartbeat timeout, checked every 200 ms.
 		{"node to relay", relay, namesOf(_fleet.allNodes()), ": silent,", base::milliseconds(2500)},
-		// A keep-alive each second, 2 s for its return, looked at each 250 ms.
+		// A keep-alive every second, 2 s timeout for its reply, checked every 250 ms.
 		{"relay to controller", leader, {relay}, ": it is silent", base::milliseconds(3800)},
 		{"controller to controller", leader, followers, ": it is silent", base::milliseconds(3800)},
 	};
@@ -144,7 +144,7 @@
 	std::map<std::string, ExactHistogram> delays;
 	for (int round = 0; round < _rounds; ++round)
 	{
-		// Anew for each, since another controller may lead by then.
+		// Evaluated again for each kind, since the leader may have changed.
 		for (size_t position = 0; position < kindsOf(muted.fleet()).size(); ++position)
 		{
 			const auto kind = kindsOf(muted.fleet())[position];
@@ -164,7 +164,7 @@
 
 }  // namespace
 
-TEST_CASE("connections that fall silent are given up within the time of their kind")
+TEST_CASE("silent connections are closed within the time limit of their kind")
 {
 	check(1, 60'000);
 }
--- a/test/soak/small_fleet.h
+++ b/test/soak/small_fleet.h
@@ -1,4 +1,4 @@
-/// The small deployment of test/soak/small as processes.
+/// Runs the deployment in test/soak/small as processes.
 #ifndef DRIFTLUG_TEST_SOAK_SMALL_FLEET_H_HEADER_GUARD
 #define DRIFTLUG_TEST_SOAK_SMALL_FLEET_H_HEADER_GUARD
 
@@ -14,11 +14,11 @@
 
 namespace driftlug::tools
 {
-/// Runs as long as it lives; its logs are in a folder that goes with it.
+/// A running fleet, whose destructor stops the processes and removes the folder with their logs.
 class small_fleet
 {
 public:
-	/// @param[in] _options Without programs and folder.
+	/// @param[in] _options The folders for executables and reports are set by the constructor.
 	explicit small_fleet(FleetOptions _options)
 	{
 		char folder[] = "/tmp/driftlug-small-XXXXXX";
@@ -42,7 +42,7 @@
 	small_fleet(const small_fleet&) = delete;
 	small_fleet& operator=(const small_fleet&) = delete;
 
-	/// @param[in] _rate Calls a second.
+	/// @param[in] _rate Calls per second.
 	void startLoad(double _rate, int _durationMs)
 	{
 		LoadOptions load;
--- a/test/soak/soak_checks_test.cc
+++ b/test/soak/soak_checks_test.cc
@@ -1,4 +1,4 @@
-/// Each check of the soak trips where the mechanism behind it is taken away by a setting.
+/// Verifies that each check of the soak fails if a setting disables the mechanism that it covers.
 #include <fmt/format.h>
 #include <stdlib.h>
 #include <catch2/catch.hpp>
@@ -20,8 +20,8 @@
 	std::string output;
 };
 
-/// Plays a soak of a small deployment.
-/// @param[in] _settings Further ones of driftlug-fleet.
+/// Runs a soak of a small deployment.
+/// @param[in] _settings Additional flags of driftlug-fleet.
 soak_result play(const std::string& _settings)
 {
 	char folder[] = "/tmp/driftlug-soak-XXXXXX";
@@ -54,7 +54,7 @@
 
 }  // namespace
 
-TEST_CASE("a stop that doesn't wait for its calls trips the check of open connections")
+TEST_CASE("a stop that doesn't wait for its calls fails the check of persistent connections")
 {
 	const auto result = playRolling("--node-flags=--stop-timeout-ms=0,--stop-linger-ms=0");
 	INFO(result.output);
@@ -62,7 +62,7 @@
 	CHECK(contains(result, "it ran, and its connection was cut"));
 }
 
-TEST_CASE("a kill in place of a stop trips the checks of open connections and of planned stops")
+TEST_CASE("a kill in place of a stop fails the checks of persistent connections and of planned stops")
 {
 	const auto result = playRolling("--stop-by-kill");
 	INFO(result.output);
@@ -71,7 +71,7 @@
 	CHECK(contains(result, "ended with code 137 in a planned stop"));
 }
 
-TEST_CASE("a node that is ready without its listener trips the check of readiness")
+TEST_CASE("a node that is ready without its listener fails the check of readiness")
 {
 	const auto result = playRolling("--node-flags=--entry-port=0");
 	INFO(result.output);
@@ -79,17 +79,17 @@
 	CHECK(contains(result, "is ready and takes no connections"));
 }
 
-TEST_CASE("nodes that tell no request from another trip the check of crashes")
+TEST_CASE("a fleet without request quarantine fails the check of crashes")
 {
-	// Two back ends that are away for 1.5 s each time end 6 times in the 7 s of a rolling stop beside load, which the
-	// promise allows; in 15 s without other faults it is passed.
+	// Two back ends with a restart delay of 1.5 s crash 6 times in the 7 s of a rolling stop under load, which is
+	// within the limit; in 15 s without other faults the limit is exceeded.
 	const auto result = play("--duration-ms 15000 --fault-gap-ms 1000000 --crashes --node-flags=--quarantine=false");
 	INFO(result.output);
 	CHECK(0 != result.exitCode);
 	CHECK(contains(result, "one request crashed"));
 }
 
-TEST_CASE("a fleet that gets no time to recover trips the check of recovery")
+TEST_CASE("a fleet that gets no time to recover fails the check of recovery")
 {
 	const auto result = playRolling("--recover-ms=0");
 	INFO(result.output);
--- a/test/soak/soak_plan_test.cc
+++ b/test/soak/soak_plan_test.cc
@@ -24,13 +24,13 @@
 	return kLeaderTarget == _step.target || kFollowerTarget == _step.target;
 }
 
-/// @returns Whether two faults are in force at one time.
+/// @returns Whether two steps overlap in time.
 bool overlap(const soak_step& _left, const soak_step& _right)
 {
 	return _left.atMs < _right.atMs + _right.forMs && _right.atMs < _left.atMs + _left.forMs;
 }
 
-/// Calls back for each two steps of a plan that harm something at one time.
+/// Calls back for each pair of overlapping disruptive steps of a plan.
 template <typename Callback>
 void forEachOverlap(const std::vector<soak_step>& _plan, Callback _callback)
 {
@@ -64,7 +64,7 @@
 	CHECK(text(1) != text(2));
 }
 
-TEST_CASE("a plan draws every action, and none ends a back end or cuts an entry's link")
+TEST_CASE("plans draw every action, but never stop a back end or affect an entry's link")
 {
 	const auto targets = someTargets();
 	std::set<std::string> actions;
@@ -84,7 +84,7 @@
 	CHECK(actions.size() == 13);
 }
 
-TEST_CASE("a process is harmed once at a time, and so is its link, but both may be at once")
+TEST_CASE("a process has one fault at a time, and so has its link, but the two may overlap")
 {
 	const auto targets = someTargets();
 	int both = 0;
@@ -106,7 +106,7 @@
 	CHECK(both > 0);
 }
 
-TEST_CASE("one controller is harmed at a time, but for the two of a disturbed election")
+TEST_CASE("one controller has a fault at a time, except for the two of a disturbed election")
 {
 	const auto targets = someTargets();
 	int elections = 0;
