--- a/test/fleet/controller_stub.cc
+++ b/test/fleet/controller_stub.cc
@@ -1,4 +1,4 @@
-#include "table_source.h"
+#include "controller_stub.h"
 
 namespace driftlug::test
 {
