--- a/test/incidents/crashing_back_end.h
+++ b/test/incidents/crashing_back_end.h
@@ -79,7 +79,7 @@
 	}
 
 	/// Drops all running requests, as after the loss of all connections.
-	void dropAll() override
+	void dropConnections() override
 	{
 		m_running.clear();
 	}
--- a/test/soak/close_propagation_test.cc
+++ b/test/soak/close_propagation_test.cc
@@ -1,4 +1,4 @@
-/// How soon a back end hears that the caller has gone, over two nodes.
+/// Measures how soon a caller's disconnect is propagated to the back end through two nodes.
 #include <arpa/inet.h>
 #include <fmt/format.h>
 #include <sys/socket.h>
@@ -19,12 +19,12 @@
 namespace
 {
 constexpr int kClosesAtOnce = 20;
-constexpr base::Duration kRunsFor = base::milliseconds(400);
-constexpr base::Duration kCloseAfter = base::milliseconds(100);
-constexpr char kNoted[] = "close-";
+constexpr base::Duration kServiceTime = base::milliseconds(400);
+constexpr base::Duration kCloseDelay = base::milliseconds(100);
+constexpr char kTracedIdPrefix[] = "close-";
 
-/// Bound of the promise: a back end that works for a caller who has gone is told within this time.
-constexpr base::Duration kTold = base::milliseconds(500);
+/// Guaranteed time within which a request is aborted in the back end after its caller disconnects.
+constexpr base::Duration kAbortLimit = base::milliseconds(500);
 
 int connectTo(int _port)
 {
@@ -37,19 +37,19 @@
 	return socket;
 }
 
-/// What back ends saw of the noted requests.
-struct notes
+/// Events of the traced requests in the back ends.
+struct request_events
 {
-	std::map<std::string, int64_t> began;    //!< In microseconds of the boot clock.
-	std::map<std::string, int64_t> aborted;  //!< The same, as all of these.
-	std::map<std::string, int64_t> ended;    //!< Run to their end.
+	std::map<std::string, int64_t> began;    //!< Start of the run, in microseconds of the boot clock.
+	std::map<std::string, int64_t> aborted;  //!< Abort, in the same unit.
+	std::map<std::string, int64_t> ended;    //!< Completion, in the same unit.
 };
 
-/// A small fleet under load, and callers that close their connections while a back end works for them.
-class closing_callers
+/// A small fleet under load, and callers that disconnect while a back end runs their requests.
+class disconnecting_callers
 {
 public:
-	closing_callers()
+	disconnecting_callers()
 		: m_fleet(options())
 	{
 	}
@@ -73,19 +73,19 @@
 				REQUIRE(static_cast<ssize_t>(request.size())
 						== ::send(sockets.back(), request.data(), request.size(), 0));
 			}
-			::usleep(static_cast<useconds_t>(kCloseAfter.count()));
+			::usleep(static_cast<useconds_t>(kCloseDelay.count()));
 			for (int ii = 0; ii < kClosesAtOnce; ++ii)
 			{
 				close(sockets[static_cast<size_t>(ii)], 0 != ii % 2);
 				m_closed[idOf(begun + ii)] = base::BootClock::now().time_since_epoch().count();
 			}
 		}
-		::usleep(static_cast<useconds_t>((kTold + kRunsFor).count()));
+		::usleep(static_cast<useconds_t>((kAbortLimit + kServiceTime).count()));
 	}
 
-	notes read() const
+	request_events read() const
 	{
-		notes all;
+		request_events all;
 		for (const auto& endpoint : m_fleet->endpoints())
 		{
 			std::istringstream stream(m_fleet->processes().output(endpoint.backendName));
@@ -108,17 +108,17 @@
 	static FleetOptions options()
 	{
 		FleetOptions options;
-		options.backendFlags = {"--service-time-us=" + std::to_string(kRunsFor.count()), "--distribution=fixed",
-								std::string("--note-ids=") + kNoted};
+		options.backendFlags = {"--service-time-us=" + std::to_string(kServiceTime.count()), "--distribution=fixed",
+								std::string("--note-ids=") + kTracedIdPrefix};
 		return options;
 	}
 
 	static std::string idOf(int _call)
 	{
-		return kNoted + std::to_string(_call);
+		return kTracedIdPrefix + std::to_string(_call);
 	}
 
-	/// @param[in] _reset Whether the other side gets a reset in place of an end of data.
+	/// @param[in] _reset Whether the connection is closed with a TCP reset instead of an orderly close.
 	static void close(int _socket, bool _reset)
 	{
 		const linger atOnce{1, 0};
@@ -130,11 +130,11 @@
 	}
 
 	small_fleet m_fleet;
-	std::map<std::string, int64_t> m_closed;  //!< When callers closed, in microseconds of the boot clock.
+	std::map<std::string, int64_t> m_closed;  //!< Time of each disconnect, in microseconds of the boot clock.
 };
 
-/// @returns how long each back end that was at work took to hear of its caller's end.
-ExactHistogram delaysOf(const closing_callers& _callers, const notes& _notes)
+/// @returns The time from each disconnect to the abort of a running request.
+ExactHistogram abortDelays(const disconnecting_callers& _callers, const request_events& _notes)
 {
 	ExactHistogram delays;
 	for (const auto& [id, at] : _notes.aborted)
@@ -146,23 +146,23 @@
 
 void check(int _closes, double _rate)
 {
-	closing_callers callers;
+	disconnecting_callers callers;
 	callers.startLoad(_rate, _closes * 10 + 3000);
 	::usleep(500'000);
 	callers.closeMany(_closes);
 	const auto noted = callers.read();
-	auto delays = delaysOf(callers, noted);
-	// The others had ended by then, or were refused.
+	auto delays = abortDelays(callers, noted);
+	// The other requests had completed by then, or were refused.
 	REQUIRE(static_cast<size_t>(_closes) / 2 <= delays.count());
 	const auto isLate = [&](const auto& _noted)
 	{
-		return _noted.second > callers.closed().at(_noted.first) + kTold.count();
+		return _noted.second > callers.closed().at(_noted.first) + kAbortLimit.count();
 	};
 	const auto figures =
-		fmt::format("{} of {} closes reached a back end at work, p50 {} us, p99 {} us, longest {} us", delays.count(),
+		fmt::format("{} of {} closes aborted a running request, p50 {} us, p99 {} us, max {} us", delays.count(),
 					_closes, delays.percentile(0.5), delays.percentile(0.99), delays.percentile(1));
 	INFO(figures);
-	CHECK(delays.percentile(1) < kTold.count());
+	CHECK(delays.percentile(1) < kAbortLimit.count());
 	CHECK(noted.aborted.size() + noted.ended.size() == noted.began.size());
 	CHECK(0 == std::count_if(noted.began.begin(), noted.began.end(), isLate));
 	CHECK(0 == std::count_if(noted.ended.begin(), noted.ended.end(), isLate));
@@ -171,7 +171,7 @@
 
 }  // namespace
 
-TEST_CASE("a back end hears within half a second that its caller has gone, over two nodes under load")
+TEST_CASE("a back end aborts a request within half a second of its caller's disconnect, through two nodes under load")
 {
 	check(100, 100);
 }
--- a/tools/load_model/modelled_link.h
+++ b/tools/load_model/modelled_link.h
@@ -1,4 +1,4 @@
-/// One direction of a machine's link.
+/// Models one direction of a machine's network link.
 #ifndef DRIFTLUG_LOAD_MODEL_MODELLED_LINK_H_HEADER_GUARD
 #define DRIFTLUG_LOAD_MODEL_MODELLED_LINK_H_HEADER_GUARD
 
@@ -9,7 +9,7 @@
 
 namespace driftlug::load_model
 {
-/// What is put on a link leaves it in the order in which it was put there, at the link's rate.
+/// A FIFO link with a fixed bandwidth.
 class modelled_link
 {
 public:
@@ -18,14 +18,14 @@
 	{
 	}
 
-	/// @returns When bytes that are put on the link now have crossed it.
-	base::TimePoint carry(size_t _bytes, base::TimePoint _now)
+	/// @returns The time at which bytes enqueued now have been transmitted.
+	base::TimePoint transmit(size_t _bytes, base::TimePoint _now)
 	{
 		const auto seconds = static_cast<double>(_bytes) / m_bytesPerSecond;
 		m_freeAt = std::max(m_freeAt, _now)
 				   + std::chrono::duration_cast<base::Duration>(std::chrono::duration<double>(seconds));
 		m_bytes += static_cast<int64_t>(_bytes);
-		m_longest = std::max<base::Duration>(m_longest, m_freeAt - _now);
+		m_maxDelay = std::max<base::Duration>(m_maxDelay, m_freeAt - _now);
 		return m_freeAt;
 	}
 
@@ -34,17 +34,17 @@
 		return m_bytes;
 	}
 
-	/// @returns The longest time for which anything has waited.
-	base::Duration longest() const
+	/// @returns The longest queuing and transmission delay so far.
+	base::Duration maxDelay() const
 	{
-		return m_longest;
+		return m_maxDelay;
 	}
 
 private:
 	double m_bytesPerSecond;
 	base::TimePoint m_freeAt{};
 	int64_t m_bytes = 0;
-	base::Duration m_longest{0};
+	base::Duration m_maxDelay{0};
 };
 
 }  // namespace driftlug::load_model
--- a/tools/load_model/modelled_network.cc
+++ b/tools/load_model/modelled_network.cc
@@ -4,7 +4,7 @@
 {
 namespace
 {
-/// Of each frame: headers of TCP and IP.
+/// TCP and IP headers of each frame.
 constexpr size_t kPacketBytes = 40;
 
 }  // namespace
@@ -46,8 +46,8 @@
 	m_network.queue().after(2 * m_network.delay(m_zone, peer->m_zone),
 							[this, connection, peer]
 							{
-								// Both ends of a machine's connection to itself are one: the kind of a message tells
-								// its end.
+								// Both ends of a loopback connection share one id; the message type identifies the
+								// receiving end.
 								m_peers[connection] = peer;
 								m_handler->onOpen(connection, peer->m_hello);
 								if (peer != this)
@@ -77,11 +77,11 @@
 		return;
 	}
 	const size_t bytes = _frame->size() + kPacketBytes;
-	const auto leftAt = m_out.carry(bytes, m_network.queue().now());
+	const auto leftAt = m_out.transmit(bytes, m_network.queue().now());
 	m_network.queue().at(leftAt + m_network.delay(m_zone, peer->m_zone),
 						 [this, peer, bytes, _connection, _frame]
 						 {
-							 const auto hereAt = peer->m_in.carry(bytes, m_network.queue().now());
+							 const auto hereAt = peer->m_in.transmit(bytes, m_network.queue().now());
 							 m_network.queue().at(hereAt,
 												  [peer, _connection, _frame]
 												  {
--- a/tools/sim_main.cc
+++ b/tools/sim_main.cc
@@ -1,4 +1,4 @@
-/// driftlug-sim: the true decision objects on a virtual clock, under faults drawn from a seed.
+/// driftlug-sim: runs the production decision logic on a virtual clock, with faults drawn from a seed.
 #include <absl/strings/numbers.h>
 #include <gflags/gflags.h>
 
@@ -14,17 +14,17 @@
 
 DEFINE_string(deployment, "examples/crash-report", "folder of the deployment");
 DEFINE_string(seeds, "1-20", "seeds to run, as A-B");
-DEFINE_string(duration, "120s", "virtual time of each run, in whole seconds");
-DEFINE_string(fault, "all", "classes of faults, separated by commas; all, or none");
-DEFINE_string(disable, "", "safety mechanisms to switch off, separated by commas");
-DEFINE_bool(list_mechanisms, false, "list the mechanisms that --disable takes");
-DEFINE_bool(list_faults, false, "list the classes that --fault takes");
-DEFINE_bool(shrink, true, "find a short list of faults for the first seed that fails");
+DEFINE_string(duration, "120s", "virtual duration of each run, in whole seconds");
+DEFINE_string(fault, "all", "fault classes, separated by commas; or all, or none");
+DEFINE_string(disable, "", "safety mechanisms to disable, separated by commas");
+DEFINE_bool(list_mechanisms, false, "list the mechanisms accepted by --disable");
+DEFINE_bool(list_faults, false, "list the classes accepted by --fault");
+DEFINE_bool(shrink, true, "minimize the list of faults of the first seed that fails");
 DEFINE_bool(stop_at_first, false, "stop at the first seed that fails");
-DEFINE_bool(node_disk_faults, false, "full and failing disks strike nodes too, not controllers alone");
-DEFINE_bool(full_push, false, "baseline: send everything with each update");
-DEFINE_bool(verbose, false, "write the logs of all simulated processes");
-DEFINE_int32(threads, 0, "seeds run at once; 0 for one a core");
+DEFINE_bool(node_disk_faults, false, "apply disk faults to nodes as well as to controllers");
+DEFINE_bool(full_push, false, "baseline: send the full table with each update");
+DEFINE_bool(verbose, false, "print the logs of all simulated processes");
+DEFINE_int32(threads, 0, "seeds run concurrently; 0 for one per core");
 DEFINE_int32(mean_fault_gap_ms, 6000, "mean time between faults");
 DEFINE_int32(mean_edit_gap_ms, 1500, "mean time between edits");
 
@@ -32,7 +32,7 @@
 
 using namespace driftlug;
 
-[[noreturn]] void refuse(const std::string& sentence) {
+[[noreturn]] void exitWithBadSetting(const std::string& sentence) {
   apps::exitWithError(base::makeError(base::ErrorCode::kBadSetting, sentence));
 }
 
@@ -45,7 +45,7 @@
   }
   for (const auto& name : base::splitList(FLAGS_fault)) {
     const auto* info = simulation::findFault(name);
-    if (info == nullptr) refuse("fault: '" + name + "' is not in --list-faults");
+    if (info == nullptr) exitWithBadSetting("fault: '" + name + "' is not in --list-faults");
     classes.push_back(info->kind);
   }
   return classes;
@@ -63,12 +63,12 @@
   options.meanEditGap = base::milliseconds(FLAGS_mean_edit_gap_ms);
   for (const auto& name : base::splitList(FLAGS_disable)) {
     const auto* info = simulation::findMechanism(name);
-    if (info == nullptr) refuse("disable: '" + name + "' is not in --list-mechanisms");
+    if (info == nullptr) exitWithBadSetting("disable: '" + name + "' is not in --list-mechanisms");
     options.plan.disabled.insert(info->mechanism);
   }
   int seconds = 0;
   const auto number = FLAGS_duration.substr(0, FLAGS_duration.find('s'));
-  if (!absl::SimpleAtoi(number, &seconds) || seconds < 30) refuse("duration: whole seconds, 30s at least");
+  if (!absl::SimpleAtoi(number, &seconds) || seconds < 30) exitWithBadSetting("duration: whole seconds, 30s at least");
   options.duration = base::seconds(seconds);
   return options;
 }
@@ -92,7 +92,7 @@
 int run() {
   const auto options = optionsFromSettings();
   tools::SeedRange range;
-  if (!tools::parseSeeds(FLAGS_seeds, &range)) refuse("seeds: '" + FLAGS_seeds + "' is not A-B");
+  if (!tools::parseSeeds(FLAGS_seeds, &range)) exitWithBadSetting("seeds: '" + FLAGS_seeds + "' is not A-B");
   const int cores = static_cast<int>(std::thread::hardware_concurrency());
   const int threads = FLAGS_threads > 0 ? FLAGS_threads : std::max(1, cores);
   const auto summary = tools::runSeeds(options, range, threads, FLAGS_stop_at_first);
@@ -125,6 +125,6 @@
     for (const auto& info : simulation::allFaults()) std::printf("%s\n", std::string(info.name).c_str());
     return 0;
   }
-  if (arguments.size() != 1 || arguments[0] != "run") refuse("say what to do: run");
+  if (arguments.size() != 1 || arguments[0] != "run") exitWithBadSetting("the command is 'run'");
   return run();
 }
--- a/tools/soak/callers_main.cc
+++ b/tools/soak/callers_main.cc
@@ -1,4 +1,5 @@
-/// driftlug-soak-callers: callers that keep their connections in use until these end, and report what got no answer.
+/// driftlug-soak-callers: callers that use persistent connections until the server closes them, and report the requests
+/// without a response.
 #include <fmt/format.h>
 #include <gflags/gflags.h>
 
@@ -13,18 +14,19 @@
 #include "base/settings.h"
 #include "call_content.h"
 #include "daemon.h"
-#include "soak/open_connection.h"
+#include "soak/persistent_connection.h"
 
 DEFINE_string(targets, "", "entry nodes as host:port, separated by commas");
-DEFINE_string(host, "", "Host header of requests");
+DEFINE_string(host, "", "Host header of the requests");
 DEFINE_string(lookups, "/", "paths of requests that may be repeated, separated by commas");
 DEFINE_string(filings, "", "paths of requests that may not be repeated, separated by commas");
 DEFINE_double(filing_share, 0.3, "share of requests that may not be repeated");
-DEFINE_int32(connections, 8, "connections kept to each target; a quarter of them pipelines, a quarter is mostly idle");
-DEFINE_int32(body_bytes, 1000, "size of the body of a request that may not be repeated, at most");
-DEFINE_int32(duration_ms, 5000, "time in which requests begin");
-DEFINE_string(record, "", "file for the outcome of each request that may not be repeated, as JSON");
-DEFINE_string(unanswered, "", "file for the requests without a complete answer, as JSON");
+DEFINE_int32(connections, 8,
+			 "persistent connections to each target; a quarter of them pipeline, a quarter are mostly idle");
+DEFINE_int32(body_bytes, 1000, "maximum body size of a request that may not be repeated");
+DEFINE_int32(duration_ms, 5000, "duration of the load");
+DEFINE_string(record, "", "JSON file for the outcome of each request that may not be repeated");
+DEFINE_string(unanswered, "", "JSON file for the requests without a complete response");
 DEFINE_int32(seed, 1, "seed of requests and pauses");
 
 namespace
@@ -34,40 +36,40 @@
 
 constexpr int kOkStatus = 200;
 
-/// Connections of one target, and when the newest request was sent that it answered.
+/// A target, its connections, and the send time of the newest request that it answered.
 struct target
 {
 	std::string name;
-	int64_t witnessUs = 0;
-	std::vector<std::unique_ptr<soak::open_connection>> connections;
+	int64_t newestAnsweredSentUs = 0;
+	std::vector<std::unique_ptr<soak::persistent_connection>> connections;
 };
 
-class callers;
+class caller_pool;
 
-/// Takes the outcomes of one target's connections.
-class target_watcher : public soak::request_watcher
+/// Forwards the outcomes of one target's connections.
+class target_observer : public soak::request_observer
 {
 public:
-	target_watcher(callers& _owner, target& _target)
+	target_observer(caller_pool& _owner, target& _target)
 		: m_owner(_owner)
 		, m_target(_target)
 	{
 	}
 
-	void onAnswered(const soak::open_request& _request, const transport::HttpHead& _head,
+	void onAnswered(const soak::pending_request& _request, const transport::HttpHead& _head,
 					const std::string& _body) override;
-	void onUnanswered(const soak::open_request& _request, soak::request_end _end) override;
+	void onUnanswered(const soak::pending_request& _request, soak::request_end _end) override;
 	void onStray() override;
 
 private:
-	callers& m_owner;
+	caller_pool& m_owner;
 	target& m_target;
 };
 
-class callers
+class caller_pool
 {
 public:
-	explicit callers(transport::EventLoop& _loop)
+	explicit caller_pool(transport::EventLoop& _loop)
 		: m_loop(_loop)
 		, m_random(static_cast<uint64_t>(FLAGS_seed))
 		, m_lookups(base::splitList(FLAGS_lookups))
@@ -110,19 +112,19 @@
 		return m_unanswered;
 	}
 
-	void onAnswered(target* _target, const soak::open_request& _request, const transport::HttpHead& _head,
+	void onAnswered(target* _target, const soak::pending_request& _request, const transport::HttpHead& _head,
 					const std::string& _body)
 	{
-		_target->witnessUs = std::max(_target->witnessUs, _request.sentUs);
-		note(_request, outcomeOf(_request, _head, _body));
+		_target->newestAnsweredSentUs = std::max(_target->newestAnsweredSentUs, _request.sentUs);
+		recordOutcome(_request, outcomeOf(_request, _head, _body));
 	}
 
-	void onUnanswered(const target& _target, const soak::open_request& _request, soak::request_end _end)
+	void onUnanswered(const target& _target, const soak::pending_request& _request, soak::request_end _end)
 	{
 		const auto nowUs = m_loop.now().time_since_epoch().count();
 		m_unanswered.push_back(
-			{_request.id, _target.name, _end, _request.keyed, _request.sentUs, nowUs, _target.witnessUs});
-		note(_request, "lost");
+			{_request.id, _target.name, _end, _request.keyed, _request.sentUs, nowUs, _target.newestAnsweredSentUs});
+		recordOutcome(_request, "lost");
 	}
 
 	void onStray()
@@ -136,27 +138,27 @@
 		m_targets.push_back(std::make_unique<target>());
 		auto& added = *m_targets.back();
 		added.name = _text;
-		m_watchers.push_back(std::make_unique<target_watcher>(*this, added));
+		m_observers.push_back(std::make_unique<target_observer>(*this, added));
 		const auto address = apps::parseAddressOrExit("targets", _text);
 		for (int i = 0; i < FLAGS_connections; ++i)
 		{
-			added.connections.push_back(std::make_unique<soak::open_connection>(
+			added.connections.push_back(std::make_unique<soak::persistent_connection>(
 				m_loop, address, trafficOf(i), base::RandomSource(m_random.bits()),
 				[this](std::string* _bytes)
 				{
 					return makeRequest(_bytes);
 				},
-				*m_watchers.back()));
+				*m_observers.back()));
 		}
 	}
 
-	static soak::open_connection::traffic trafficOf(int _connection)
+	static soak::persistent_connection::traffic trafficOf(int _connection)
 	{
 		constexpr int kKinds = 4;
 		switch (_connection % kKinds)
 		{
 			case 0:
-				return {4, base::milliseconds(100)};  // pipelines
+				return {4, base::milliseconds(100)};  // pipelined
 			case 1:
 				return {1, base::milliseconds(3000)};  // mostly idle
 			default:
@@ -164,9 +166,9 @@
 		}
 	}
 
-	soak::open_request makeRequest(std::string* _bytes)
+	soak::pending_request makeRequest(std::string* _bytes)
 	{
-		soak::open_request request;
+		soak::pending_request request;
 		request.keyed = !m_filings.empty() && m_random.chance(FLAGS_filing_share);
 		request.id = fmt::format("open-{}-{:016x}", FLAGS_seed, m_random.bits());
 		const auto& paths = request.keyed ? m_filings : m_lookups;
@@ -185,7 +187,7 @@
 		return request;
 	}
 
-	static std::string outcomeOf(const soak::open_request& _request, const transport::HttpHead& _head,
+	static std::string outcomeOf(const soak::pending_request& _request, const transport::HttpHead& _head,
 								 const std::string& _body)
 	{
 		const auto body = json::parse(_body, nullptr, false);
@@ -204,7 +206,7 @@
 		return own && !content.empty() ? "ok" : "crossed";
 	}
 
-	void note(const soak::open_request& _request, const std::string& _outcome)
+	void recordOutcome(const soak::pending_request& _request, const std::string& _outcome)
 	{
 		++m_outcomes[_outcome];
 		if (_request.keyed)
@@ -241,25 +243,25 @@
 	std::vector<std::string> m_lookups;
 	std::vector<std::string> m_filings;
 	std::vector<std::unique_ptr<target>> m_targets;
-	std::vector<std::unique_ptr<target_watcher>> m_watchers;
+	std::vector<std::unique_ptr<target_observer>> m_observers;
 	std::vector<soak::unanswered_request> m_unanswered;
 	std::map<std::string, int64_t> m_outcomes;
 	json m_record = json::object();
 	int64_t m_sent = 0;
 };
 
-void target_watcher::onAnswered(const soak::open_request& _request, const transport::HttpHead& _head,
-								const std::string& _body)
+void target_observer::onAnswered(const soak::pending_request& _request, const transport::HttpHead& _head,
+								 const std::string& _body)
 {
 	m_owner.onAnswered(&m_target, _request, _head, _body);
 }
 
-void target_watcher::onUnanswered(const soak::open_request& _request, soak::request_end _end)
+void target_observer::onUnanswered(const soak::pending_request& _request, soak::request_end _end)
 {
 	m_owner.onUnanswered(m_target, _request, _end);
 }
 
-void target_watcher::onStray()
+void target_observer::onStray()
 {
 	m_owner.onStray();
 }
@@ -272,10 +274,10 @@
 	base::declareRange("duration_ms", 1, 3'600'000);
 	base::declareRange("connections", 1, 1'000);
 	base::declareRange("body_bytes", 1, 64 << 20);
-	base::loadSettingsOrExit(argc, argv, "driftlug-soak-callers: callers that keep connections in use", false);
+	base::loadSettingsOrExit(argc, argv, "driftlug-soak-callers: callers with persistent connections", false);
 	apps::configureLogsFromSettings();
 	transport::EventLoop loop;
-	callers all(loop);
+	caller_pool all(loop);
 	all.start();
 	loop.run();
 	std::ofstream(FLAGS_record) << all.record().dump();
--- a/tools/soak/fault_proxy_main.cc
+++ b/tools/soak/fault_proxy_main.cc
@@ -1,4 +1,4 @@
-/// driftlug-fault-proxy: stands between the processes of a fleet on loopback and harms their connections.
+/// driftlug-fault-proxy: a proxy between the processes of a fleet on loopback that injects faults into connections.
 #include <absl/strings/numbers.h>
 #include <absl/strings/str_split.h>
 #include <gflags/gflags.h>
@@ -14,7 +14,7 @@
 
 DEFINE_string(links, "", "links as name=port:target_port, separated by commas");
 DEFINE_int32(control_port, 0, "port for GET /fault?link=NAME&fault=FAULT[&delay_ms=N][&bytes_per_second=N]");
-DEFINE_double(link_mbps, 0, "what each link carries in each direction, in Mbit/s; 0 for any number");
+DEFINE_double(link_mbps, 0, "bandwidth of each link in each direction, in Mbit/s; 0 for unlimited");
 
 namespace
 {
@@ -23,16 +23,16 @@
 constexpr char kLoopback[] = "127.0.0.1";
 constexpr int kBadRequest = 400;
 
-using proxies = std::map<std::string, std::unique_ptr<soak::fault_proxy>>;
+using proxy_map = std::map<std::string, std::unique_ptr<soak::fault_proxy>>;
 
-[[noreturn]] void refuse(const std::string& _text)
+[[noreturn]] void exitWithBadLink(const std::string& _text)
 {
 	apps::exitWithError(base::makeError(base::ErrorCode::kBadSetting, "links: '" + _text + "' is not name=port:port"));
 }
 
-proxies listenOrExit(transport::EventLoop& _loop)
+proxy_map listenOrExit(transport::EventLoop& _loop)
 {
-	proxies all;
+	proxy_map all;
 	for (const auto& text : base::splitList(FLAGS_links))
 	{
 		const std::pair<std::string, std::string> link = absl::StrSplit(text, '=');
@@ -41,7 +41,7 @@
 		int target = 0;
 		if (!absl::SimpleAtoi(ports.first, &port) || !absl::SimpleAtoi(ports.second, &target))
 		{
-			refuse(text);
+			exitWithBadLink(text);
 		}
 		auto& proxy = all[link.first];
 		proxy = std::make_unique<soak::fault_proxy>(_loop, base::Address{kLoopback, target});
@@ -55,7 +55,7 @@
 	return all;
 }
 
-transport::HttpResponse setFault(const proxies& _proxies, const transport::HttpRequest& _request)
+transport::HttpResponse setFault(const proxy_map& _proxies, const transport::HttpRequest& _request)
 {
 	const auto found = _proxies.find(_request.parameter("link"));
 	const auto fault = soak::faultOf(_request.parameter("fault"));
@@ -78,7 +78,7 @@
 	base::declareRequired("links");
 	base::declareRange("control_port", 1, 65535);
 	base::declareRange("link_mbps", 0, 1'000'000);
-	base::loadSettingsOrExit(argc, argv, "driftlug-fault-proxy: harms connections on loopback", false);
+	base::loadSettingsOrExit(argc, argv, "driftlug-fault-proxy: injects faults into connections on loopback", false);
 	apps::configureLogsFromSettings();
 	transport::EventLoop loop;
 	auto all = listenOrExit(loop);
--- a/tools/soak/soak_run.h
+++ b/tools/soak/soak_run.h
@@ -1,4 +1,5 @@
-/// Runs a deployment as processes on loopback, harms them from outside, and checks what callers and back ends see.
+/// Injects faults into a deployment running as processes on loopback, and checks the results seen by callers and back
+/// ends.
 #ifndef DRIFTLUG_SOAK_SOAK_RUN_H_HEADER_GUARD
 #define DRIFTLUG_SOAK_SOAK_RUN_H_HEADER_GUARD
 
@@ -19,26 +20,26 @@
 
 namespace driftlug::soak
 {
-class crash_keeper;
+class back_end_supervisor;
 class fault_injector;
 class process_fault_injector;
-class promise_watch;
+class invariant_checker;
 
-/// How a soak runs.
+/// Options of a soak.
 struct soak_options
 {
 	uint64_t seed = 1;
-	soak_shape shape;
-	double rate = 150;         //!< Calls a second.
-	double filingShare = 0.2;  //!< Of calls, those that may not be repeated.
-	bool rolling = false;      //!< Every node is stopped in turn, twice, instead of a drawn plan.
-	int rollingGapMs = 900;    //!< Between two of these stops.
-	bool stopByKill = false;   //!< Planned stops kill; proves that the checks trip.
-	int recoverMs = 15'000;    //!< Within which all is well again once the last fault is over.
-	std::string fatalPath;     //!< Callers ask for it again and again, and it crashes back ends; empty for none.
+	plan_options planOptions;
+	double rate = 150;             //!< Calls per second.
+	double filingShare = 0.2;      //!< Share of calls that may not be repeated.
+	bool rolling = false;          //!< Stops every node in turn, twice, instead of using a random plan.
+	int rollingStopGapMs = 900;    //!< Time between two of these stops.
+	bool stopByKill = false;       //!< Planned stops send SIGKILL, to verify that the checks fail.
+	int recoveryLimitMs = 15'000;  //!< Time limit for full recovery after the last fault.
+	std::string fatalPath;         //!< Path that callers keep requesting and that crashes back ends; empty for none.
 };
 
-/// One soak of one fleet.
+/// Runs one soak on a fleet.
 class soak_run
 {
 public:
@@ -48,47 +49,48 @@
 	soak_run(tools::Fleet& _fleet, const soak_options& _options);
 	~soak_run();
 
-	/// Plays the plan and checks the promises.
-	/// @returns A report with `broken`, one text for each broken promise.
+	/// Runs the plan and checks the guarantees.
+	/// @returns A report, whose `broken` lists one description per violation.
 	nlohmann::json run();
 
 private:
-	void play(std::vector<soak_step> _plan);
+	void runPlan(std::vector<soak_step> _plan);
 	bool resolve(soak_step* _step);
 	void apply(const soak_step& _step, bool _begin);
 	bool isReady(const std::string& _name);
 	void applyEnd(const soak_step& _step);
-	void turn(int _untilMs);
-	void idleUntil(int _atMs);
-	void settle();
+	void pollOnce(int _untilMs);
+	void pollUntil(int _atMs);
+	void waitForRestarts();
 	void edit();
 	void checkRecovery();
 	void checkEdits();
 	void checkCrashes(nlohmann::json* _report);
 	void checkOpenConnections(nlohmann::json* _report);
 	void checkRecords(const std::string& _load);
-	void mustBeZero(const std::string& _load, const char* _what, int64_t _count);
+	void expectZero(const std::string& _load, const char* _what, int64_t _count);
 	void checkCalls(const std::string& _load, nlohmann::json* _report);
-	void broken(const std::string& _what);
+	void addViolation(const std::string& _what);
 	int elapsedMs();
 
 	tools::Fleet& m_fleet;
 	soak_options m_options;
 	std::unique_ptr<process_fault_injector> m_processFaults;
 	std::unique_ptr<fault_injector> m_linkFaults;
-	std::unique_ptr<promise_watch> m_watch;
-	std::unique_ptr<crash_keeper> m_crashes;                  //!< Null where no request crashes back ends.
-	std::map<std::string, std::vector<harm_window>> m_harms;  // of processes, by anything but planned stops
-	int64_t m_begunUs = 0;
-	int m_storms = 0;  // edit storms in progress
+	std::unique_ptr<invariant_checker> m_checker;
+	std::unique_ptr<back_end_supervisor> m_supervisor;  //!< Null if fatalPath is empty.
+	std::map<std::string, std::vector<fault_window>>
+		m_faultWindows;  // kills and pauses by process; planned stops excuse nothing
+	int64_t m_startedUs = 0;
+	int m_activeEditStorms = 0;  // edit storms in progress
 	int m_edits = 0;
 	int m_unknownEdits = 0;
 	int64_t m_lastRevision = 0;
 	std::vector<std::string> m_acceptedNotes;
-	std::vector<std::string> m_broken;
+	std::vector<std::string> m_violations;
 };
 
-/// @returns What of a fleet may be harmed.
+/// @returns The processes of a fleet that faults may be applied to.
 std::vector<soak_target> targetsOf(const tools::Fleet& _fleet);
 
 }  // namespace driftlug::soak
