--- a/apps/node_daemon.cc
+++ b/apps/node_daemon.cc
@@ -59,13 +59,13 @@
 /// milliseconds of its start; calls to it wait no longer than this.
 constexpr base::Duration kIdentityTimeout = base::milliseconds(200);
 
-/// @param well whether the back end is healthy; a healthy back end that sends no cold time is warm
+/// @param healthy whether the back end is healthy; a healthy back end that sends no cold time is warm
 /// @return remaining cold-start time in milliseconds; nullopt if an unhealthy back end does not send it
-std::optional<int> remainingColdMs(const std::vector<wire::HttpHeader>& headers, bool well) {
+std::optional<int> remainingColdMs(const std::vector<wire::HttpHeader>& headers, bool healthy) {
   const std::string text(transport::findHeader(headers, FLAGS_cold_header));
   int coldMs = 0;
   if (absl::SimpleAtoi(text, &coldMs)) return coldMs;
-  return well ? std::optional(0) : std::nullopt;
+  return healthy ? std::optional(0) : std::nullopt;
 }
 
 /// Dispatches messages to the endpoint and the entry side of calls, which share connections.
@@ -190,7 +190,7 @@
   page->counter("entry_links_left_out_total", "endpoints left without a link at the bound", users.entry.skippedLinks());
   count("backend_connections", "connections to the back end, open or being opened", users.backend.connections());
   count("backend_connections_max", "bound of connections to the back end", users.backend.maxConnections());
-  count("backend_requests_waiting", "requests that wait for a connection to the back end", users.backend.waiting());
+  count("backend_requests_waiting", "requests that wait for a connection to the back end", users.backend.queued());
 }
 
 /// Owns and connects all components of a node.
@@ -212,7 +212,7 @@
                       const std::function<void(transport::HttpResponse)>& respond);
   void onTerminate();
   void onReload();
-  void onStall(base::Duration late);
+  void onStall(base::Duration stallTime);
   void refuseNew() override { entry_.refuseNew(); }
   void refuseWaiting() override { entry_.refuseWaiting(); }
   void stopReadingRequests() override { entryServer_.server().stopReadingRequests(); }
@@ -397,7 +397,7 @@
     loop_.schedule(kFirstReportDelay, [this] { queryIdentity(); });
   }
   if (!FLAGS_first_start) endpoint_.markPossiblyCold();
-  loop_.onStall([this](base::Duration late) { onStall(late); });
+  loop_.onStall([this](base::Duration stallTime) { onStall(stallTime); });
   log_.info("{} started in zone {}", FLAGS_name, FLAGS_zone);
   loop_.run();
   log_.info("{} exits with {} calls of callers and {} of nodes unfinished", FLAGS_name, entry_.active(),
@@ -463,8 +463,8 @@
   if (seeds && !seeds->empty()) control_.useSeeds(hostsAtPort(*seeds, FLAGS_seed_relay_port));
 }
 
-void NodeDaemon::onStall(base::Duration late) {
-  log_.warn("{} was suspended for {} ms", FLAGS_name, base::millisecondsOf(late));
+void NodeDaemon::onStall(base::Duration stallTime) {
+  log_.warn("{} was suspended for {} ms", FLAGS_name, base::millisecondsOf(stallTime));
   control_.onAway();
   endpoint_.setStale(true);
   loop_.schedule(base::Duration(0), [this] { endpoint_.setStale(false); });  // after this turn's socket reads
--- a/apps/node_settings.cc
+++ b/apps/node_settings.cc
@@ -120,10 +120,10 @@
 /// On slow links, four in ten requests of a loaded fleet can run on the back end of the node that receives them. With
 /// 42,000 requests on 1 Mbit/s links this raises the share served in time by 0.03 (mean of six days under load, one run
 /// each). On 1 Gbit/s links it only degrades the choice of endpoints: 0.01 lower on two fleets.
-double localEndpointGainFromSettings() {
+double colocationBonusFromSettings() {
   constexpr double kNarrowLinkMbps = 20;
-  constexpr double kNarrowLinkGain = 0.4;
-  return FLAGS_link_mbps > 0 && FLAGS_link_mbps < kNarrowLinkMbps ? kNarrowLinkGain : 0;
+  constexpr double kNarrowLinkBonus = 0.4;
+  return FLAGS_link_mbps > 0 && FLAGS_link_mbps < kNarrowLinkMbps ? kNarrowLinkBonus : 0;
 }
 
 }  // namespace
@@ -164,7 +164,7 @@
   options.fullFor = base::milliseconds(FLAGS_full_for_ms);
   options.overloadRetryAfter = base::milliseconds(FLAGS_overload_retry_after_ms);
   if (FLAGS_prefer_zone) options.picker.policy = routing::PickPolicy::kNearestIdle;
-  options.picker.colocationBonus = localEndpointGainFromSettings();
+  options.picker.colocationBonus = colocationBonusFromSettings();
   options.picker.crossZonePenalty = FLAGS_zone_penalty_percent / 100.0;
   options.picker.slownessPenalty = FLAGS_slowness_penalty_percent / 100.0;
   options.picker.bodyBytesPerZonePenalty = static_cast<size_t>(FLAGS_body_kib_per_zone_penalty) << 10;
--- a/src/base/decision_log.cc
+++ b/src/base/decision_log.cc
@@ -32,12 +32,12 @@
 void DecisionLog::emit(LinePriority priority, const std::string& line) {
   auto& bucket = buckets_[static_cast<size_t>(priority)];
   const bool failure = priority == LinePriority::kFailure;
-  const std::string missing = bucket.dropped > 0 ? fmt::format(" dropped_before={}", bucket.dropped) : "";
+  const std::string droppedField = bucket.dropped > 0 ? fmt::format(" dropped_before={}", bucket.dropped) : "";
   bucket.dropped = 0;
   if (failure) {
-    log_.warn("{}{}", line, missing);
+    log_.warn("{}{}", line, droppedField);
   } else {
-    log_.info("{}{}", line, missing);
+    log_.info("{}{}", line, droppedField);
   }
 }
 
--- a/src/base/error.cc
+++ b/src/base/error.cc
@@ -134,8 +134,8 @@
   return "unnamed";
 }
 
-absl::Status makeError(ErrorCode code, std::string_view sentence) {
-  absl::Status status(statusCodeFor(code), absl::string_view(sentence.data(), sentence.size()));
+absl::Status makeError(ErrorCode code, std::string_view message) {
+  absl::Status status(statusCodeFor(code), absl::string_view(message.data(), message.size()));
   status.SetPayload(kPayloadUrl, absl::Cord(std::to_string(static_cast<int>(code))));
   return status;
 }
--- a/src/base/error.h
+++ b/src/base/error.h
@@ -63,7 +63,7 @@
 std::string_view errorName(ErrorCode code);
 
 /// @return a status with the code as payload and a short sentence as message.
-absl::Status makeError(ErrorCode code, std::string_view sentence);
+absl::Status makeError(ErrorCode code, std::string_view message);
 
 /// @return the message of a status as a standard string.
 std::string errorText(const absl::Status& status);
--- a/src/base/log.cc
+++ b/src/base/log.cc
@@ -13,7 +13,7 @@
 namespace driftlug::base {
 namespace {
 
-bool jsonForm = false;
+bool jsonFormat = false;
 int64_t droppedLines = 0;
 
 /// Writes to standard output without blocking. Lines up to PIPE_BUF bytes are written to a pipe completely or not at
@@ -38,7 +38,7 @@
 int64_t droppedLogLines() { return droppedLines; }
 
 void configureLogs(bool json, std::string_view level, LogTarget target) {
-  jsonForm = json;
+  jsonFormat = json;
   std::shared_ptr<spdlog::sinks::sink> sink;
   if (target == LogTarget::kOutput) {
     sink = std::make_shared<NonBlockingSink>();
@@ -56,21 +56,21 @@
 
 Logger::Logger(std::string_view prefix) : prefix_(prefix) {}
 
-void Logger::write(spdlog::level::level_enum level, const std::string& sentence) const {
+void Logger::write(spdlog::level::level_enum level, const std::string& message) const {
   auto* logger = spdlog::default_logger_raw();
   if (logClock != nullptr) {
     const auto virtualSeconds = std::chrono::duration<double>(logClock->now().time_since_epoch()).count();
-    logger->log(level, "[{:.6f}] {}: {}", virtualSeconds, prefix_, sentence);
+    logger->log(level, "[{:.6f}] {}: {}", virtualSeconds, prefix_, message);
     return;
   }
-  if (!jsonForm) {
-    logger->log(level, "{}: {}", prefix_, sentence);
+  if (!jsonFormat) {
+    logger->log(level, "{}: {}", prefix_, message);
     return;
   }
   const auto name = spdlog::level::to_string_view(level);
   const auto seconds = std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count();
   const nlohmann::json line = {
-      {"time", seconds}, {"level", std::string(name.data(), name.size())}, {"part", prefix_}, {"message", sentence}};
+      {"time", seconds}, {"level", std::string(name.data(), name.size())}, {"part", prefix_}, {"message", message}};
   logger->log(level, jsonText(line));
 }
 
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -52,7 +52,7 @@
 
  private:
   static bool enabled(spdlog::level::level_enum level) { return spdlog::default_logger_raw()->should_log(level); }
-  void write(spdlog::level::level_enum level, const std::string& sentence) const;
+  void write(spdlog::level::level_enum level, const std::string& message) const;
 
   std::string prefix_;  // fixed at construction
 };
--- a/src/base/settings.cc
+++ b/src/base/settings.cc
@@ -238,7 +238,7 @@
     std::exit(0);
   }
   for (const auto& problem : result.problems) {
-    std::fprintf(stderr, "bad_setting: %s: %s\n", problem.path.c_str(), problem.sentence.c_str());
+    std::fprintf(stderr, "bad_setting: %s: %s\n", problem.path.c_str(), problem.message.c_str());
   }
   if (!result.problems.empty()) std::exit(2);
   if (FLAGS_check_config) {
--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -13,8 +13,8 @@
 
 /// A problem with a setting.
 struct SettingProblem {
-  std::string path;      ///< `--flag` or `file:key`
-  std::string sentence;  ///< description of the problem
+  std::string path;     ///< `--flag` or `file:key`
+  std::string message;  ///< description of the problem
 };
 
 /// Declares the inclusive range of a numeric setting, which loadSettings() checks.
--- a/src/storage/log_store.cc
+++ b/src/storage/log_store.cc
@@ -208,9 +208,9 @@
   syncing_ = false;
   if (!status.ok()) failed_ = true;
   if (status.ok() && syncSegment_ == segment_) durable_ = std::max(durable_, syncTarget_);
-  std::vector<SyncCallback> served;
-  served.swap(syncingCallbacks_);
-  for (const auto& done : served) done(status);
+  std::vector<SyncCallback> callbacks;
+  callbacks.swap(syncingCallbacks_);
+  for (const auto& done : callbacks) done(status);
   if (!queuedCallbacks_.empty() && !syncing_) startSync();
 }
 
--- a/src/transport/frame_transport.cc
+++ b/src/transport/frame_transport.cc
@@ -35,8 +35,8 @@
   if (keepAliveTimeout_.count() > 0) hello_.acknowledgesCalls = true;  // also announces that keep-alives are answered
 }
 
-void FrameTransport::enableKeepAlives(base::Duration limit) {
-  keepAliveTimeout_ = limit;
+void FrameTransport::enableKeepAlives(base::Duration timeout) {
+  keepAliveTimeout_ = timeout;
   hello_.acknowledgesCalls = true;
   scheduleKeepAliveCheck();
 }
@@ -51,12 +51,12 @@
 
 void FrameTransport::checkKeepAlives() {
   const auto readUntil = loop_.inputReadUntil();
-  std::vector<base::ConnectionId> silent;
+  std::vector<base::ConnectionId> overdue;
   for (auto& [id, connection] : connections_) {
-    if (isKeepAliveOverdue(*connection, readUntil)) silent.push_back(id);
+    if (isKeepAliveOverdue(*connection, readUntil)) overdue.push_back(id);
   }
   scheduleKeepAliveCheck();
-  for (const auto id : silent) {
+  for (const auto id : overdue) {
     const auto* connection = find(id);
     if (connection == nullptr) continue;
     ++counters_.keepAliveTimeouts;
@@ -157,8 +157,8 @@
   counters_.bytesByPurpose[static_cast<size_t>(purpose)] += static_cast<int64_t>(bytes.size());
   connection->stream->write(bytes);
   const bool isKeepAlive = wire::kindOf(*frame) == kKeepAliveKind;
-  const bool returned = !connection->accepted && connection->helloReceived && connection->peer.acknowledgesCalls;
-  if (keepAliveTimeout_.count() > 0 && isKeepAlive && returned && !connection->unansweredSince) {
+  const bool expectsReply = !connection->accepted && connection->helloReceived && connection->peer.acknowledgesCalls;
+  if (keepAliveTimeout_.count() > 0 && isKeepAlive && expectsReply && !connection->unansweredSince) {
     connection->unansweredSince = loop_.now();
   }
 }
--- a/src/transport/frame_transport.h
+++ b/src/transport/frame_transport.h
@@ -61,8 +61,8 @@
   /// Answers the keep-alives of peers, and closes a connection on which a sent keep-alive is not answered. TCP alone
   /// does not detect a broken path if something on the way still acknowledges the bytes. Call before the first
   /// connection.
-  /// @param limit time after an unanswered keep-alive without any received bytes
-  void enableKeepAlives(base::Duration limit = base::seconds(2));
+  /// @param timeout time after an unanswered keep-alive without any received bytes
+  void enableKeepAlives(base::Duration timeout = base::seconds(2));
 
   const FrameCounters& counters() const { return counters_; }
 
--- a/src/transport/http_client.h
+++ b/src/transport/http_client.h
@@ -83,7 +83,7 @@
   size_t connections() const { return connections_.size(); }
 
   /// @return number of requests that wait for a connection.
-  size_t waiting() const { return queue_.size(); }
+  size_t queued() const { return queue_.size(); }
   const HttpPoolCounters& counters() const { return counters_; }
 
  private:
--- a/src/transport/tcp_stream.cc
+++ b/src/transport/tcp_stream.cc
@@ -148,9 +148,10 @@
 }
 
 size_t TcpStream::unacknowledgedBytes() const {
-  int held = 0;
-  if (wsi_ != nullptr && ::ioctl(socket_, SIOCOUTQ, &held) != 0) held = 0;  // the kernel does not report it
-  return queuedBytes() + static_cast<size_t>(std::max(0, held));
+  int kernelBytes = 0;
+  if (wsi_ != nullptr && ::ioctl(socket_, SIOCOUTQ, &kernelBytes) != 0)
+    kernelBytes = 0;  // the kernel does not report it
+  return queuedBytes() + static_cast<size_t>(std::max(0, kernelBytes));
 }
 
 bool TcpStream::hasUnread() const {
@@ -272,17 +273,17 @@
   return absl::OkStatus();
 }
 
-void TcpListener::setPaused(bool held) {
-  if (paused_ == held) return;
-  paused_ = held;
+void TcpListener::setPaused(bool paused) {
+  if (paused_ == paused) return;
+  paused_ = paused;
   updateWatch();
 }
 
 void TcpListener::updateWatch() { loop_.setWatching(socket_, accepting()); }
 
 void TcpListener::acceptAll() {
-  constexpr int kMaxPerTurn = 64;
-  for (int i = 0; i < kMaxPerTurn && accepting(); ++i) {
+  constexpr int kMaxAcceptsPerEvent = 64;
+  for (int i = 0; i < kMaxAcceptsPerEvent && accepting(); ++i) {
     const int accepted = ::accept4(socket_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (accepted >= 0) {
       auto stream = TcpStream::accept(loop_, accepted, options_);
--- a/src/transport/tcp_stream.h
+++ b/src/transport/tcp_stream.h
@@ -138,7 +138,7 @@
   int port() const { return port_; }
 
   /// Pauses or resumes accepting.
-  void setPaused(bool held);
+  void setPaused(bool paused);
 
   /// @return whether connections are accepted: the listener is not paused and does not wait for a free descriptor.
   bool accepting() const { return !paused_ && !retryTimer_.running(); }
--- a/test/platform/config_api_test.cc
+++ b/test/platform/config_api_test.cc
@@ -92,13 +92,13 @@
 TEST_CASE_METHOD(Fixture, "a leader that is cut off neither takes nor reads anything") {
   CHECK(put(config(3, 0)) == 200);
   const auto old = leader();
-  cutOff(old, true);
+  setIsolated(old, true);
   CHECK(sendRequest(old, "GET", "").status == 503);
   CHECK(sendRequest(old, "PUT", config(5, 3)).status == 503);
   runFor(base::seconds(2));
   CHECK(put(config(6, 3)) == 200);
   CHECK(sendRequest(old, "PUT", config(7, 3)).status != 200);
-  cutOff(old, false);
+  setIsolated(old, false);
   runFor(base::seconds(3));
   CHECK(currentVersion() == 6);
   const auto read = sendRequest(leader(), "GET", "");
--- a/test/platform/config_steps_test.cc
+++ b/test/platform/config_steps_test.cc
@@ -23,12 +23,12 @@
 
 TEST_CASE("a configuration that is read in steps gives the rows that it gives at once") {
   const auto body = configOf(7, 5, 500);
-  const size_t most = GENERATE(1U, 7U, 100U);
+  const size_t maxItems = GENERATE(1U, 7U, 100U);
   ConfigReader reader(body);
   std::vector<wire::Row> rows;
   size_t before = 0;
-  while (reader.read(most, [&rows](wire::Row row) { rows.push_back(std::move(row)); })) {
-    CHECK(rows.size() - before <= most);
+  while (reader.read(maxItems, [&rows](wire::Row row) { rows.push_back(std::move(row)); })) {
+    CHECK(rows.size() - before <= maxItems);
     before = rows.size();
   }
   CHECK(reader.problem().empty());
@@ -68,11 +68,11 @@
   const auto whole = renderConfig(table);
   ConfigWriter writer(table);
   REQUIRE(writer.write(10));
-  wire::Row gone;
-  gone.key = table::makeKey(wire::RowKind::ROUTE, "r-49");
-  gone.revision = 2;
-  gone.deleted = true;
-  table.put(table::storeRow(gone));
+  wire::Row deletedRow;
+  deletedRow.key = table::makeKey(wire::RowKind::ROUTE, "r-49");
+  deletedRow.revision = 2;
+  deletedRow.deleted = true;
+  table.put(table::storeRow(deletedRow));
   while (writer.write(10)) {
   }
   CHECK(writer.text() == whole);
--- a/test/platform/pages_fixture.h
+++ b/test/platform/pages_fixture.h
@@ -59,11 +59,11 @@
 
   int putConfig(const std::string& body) { return sendRequest(leader(), "PUT", "/config", body).status; }
 
-  void cutOff(size_t position, bool cut) {
+  void setIsolated(size_t position, bool isolated) {
     for (size_t i = 0; i < hosts.size(); ++i) {
       if (i == position) continue;
-      network.setCut(hosts[position]->ip(), hosts[i]->ip(), cut);
-      network.setCut(hosts[i]->ip(), hosts[position]->ip(), cut);
+      network.setCut(hosts[position]->ip(), hosts[i]->ip(), isolated);
+      network.setCut(hosts[i]->ip(), hosts[position]->ip(), isolated);
     }
   }
 
--- a/test/platform/rollout_api_test.cc
+++ b/test/platform/rollout_api_test.cc
@@ -51,9 +51,9 @@
   const auto row = hosts[leader()]->controller().rollouts().rowOf("s-1");
   CHECK(post(orderBody()) == 200);
   const auto other = (leader() + 1) % hosts.size();
-  const auto elsewhere = sendRequest(other, "POST", kOrders, orderBody());
-  CHECK(elsewhere.status == 307);
-  CHECK(transport::findHeader(elsewhere.headers, "location") == "http://" + hosts[leader()]->ip() + ":8000" + kOrders);
+  const auto redirect = sendRequest(other, "POST", kOrders, orderBody());
+  CHECK(redirect.status == 307);
+  CHECK(transport::findHeader(redirect.headers, "location") == "http://" + hosts[leader()]->ip() + ":8000" + kOrders);
   CHECK(hosts[leader()]->controller().rollouts().rowOf("s-1")->revision == row->revision);
 }
 
@@ -86,7 +86,7 @@
 
 TEST_CASE_METHOD(Fixture, "a leader that is cut off acknowledges and reads nothing") {
   const auto old = leader();
-  cutOff(old, true);
+  setIsolated(old, true);
   CHECK(sendRequest(old, "POST", kOrders, orderBody()).status == 503);
   CHECK(sendRequest(old, "GET", "/rollouts/s-1", "").status == 503);
 }
--- a/test/transport/descriptors_test.cc
+++ b/test/transport/descriptors_test.cc
@@ -79,9 +79,9 @@
   int runFor(base::Duration duration) {
     bool over = false;
     loop.schedule(duration, [&] { over = true; });
-    int turns = 0;
-    for (; !over; ++turns) loop.runOnce();
-    return turns;
+    int iterations = 0;
+    for (; !over; ++iterations) loop.runOnce();
+    return iterations;
   }
 
   /// Connects a client and sends bytes; the server handles them when the loop runs.
@@ -125,17 +125,17 @@
   const auto bytes =
       GENERATE_COPY(as<std::string>(), kRequest,
                     "GET / HTTP/1.1\r\nHost:", "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 5000\r\n\r\nhalf of it");
-  size_t most = 0;
+  size_t maxLeaked = 0;
   for (int round = 0; round < kRounds; ++round) {
     std::vector<int> callers;
     for (size_t i = 0; i < kCallers; ++i) callers.push_back(connectAndSend(bytes));
     (void)runFor(base::milliseconds(30));
     for (const int caller : callers) ::close(caller);  // its request is unanswered or incomplete
     (void)runFor(base::milliseconds(30));
-    most = std::max(most, openDescriptors().size() - before);
+    maxLeaked = std::max(maxLeaked, openDescriptors().size() - before);
   }
   CHECK(server.counters().connections == kCallers * kRounds);
-  CHECK(most == 0);
+  CHECK(maxLeaked == 0);
   CHECK(server.pending() == 0);
 }
 
@@ -153,12 +153,12 @@
 
 /// A server with a small connection limit.
 struct BoundedFixture : public Fixture {
-  static constexpr size_t kBound = 8;
+  static constexpr size_t kMaxConnections = 8;
   static constexpr auto kIdle = base::milliseconds(50);
 
   BoundedFixture() {
     HttpServerOptions options;
-    options.maxConnections = kBound;
+    options.maxConnections = kMaxConnections;
     options.minIdleBeforeEviction = kIdle;
     server.setOptions(options);
   }
@@ -178,7 +178,7 @@
   }
 
   /// @return whether the server has closed a connection without a reset; discards its responses.
-  static bool closedInOrder(int caller) {
+  static bool closedWithoutReset(int caller) {
     char buffer[4096];
     ssize_t count = 0;
     while ((count = ::recv(caller, buffer, sizeof(buffer), MSG_DONTWAIT)) > 0) {
@@ -192,7 +192,7 @@
 }  // namespace
 
 TEST_CASE_METHOD(BoundedFixture, "at the connection limit the longest idle connections are evicted") {
-  for (size_t i = 0; i < kBound - 1; ++i) {
+  for (size_t i = 0; i < kMaxConnections - 1; ++i) {
     call(1);
     answerAll();
   }
@@ -200,53 +200,53 @@
   CHECK(server.counters().idleConnectionsEvicted == 0);
   // Each of these two connections reaches the limit.
   call(2);
-  CHECK(exchanges.size() == kBound + 1);
-  CHECK(server.connections() < kBound);
+  CHECK(exchanges.size() == kMaxConnections + 1);
+  CHECK(server.connections() < kMaxConnections);
   CHECK(server.accepting());
   CHECK(server.counters().idleConnectionsEvicted == 2);
-  for (size_t i = 0; i < callers.size(); ++i) CHECK(closedInOrder(callers[i]) == (i < 2));
+  for (size_t i = 0; i < callers.size(); ++i) CHECK(closedWithoutReset(callers[i]) == (i < 2));
   CHECK(aborted == 0);
 }
 
 TEST_CASE_METHOD(BoundedFixture, "at the limit of connections in use, new connections wait until one ends") {
-  call(kBound + 3);
-  CHECK(exchanges.size() == kBound);
-  CHECK(server.connections() == kBound);
+  call(kMaxConnections + 3);
+  CHECK(exchanges.size() == kMaxConnections);
+  CHECK(server.connections() == kMaxConnections);
   CHECK(!server.accepting());
   // The loop is not busy meanwhile.
   CHECK(runFor(base::milliseconds(300)) < 50);
   ::close(callers.front());
   callers.erase(callers.begin());
   (void)runFor(base::milliseconds(30));
-  CHECK(exchanges.size() == kBound + 1);
+  CHECK(exchanges.size() == kMaxConnections + 1);
   CHECK(!server.accepting());
   SECTION("or was answered and has been idle") {
     answerAll();
     (void)runFor(base::milliseconds(300));
-    CHECK(exchanges.size() == kBound + 3);
+    CHECK(exchanges.size() == kMaxConnections + 3);
     CHECK(server.counters().idleConnectionsEvicted >= 2);
   }
   SECTION("or the limit is raised") {
     server.setOptions({});
     (void)runFor(base::milliseconds(30));
-    CHECK(exchanges.size() == kBound + 3);
+    CHECK(exchanges.size() == kMaxConnections + 3);
     CHECK(server.accepting());
   }
 }
 
 TEST_CASE_METHOD(BoundedFixture, "a connection with an unread request is not evicted") {
-  call(kBound);
+  call(kMaxConnections);
   answerAll();
   const auto answered = exchanges.size();
   // All but the last have sent another request, which is unread when setOptions() evicts idle connections.
   std::this_thread::sleep_for(2 * kIdle);
-  for (size_t i = 0; i + 1 < kBound; ++i) {
+  for (size_t i = 0; i + 1 < kMaxConnections; ++i) {
     REQUIRE(::send(callers[i], kRequest.data(), kRequest.size(), MSG_NOSIGNAL) > 0);
   }
   server.setOptions(server.options());
   CHECK(server.counters().idleConnectionsEvicted == 1);
   (void)runFor(base::milliseconds(30));
-  CHECK(exchanges.size() == answered + kBound - 1);
+  CHECK(exchanges.size() == answered + kMaxConnections - 1);
   CHECK(aborted == 0);
 }
 
--- a/test/transport/frame_transport_test.cc
+++ b/test/transport/frame_transport_test.cc
@@ -160,13 +160,13 @@
 /// A peer that sends a Hello and reads everything. Unless repliesToKeepAlives is set, it then stays silent, as if the
 /// path had failed.
 struct ScriptedPeer : public StreamHandler {
-  ScriptedPeer(EventLoop& loop, bool returnsKeepAlives)
-      : listener(loop, [this, returnsKeepAlives](auto accepted) {
+  ScriptedPeer(EventLoop& loop, bool announcesReplies)
+      : listener(loop, [this, announcesReplies](auto accepted) {
           stream = std::move(accepted);
           stream->setHandler(this);
           wire::Hello hello;
           hello.id = "peer";
-          hello.acknowledgesCalls = returnsKeepAlives;
+          hello.acknowledgesCalls = announcesReplies;
           stream->write(*wire::encodeFrame(hello));
         }) {
     REQUIRE(listener.listen("127.0.0.1", 0, {}).ok());
@@ -188,7 +188,7 @@
   while (!over) loop.runOnce();
 }
 
-constexpr base::Duration kLimit = base::milliseconds(200);
+constexpr base::Duration kKeepAliveTimeout = base::milliseconds(200);
 
 }  // namespace
 
@@ -220,10 +220,10 @@
   FrameTransport transport(loop, "left");
   Recorder recorder;
   transport.setHandler(&recorder);
-  transport.enableKeepAlives(kLimit);
+  transport.enableKeepAlives(kKeepAliveTimeout);
   transport.setHello({});
-  const bool returns = GENERATE(true, false);
-  ScriptedPeer peer(loop, returns);
+  const bool announces = GENERATE(true, false);
+  ScriptedPeer peer(loop, announces);
   const auto connection = transport.connect({"127.0.0.1", peer.listener.port()});
   settle(loop);
   REQUIRE(recorder.open.size() == 1);
@@ -233,7 +233,7 @@
     runFor(loop, base::milliseconds(50));
   }
   // A peer that does not announce answers to keep-alives is not expected to send them.
-  const bool closed = returns && !peer.repliesToKeepAlives;
+  const bool closed = announces && !peer.repliesToKeepAlives;
   CHECK(recorder.closed.size() == (closed ? 1 : 0));
   CHECK(transport.counters().keepAliveTimeouts == (closed ? 1 : 0));
   loop.close();
@@ -241,8 +241,8 @@
 
 TEST_CASE_METHOD(
     Fixture, "keep-alives are answered on accepted connections, and an accepted connection without them is closed") {
-  left.enableKeepAlives(kLimit);
-  right.enableKeepAlives(kLimit);
+  left.enableKeepAlives(kKeepAliveTimeout);
+  right.enableKeepAlives(kKeepAliveTimeout);
   begin("zone-a", "zone-a", false);
   for (int i = 0; i < 12; ++i) {
     left.send(connection, wire::encodeFrame(wire::KeepAlive()));
@@ -251,7 +251,7 @@
   CHECK(leftRecorder.closed.empty());
   CHECK(rightRecorder.closed.empty());
   // The left side sends no more keep-alives, as if its path had failed; the right side frees the connection.
-  runFor(loop, kLimit * 6);
+  runFor(loop, kKeepAliveTimeout * 6);
   CHECK(leftRecorder.closed.size() + rightRecorder.closed.size() >= 1);
   CHECK(right.counters().keepAliveTimeouts == 1);
 }
--- a/test/transport/http_client_test.cc
+++ b/test/transport/http_client_test.cc
@@ -143,14 +143,14 @@
   std::optional<HttpClientPool> pool;
 };
 
-constexpr char kOwn[] = "HTTP/1.1 200 OK\r\nx-id: 1\r\ncontent-length: 3\r\n\r\nown";
-constexpr char kOther[] = "HTTP/1.1 200 OK\r\nx-id: 0\r\ncontent-length: 5\r\n\r\nother";
+constexpr char kMatchingResponse[] = "HTTP/1.1 200 OK\r\nx-id: 1\r\ncontent-length: 3\r\n\r\nown";
+constexpr char kStrayResponse[] = "HTTP/1.1 200 OK\r\nx-id: 0\r\ncontent-length: 5\r\n\r\nother";
 
 }  // namespace
 
 TEST_CASE_METHOD(ScriptedServer,
                  "a response to an earlier request is dropped, and the pool waits for the matching one") {
-  onRequest = [](TcpStream& stream) { stream.write(std::string(kOther) + kOwn); };
+  onRequest = [](TcpStream& stream) { stream.write(std::string(kStrayResponse) + kMatchingResponse); };
   const auto result = send("1");
   CHECK(result.outcome == HttpOutcome::kCompleted);
   CHECK(result.response.body == "own");
@@ -160,16 +160,16 @@
 }
 
 TEST_CASE_METHOD(ScriptedServer, "a connection with bytes behind its answer is not used again") {
-  onRequest = [](TcpStream& stream) { stream.write(std::string(kOwn) + kOther); };
+  onRequest = [](TcpStream& stream) { stream.write(std::string(kMatchingResponse) + kStrayResponse); };
   CHECK(send("1").response.body == "own");
   CHECK(send("1").response.body == "own");
   CHECK(connections.size() == 2);
 }
 
 TEST_CASE_METHOD(ScriptedServer, "bytes on an idle connection close it and are dropped") {
-  onRequest = [](TcpStream& stream) { stream.write(kOwn); };
+  onRequest = [](TcpStream& stream) { stream.write(kMatchingResponse); };
   CHECK(send("1").response.body == "own");
-  connections[0]->stream->write(kOther);
+  connections[0]->stream->write(kStrayResponse);
   bool over = false;
   loop.schedule(base::milliseconds(20), [&] { over = true; });
   while (!over) loop.runOnce();
@@ -219,7 +219,7 @@
                  "bytes that are not a response give an unknown outcome, and the connection is closed") {
   onRequest = [](TcpStream& stream) { stream.write("garbage\r\n\r\n"); };
   CHECK(send("1").outcome == HttpOutcome::kUnknown);
-  onRequest = [](TcpStream& stream) { stream.write(kOwn); };
+  onRequest = [](TcpStream& stream) { stream.write(kMatchingResponse); };
   CHECK(send("1").outcome == HttpOutcome::kCompleted);
   CHECK(connections.size() == 2);
 }
@@ -230,7 +230,7 @@
 struct UnresponsiveServer : ScriptedServer {
   UnresponsiveServer() {
     onRequest = [this](TcpStream& stream) {
-      if (connections.size() > unresponsiveConnections) stream.write(kOwn);
+      if (connections.size() > unresponsiveConnections) stream.write(kMatchingResponse);
     };
     // Three requests at once leave three idle connections.
     int done = 0;
@@ -281,7 +281,7 @@
 TEST_CASE_METHOD(UnresponsiveServer, "a request that is cancelled early does not affect other connections") {
   unresponsiveConnections = 0;
   onRequest = [this](TcpStream& stream) {
-    if (requests > 4) stream.write(kOwn);
+    if (requests > 4) stream.write(kMatchingResponse);
   };
   const auto id = start(base::seconds(20), [](const HttpResult&) {});
   runFor(base::milliseconds(100));
--- a/test/transport/http_server_test.cc
+++ b/test/transport/http_server_test.cc
@@ -144,7 +144,7 @@
   RawClient client(loop, server.port());
   client.send("GET /1 HTTP/1.1\r\nHost: h\r\n\r\n");
   REQUIRE(requests.size() == 1);
-  client.endSending();
+  client.shutdownWrite();
   settle(loop);
   CHECK(aborted == exchanges);
 }
@@ -165,7 +165,7 @@
 TEST_CASE_METHOD(Fixture, "a request on a new connection that was closed before it was accepted is not taken") {
   std::vector<std::unique_ptr<RawClient>> clients;
   for (int i = 0; i < 5; ++i) {
-    clients.push_back(std::make_unique<RawClient>(loop, server.port(), RawClient::Accepted::kLater));
+    clients.push_back(std::make_unique<RawClient>(loop, server.port(), RawClient::AcceptMode::kDeferred));
     clients.back()->sendUnread("GET /1 HTTP/1.1\r\nHost: h\r\n\r\n");
     if (i != 3) clients.back()->close();
   }
--- a/test/transport/raw_client.h
+++ b/test/transport/raw_client.h
@@ -24,16 +24,16 @@
 class RawClient {
  public:
   /// Whether the constructor runs the loop until the server has accepted, or leaves that to the next run of the loop.
-  enum class Accepted { kAtOnce, kLater };
+  enum class AcceptMode { kImmediate, kDeferred };
 
-  RawClient(EventLoop& loop, int port, Accepted accepted = Accepted::kAtOnce)
+  RawClient(EventLoop& loop, int port, AcceptMode mode = AcceptMode::kImmediate)
       : loop_(loop), socket_(::socket(AF_INET, SOCK_STREAM, 0)) {
     sockaddr_in address{};
     address.sin_family = AF_INET;
     address.sin_port = htons(static_cast<uint16_t>(port));
     address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
     REQUIRE(::connect(socket_, reinterpret_cast<const sockaddr*>(&address), sizeof(address)) == 0);
-    if (Accepted::kAtOnce == accepted) settle(loop_);
+    if (AcceptMode::kImmediate == mode) settle(loop_);
   }
   ~RawClient() { close(); }
   RawClient(const RawClient&) = delete;
@@ -51,7 +51,7 @@
   }
 
   /// Closes the sending direction only.
-  void endSending() { ::shutdown(socket_, SHUT_WR); }
+  void shutdownWrite() { ::shutdown(socket_, SHUT_WR); }
 
   /// Closes with a reset.
   void reset() {
--- a/test/transport/tcp_stream_test.cc
+++ b/test/transport/tcp_stream_test.cc
@@ -17,7 +17,7 @@
 struct Recorder : public StreamHandler {
   void onConnected() override { connected = true; }
   void onBytes(std::string_view bytes) override { received += bytes.size(); }
-  void onClosed(bool inOrder) override { closed = inOrder; }
+  void onClosed(bool orderly) override { closed = orderly; }
 
   bool connected = false;
   size_t received = 0;
