--- a/apps/controller_daemon.cc
+++ b/apps/controller_daemon.cc
@@ -15,7 +15,7 @@
 
 DEFINE_string(name, "", "name of this controller; must be one of --controllers, or one added later");
 DEFINE_string(zone, "", "zone that this process runs in");
-DEFINE_string(listen_host, "127.0.0.1", "IP number to listen on");
+DEFINE_string(listen_host, "127.0.0.1", "IP address to listen on");
 DEFINE_int32(frame_port, 0, "port for relays and other controllers");
 DEFINE_int32(http_port, 0, "port for operators, health and metrics");
 DEFINE_string(http_listen, "", "host:port for operators, health and metrics, instead of listen_host and http_port");
@@ -23,21 +23,23 @@
 DEFINE_string(controllers, "", "initial controllers as name@host:frame_port:http_port, separated by commas");
 DEFINE_string(
     seeds, "",
-    "hosts of controllers to find the others through, instead of controllers; all listen on the ports of this "
-    "one, and a port behind a host is ignored");
+    "hosts of controllers to discover the others through, instead of controllers; all listen on the same ports as this "
+    "one, and ports in the list are ignored");
 DEFINE_bool(first_start, false, "whether the seeds may bootstrap the cluster, since all of them are new");
 DEFINE_int32(fault_tolerance, 1,
-             "controllers that may be lost at once; twice as many and one vote at the least, with seeds");
+             "number n of controllers that may fail at the same time; with seeds, there are at least 2n + 1 voters");
 DEFINE_string(data_folder, "", "folder for the log and snapshots");
 DEFINE_int32(heartbeat_ms, 50, "interval of heartbeats between controllers");
 DEFINE_int32(election_timeout_ms, 300, "minimum time without a leader before an election");
 DEFINE_int32(relay_heartbeat_ms, 1000, "interval of heartbeats to relays, and of the embedded relay to nodes");
-DEFINE_int32(replace_after_ms, 8000, "silence after which a voter is replaced by another controller, with seeds");
+DEFINE_int32(replace_after_ms, 8000,
+             "with seeds: time without contact after which a voter is replaced by another controller");
 DEFINE_int32(snapshot_entries, 4096, "log entries between snapshots");
 DEFINE_int32(emulated_zone_delay_us, 0, "delay of frames to other zones; for tests only");
-DEFINE_double(exposure_share, 0.1,
-              "share of a service's requests, from an order to the end of its time, that a new version may get before "
-              "it is known to be well");
+DEFINE_double(
+    exposure_share, 0.1,
+    "maximum share of a service's requests during the time limit of a rollout that a new version receives before "
+    "it is known to be healthy");
 DEFINE_bool(full_push, false, "send the whole table with each update; for experiments only");
 DEFINE_bool(inspect_data, false, "print and verify the data folder, then exit");
 
--- a/apps/ctl_main.cc
+++ b/apps/ctl_main.cc
@@ -20,13 +20,14 @@
 DEFINE_int32(timeout_ms, 10000, "longest time to wait for an answer");
 DEFINE_bool(json, false, "print JSON instead of a table");
 DEFINE_string(kind, "", "rows: only this kind");
-DEFINE_string(request_id, "", "request id of an edit; made up when empty");
+DEFINE_string(request_id, "", "request id of an edit; generated if empty");
 DEFINE_string(author, "", "author of an edit, for the history");
-DEFINE_int64(expect, -1, "set, delete: the row's revision must be this; -1 takes the one just read");
-DEFINE_bool(wait, false, "set, delete, apply, rollout start: wait until it is in force everywhere, or has ended");
+DEFINE_int64(expect, -1, "set, delete: expected revision of the row; -1 for the one just read (set) or any (delete)");
+DEFINE_bool(wait, false,
+            "set, delete, apply: wait until the edit is in force on all nodes; rollout start: wait until it has ended");
 DEFINE_string(node, "", "drain, held, release: administration address of the node as host:port");
-DEFINE_int32(finish_by_ms, 0, "rollout start: the order must have ended after this time; else it is rolled back");
-DEFINE_bool(undo, false, "drain: take new work again");
+DEFINE_int32(finish_by_ms, 0, "rollout start: time limit; a rollout that has not ended by then is rolled back");
+DEFINE_bool(undo, false, "drain: accept new calls again");
 
 namespace {
 
--- a/apps/endpoint_health.h
+++ b/apps/endpoint_health.h
@@ -50,7 +50,7 @@
     request.method = "GET";
     request.path = "/healthz";
     pool_.send(request, interval * 2, [this, interval](const transport::HttpResult& result) {
-      // Only an explicit 503 counts; a failed health check says nothing about how requests fare.
+      // Only an explicit 503 counts: other requests may succeed even though a health check failed.
       const bool answered = result.outcome == transport::HttpOutcome::kCompleted;
       backendDraining_ = answered && result.response.status == 503;
       update();
--- a/apps/node_daemon.cc
+++ b/apps/node_daemon.cc
@@ -55,8 +55,8 @@
 /// answer after 700 ms, the time of one or two elections, is refused.
 constexpr quota::quota_queue_options kQuotaQueueOptions{base::milliseconds(5), base::milliseconds(700),
                                                         base::milliseconds(250)};
-/// Timeout for asking the back end which of two incarnations it is. The back end is on this machine and answers within
-/// milliseconds of its start; calls to it wait no longer than this.
+/// Timeout of the query that decides which of two incarnations the back end is. The back end is on this machine and
+/// answers within milliseconds of its start; calls to it are delayed by at most this time.
 constexpr base::Duration kIdentityTimeout = base::milliseconds(200);
 
 /// @param healthy whether the back end is healthy; a healthy back end that sends no cold time is warm
@@ -444,7 +444,7 @@
   request.path = FLAGS_identity_path;
   identityPool_->send(request, timeout, [done = std::move(done)](const transport::HttpResult& result) {
     const auto& headers = result.response.headers;
-    // A refusal for lack of a free slot says nothing about the back end's health.
+    // A refusal for lack of a free slot does not show whether the back end is healthy.
     const bool refused = !FLAGS_not_run_header.empty() && !transport::findHeader(headers, FLAGS_not_run_header).empty();
     node::BackendIdentity identity;
     if (result.outcome == transport::HttpOutcome::kCompleted) {
@@ -467,7 +467,7 @@
   log_.warn("{} was suspended for {} ms", FLAGS_name, base::millisecondsOf(stallTime));
   control_.onAway();
   endpoint_.setStale(true);
-  loop_.schedule(base::Duration(0), [this] { endpoint_.setStale(false); });  // after this turn's socket reads
+  loop_.schedule(base::Duration(0), [this] { endpoint_.setStale(false); });  // after the socket reads of this iteration
 }
 
 void NodeDaemon::onTerminate() {
--- a/apps/node_settings.cc
+++ b/apps/node_settings.cc
@@ -10,7 +10,7 @@
 
 DEFINE_string(name, "", "name of this node; with a local back end also the name of its endpoint row");
 DEFINE_string(zone, "", "zone that this process runs in");
-DEFINE_string(listen_host, "127.0.0.1", "IP number to listen on");
+DEFINE_string(listen_host, "127.0.0.1", "IP address to listen on");
 DEFINE_int32(frame_port, 0, "port for calls of other nodes; 0 on a node without a back end");
 DEFINE_string(frame_listen, "", "host:port for calls of other nodes, instead of listen_host and frame_port");
 DEFINE_int32(entry_port, 0, "port for HTTP calls of callers; 0 for none");
@@ -41,7 +41,7 @@
 DEFINE_bool(ledger, true, "claim non-repeatable requests in the ledger before they run");
 DEFINE_int32(health_interval_ms, 250, "interval of health checks of the back end; 0 for none");
 DEFINE_int32(emulated_zone_delay_us, 0, "delay of frames to other zones; for tests only");
-DEFINE_string(deadline_header, "x-deadline-ms", "header with the milliseconds that a caller waits");
+DEFINE_string(deadline_header, "x-deadline-ms", "header with the time in milliseconds for which a caller waits");
 DEFINE_string(caller_header, "", "header set to the local service of the node where a call began; empty for none");
 DEFINE_string(credential_header, "", "header with the key of a tenant; empty for none");
 DEFINE_string(tenant_header, "", "header with the tenant's name, sent to back ends; empty for none");
@@ -53,30 +53,30 @@
 DEFINE_string(identity_path, "/healthz", "path at which the back end is queried for its incarnation");
 DEFINE_string(not_run_header, "x-shed", "response header that marks a request as not run by the back end");
 DEFINE_bool(fractional_retry_after, false, "Retry-After in fractions of a second");
-DEFINE_bool(prefer_zone, false, "choose endpoints of the own zone while they have slots to spare");
+DEFINE_bool(prefer_zone, false, "prefer endpoints in the node's own zone while they have free slots");
 DEFINE_int32(retry_attempts, 1, "attempts of a call, if neither route nor service sets them");
-DEFINE_int32(retry_budget_percent, 0, "retries as a share of calls, where the service has no retry policy");
+DEFINE_int32(retry_budget_percent, 0, "maximum retries as a percentage of calls, if the service has no retry policy");
 DEFINE_int32(retry_burst, 10, "retries to one service that may be made at once");
 DEFINE_double(
     retry_slack, 0,
-    "retries to one service that all nodes together may make beyond their shares of calls; 0 leaves each node "
-    "at retry_burst");
+    "retries to one service that all nodes together may make beyond retry_budget_percent, divided equally among "
+    "them; 0 for retry_burst on each node");
 DEFINE_int32(stale_after_ms, 4000, "time without contact to a controller quorum after which another relay is tried");
 DEFINE_int32(late_percent, 200,
-             "share of its target latency after which a repeatable call without an answer is sent to a second, idle "
-             "endpoint also without hedging, as its connection to the back end may be silent; 0 for never");
+             "percent of its target latency after which a repeatable call without an answer is sent to a second, idle "
+             "endpoint even if hedging is disabled, since a connection to the back end may have failed; 0 for never");
 DEFINE_int32(hedge_percent, 0,
              "percent of its target latency after which a repeatable call is sent to a second, idle endpoint");
 DEFINE_bool(compress, false, "compress calls to nodes of other zones");
 DEFINE_bool(wait_within_target, false,
             "refuse calls that would miss their route's target latency by waiting for a slot");
-DEFINE_int32(zone_penalty_percent, 50,
-             "with prefer_zone: share of busy slots that endpoints of other zones must be better by");
+DEFINE_int32(zone_penalty_percent, 50, "with prefer_zone: utilization added to endpoints in other zones, in percent");
 DEFINE_int32(slowness_penalty_percent, 20,
-             "with prefer_zone: share of busy slots for each time that an endpoint is slower than the fastest");
-DEFINE_int32(body_kib_per_zone_penalty, 0,
-             "with prefer_zone: KiB of a call's body that count as much as another zone does; 0 when its size is no "
-             "matter");
+             "with prefer_zone: utilization added per multiple of the fastest endpoint's latency, in percent");
+DEFINE_int32(
+    body_kib_per_zone_penalty, 0,
+    "with prefer_zone: KiB of a call's body that add zone_penalty_percent once more to endpoints in other zones; "
+    "0 to ignore the body size");
 DEFINE_bool(quarantine, true, "identify requests that crash back ends and quarantine them");
 DEFINE_bool(nested_first, true,
             "give nested calls, made by back ends on behalf of other calls, priority over all others");
@@ -90,7 +90,7 @@
 
 /// @return the time limit of a planned stop.
 base::Duration stopTimeoutFromSettings() {
-  /// Time from the last answer to process exit, on a busy tenth of a core: one scheduling delay and closing
+  /// Time from the last answer to process exit with a busy tenth of a core: one scheduling delay, and the time to close
   /// connections.
   constexpr base::Duration kExitMargin = base::milliseconds(500);
   const base::Duration timeout = base::milliseconds(FLAGS_stop_timeout_ms);
@@ -117,9 +117,10 @@
       std::min(kMaxInlineBytes, static_cast<int64_t>(kMaxTransferSeconds * static_cast<double>(link))));
 }
 
-/// On slow links, four in ten requests of a loaded fleet can run on the back end of the node that receives them. With
-/// 42,000 requests on 1 Mbit/s links this raises the share served in time by 0.03 (mean of six days under load, one run
-/// each). On 1 Gbit/s links it only degrades the choice of endpoints: 0.01 lower on two fleets.
+/// On slow links, the endpoint on this node is preferred: in a loaded fleet, four in ten requests can run on the node
+/// that receives them. With 42,000 requests on 1 Mbit/s links this raises the share served in time by 0.03 (mean of six
+/// days under load, one run each). On 1 Gbit/s links it only degrades the choice of endpoints: the share is 0.01 lower
+/// on two fleets.
 double colocationBonusFromSettings() {
   constexpr double kNarrowLinkMbps = 20;
   constexpr double kNarrowLinkBonus = 0.4;
--- a/apps/relay_main.cc
+++ b/apps/relay_main.cc
@@ -11,7 +11,7 @@
 
 DEFINE_string(name, "", "name of this relay");
 DEFINE_string(zone, "", "zone that this process runs in");
-DEFINE_string(listen_host, "127.0.0.1", "IP number to listen on");
+DEFINE_string(listen_host, "127.0.0.1", "IP address to listen on");
 DEFINE_int32(frame_port, 0, "port for nodes and other relays");
 DEFINE_int32(http_port, 0, "port for health and metrics");
 DEFINE_string(controllers, "", "controllers as host:port, separated by commas");
@@ -19,7 +19,7 @@
 DEFINE_string(release_groups, "",
               "groups that this relay is a member of, as zone=relay|relay|relay, separated by commas");
 DEFINE_int32(node_heartbeat_ms, 600, "interval of heartbeats to nodes");
-DEFINE_int32(admissions_per_second, 2000, "subscriptions admitted in a second");
+DEFINE_int32(admissions_per_second, 2000, "maximum number of subscriptions admitted per second");
 DEFINE_int32(emulated_zone_delay_us, 0, "delay of frames to other zones; for tests only");
 DEFINE_bool(full_push, false, "send whole slices with each update; for experiments only");
 
--- a/apps/sync_http.h
+++ b/apps/sync_http.h
@@ -10,7 +10,7 @@
 
 namespace driftlug::apps {
 
-/// Sends one request at a time and blocks until its result is there.
+/// Sends one request at a time and blocks until it has a result.
 class SyncHttp {
  public:
   ~SyncHttp() { loop_.close(); }
--- a/src/base/decision_log.h
+++ b/src/base/decision_log.h
@@ -1,4 +1,5 @@
-/// Rate-limited log of decisions: one line each, with the reasons; under load less important lines are dropped first.
+/// Rate-limited log of decisions, one line with the reasons for each. Routine lines have a lower limit than failures,
+/// so that they are dropped first under load.
 #pragma once
 
 #include <array>
--- a/src/base/error.h
+++ b/src/base/error.h
@@ -62,7 +62,7 @@
 /// @return the stable lower-case name of a code, as used in JSON bodies and logs.
 std::string_view errorName(ErrorCode code);
 
-/// @return a status with the code as payload and a short sentence as message.
+/// @return a status with the code as payload and a short sentence as its message.
 absl::Status makeError(ErrorCode code, std::string_view message);
 
 /// @return the message of a status as a standard string.
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -1,4 +1,4 @@
-/// Logging: short sentences with a fixed prefix for each component.
+/// Logging with a fixed prefix for each component.
 #pragma once
 
 #include <spdlog/spdlog.h>
--- a/src/base/network.h
+++ b/src/base/network.h
@@ -14,7 +14,7 @@
 /// Identifies one connection within a process; never reused, 0 is never used.
 using ConnectionId = uint64_t;
 
-/// Where a process listens for frames.
+/// Address and port on which a process listens.
 struct Address {
   std::string host;  ///< IPv4 address in dotted notation
   int port = 0;
--- a/src/storage/log_store.cc
+++ b/src/storage/log_store.cc
@@ -47,7 +47,7 @@
   const int64_t base = state->snapshot ? state->snapshot->index : 0;
   if (entry.index <= base) return absl::OkStatus();
   const int64_t last = base + static_cast<int64_t>(state->entries.size());
-  if (entry.index > last + 1) return corrupt(name, "entry " + std::to_string(entry.index) + " behind a gap");
+  if (entry.index > last + 1) return corrupt(name, "entry " + std::to_string(entry.index) + " follows a gap");
   state->entries.resize(static_cast<size_t>(entry.index - base - 1));
   state->entries.push_back(std::move(entry));
   return absl::OkStatus();
@@ -74,7 +74,7 @@
   const auto scan = scanRecords(*bytes, false);
   if (!scan.ok()) return corrupt(name, std::string(scan.status().message()));
   if (scan->records.size() != 1 || scan->records[0].type != RecordType::kSnapshot) {
-    return corrupt(name, "is not one snapshot record");
+    return corrupt(name, "does not consist of one snapshot record");
   }
   auto snapshot = wire::decodeStruct<wire::LogSnapshot>(scan->records[0].payload);
   if (!snapshot.ok()) return corrupt(name, "snapshot can't be decoded");
@@ -97,7 +97,7 @@
 /// @return the segments in ascending order
 absl::StatusOr<std::vector<LogStore::Segment>> LogStore::scanSegments(const std::vector<int64_t>& numbers) {
   std::vector<Segment> segments;
-  bool mayBeTorn = true;  // the newest segment, and one followed only by empty or incomplete ones
+  bool mayBeTorn = true;  // set for the newest segment, and for one followed only by empty or incomplete ones
   for (auto number = numbers.rbegin(); number != numbers.rend(); ++number) {
     Segment segment;
     segment.name = segmentName(*number);
@@ -112,7 +112,7 @@
                         return record.type == RecordType::kCarryEnds;
                       });
     const bool carryOverIncomplete = segment.hasCarryOver && !segment.carried;
-    if (carryOverIncomplete && !mayBeTorn) return corrupt(segment.name, "ends before what it takes over");
+    if (carryOverIncomplete && !mayBeTorn) return corrupt(segment.name, "the carry-over is incomplete");
     // No write to this segment was acknowledged; the valid state is in the previous one.
     if (carryOverIncomplete) segment.scan = {{}, 0, true};
     mayBeTorn = mayBeTorn && records.empty();
--- a/src/storage/log_store.h
+++ b/src/storage/log_store.h
@@ -50,7 +50,7 @@
   /// Makes the state that open() read durable. Nothing may be written before the callback.
   void syncRecovered(SyncCallback done);
 
-  /// Writes entries without a sync. On kStorageFull none of them remains.
+  /// Writes entries without a sync. On kStorageFull none of them is kept.
   absl::Status append(const std::vector<wire::LogEntry>& entries);
 
   /// Same as append() for one entry.
--- a/src/storage/posix_disk.cc
+++ b/src/storage/posix_disk.cc
@@ -95,7 +95,8 @@
 }
 
 absl::Status PosixDisk::truncate(const std::string& name, size_t size) {
-  if (::truncate(path(name).c_str(), static_cast<off_t>(size)) != 0) return systemError("can't cut " + name, errno);
+  if (::truncate(path(name).c_str(), static_cast<off_t>(size)) != 0)
+    return systemError("can't truncate " + name, errno);
   return absl::OkStatus();
 }
 
--- a/src/storage/record_file.h
+++ b/src/storage/record_file.h
@@ -20,7 +20,7 @@
   kHardState = 2,
   kSnapshot = 3,
   kCarryBegins = 4,  ///< first record of a segment that replaces all earlier ones
-  kCarryEnds = 5,    ///< follows the state carried over from them
+  kCarryEnds = 5,    ///< follows the state carried over from earlier segments
 };
 
 struct Record {
--- a/src/transport/event_loop.cc
+++ b/src/transport/event_loop.cc
@@ -262,8 +262,8 @@
 
 bool EventLoop::adopt(int socket, const std::shared_ptr<TcpStream>& stream) {
   if (context_ == nullptr) return false;
-  // Registered as a file, the socket is only polled by libwebsockets. TcpStream reads it and can tell a reset from an
-  // orderly end of data.
+  // Registered as a file, the socket is only polled by libwebsockets. TcpStream reads it and can distinguish a reset
+  // from an orderly end of data.
   lws_sock_file_fd_type descriptor{};
   descriptor.filefd = socket;
   auto* wsi = lws_adopt_descriptor_vhost(library_->streamVhost, LWS_ADOPT_RAW_FILE_DESC, descriptor, "stream", nullptr);
--- a/src/transport/event_loop.h
+++ b/src/transport/event_loop.h
@@ -67,7 +67,7 @@
   /// input that arrived meanwhile is still unread and may be as old as the stall.
   void onStall(std::function<void(base::Duration)> handler) { onStall_ = std::move(handler); }
 
-  /// Describes the event or timer in progress, for the log line of one that takes long.
+  /// Sets the description of the event or timer in progress, which is logged if it takes long.
   /// @param what must outlive the loop, such as a string literal
   void setEventDescription(std::string_view what) {
     updateClock();
--- a/src/transport/http_client.cc
+++ b/src/transport/http_client.cc
@@ -11,10 +11,10 @@
 namespace {
 
 constexpr int kFirstFinalStatus = 200;
-/// A request that ends this long after it was sent without a response byte makes the idle connections suspect: all may
-/// have failed at the same moment, and each would cost another request its timeout. Below the TCP user timeout of
-/// 800 ms, so that a request that ends by that timeout counts too. A request that is cancelled sooner is no evidence of
-/// a failed connection. The cost is a new connection for each idle one without received bytes since then.
+/// If a request ends without a response byte at least this long after it was sent, the idle connections are suspect
+/// too: all may have failed at the same moment, and each would cost another request its timeout. Below the TCP user
+/// timeout of 800 ms, so that a request that ends by that timeout counts too. A request that is cancelled sooner is no
+/// evidence of a failed connection. The cost is a new connection for each idle one without received bytes since then.
 constexpr base::Duration kUnresponsiveThreshold = base::milliseconds(700);
 
 /// @return the idle timeout from the Keep-Alive header of a response, or 0 if it has none.
--- a/src/transport/http_server.h
+++ b/src/transport/http_server.h
@@ -170,7 +170,7 @@
   base::Timer evictionTimer_;  // runs while the listener is paused
   base::DecisionLog limitLog_;
   bool draining_ = false;
-  bool acceptingRequests_ = true;  // requests
+  bool acceptingRequests_ = true;  // false once stopReadingRequests() was called
   HttpServerCounters counters_;
 };
 
