--- a/test/apps/node_readiness_test.cc
+++ b/test/apps/node_readiness_test.cc
@@ -67,7 +67,7 @@
   CHECK(probe() == "HTTP/1.1 200");
 }
 
-TEST_CASE_METHOD(Fixture, "probes are answered however many are left open") {
+TEST_CASE_METHOD(Fixture, "readiness probes are answered even if many connections are left open") {
   std::vector<std::unique_ptr<RawClient>> probes;
   for (size_t i = 0; i < 2 * descriptors::kPageConnections; ++i) {
     probes.push_back(std::make_unique<RawClient>(loop, admin.port()));
--- a/test/base/latency_histogram_test.cc
+++ b/test/base/latency_histogram_test.cc
@@ -19,7 +19,7 @@
   CHECK(LatencyHistogram::boundSeconds(1) == Approx(0.002));
 }
 
-TEST_CASE("a histogram is shown with cumulative buckets, its count and its sum") {
+TEST_CASE("a metrics page shows a histogram with cumulative buckets, its count and its sum") {
   LatencyHistogram histogram;
   histogram.record(milliseconds(1));
   histogram.record(milliseconds(3));
--- a/test/platform/config_api_test.cc
+++ b/test/platform/config_api_test.cc
@@ -49,7 +49,7 @@
   CHECK(currentVersion() == 7);
 }
 
-TEST_CASE_METHOD(Fixture, "of two changes on the same version one wins") {
+TEST_CASE_METHOD(Fixture, "of two configurations based on the same version, only one is applied") {
   CHECK(put(config(3, 0)) == 200);
   const auto position = leader();
   std::vector<int> statuses;
@@ -66,7 +66,7 @@
   CHECK(currentVersion() == 5);
 }
 
-TEST_CASE_METHOD(Fixture, "an invalid configuration is refused whole") {
+TEST_CASE_METHOD(Fixture, "an invalid configuration is refused completely") {
   CHECK(put(config(3, 0)) == 200);
   const auto bad =
       GENERATE(configBody(5, 3, {routeResource("r-1", "a.example", "/p/", "safe", "s-9"), serviceResource("s-1")}),
@@ -80,7 +80,7 @@
   CHECK(put(config(6, 3)) == 200);
 }
 
-TEST_CASE_METHOD(Fixture, "another controller names the leader") {
+TEST_CASE_METHOD(Fixture, "a follower redirects to the leader") {
   const auto position = leader();
   const auto other = (position + 1) % hosts.size();
   const auto response = sendRequest(other, "PUT", config(3, 0));
@@ -89,7 +89,7 @@
   CHECK(sendRequest(other, "GET", "").status == 307);
 }
 
-TEST_CASE_METHOD(Fixture, "a leader that is cut off neither takes nor reads anything") {
+TEST_CASE_METHOD(Fixture, "an isolated leader neither accepts nor returns a configuration") {
   CHECK(put(config(3, 0)) == 200);
   const auto old = leader();
   setIsolated(old, true);
@@ -106,7 +106,7 @@
   CHECK(nlohmann::json::parse(read.body)["version"] == "00000006");
 }
 
-TEST_CASE_METHOD(Fixture, "before the first configuration there is none to read") {
+TEST_CASE_METHOD(Fixture, "reading before the first configuration returns 404") {
   CHECK(sendRequest(leader(), "GET", "").status == 404);
 }
 
--- a/test/platform/config_document_test.cc
+++ b/test/platform/config_document_test.cc
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-TEST_CASE("a configuration becomes rows, and reads back as it was sent") {
+TEST_CASE("a configuration is converted to rows and written back as it was sent") {
   const auto body = configBody(7, 5,
                                {routeResource("r-1", "a.example", "/p/", "safe", "s-1"), test::splitResource("r-2"),
                                 serviceResource("s-1"), serviceResource("s-2"), test::limitsResource()});
@@ -38,7 +38,7 @@
   CHECK(byText(read["resources"]) == byText(sent["resources"]));
 }
 
-TEST_CASE("a route of uploads runs once, and reads back as it was sent") {
+TEST_CASE("an upload route is not repeatable and is written back as it was sent") {
   const auto document = parseConfig(
       configBody(1, 0, {routeResource("r-1", "a.example", "/p/", "upload", "s-1"), serviceResource("s-1")}));
   REQUIRE(document.ok());
@@ -153,7 +153,7 @@
   }
 }
 
-TEST_CASE("ill-formed tenants are refused") {
+TEST_CASE("malformed tenants are refused") {
   const auto tenant = [](const nlohmann::json& spec) { return tenantResource("t-1", spec); };
   CHECK(problemsOf({tenant({{"apiKeys", {"k-1"}}})}).empty());
   CHECK_FALSE(problemsOf({tenant({{"apiKeys", {"k-1", "k-1"}}})}).empty());
--- a/test/platform/config_steps_test.cc
+++ b/test/platform/config_steps_test.cc
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-TEST_CASE("a configuration that is read in steps gives the rows that it gives at once") {
+TEST_CASE("a configuration gives the same rows when it is parsed in steps as in one step") {
   const auto body = configOf(7, 5, 500);
   const size_t maxItems = GENERATE(1U, 7U, 100U);
   ConfigReader reader(body);
@@ -41,7 +41,7 @@
   CHECK(reader.keys().size() == 501);
 }
 
-TEST_CASE("members may come in any order, and none twice") {
+TEST_CASE("members of a configuration may be in any order, but not be repeated") {
   const std::string resources = R"("resources":[])";
   const std::string version = R"("version":"00000007")";
   const std::string base = R"("baseVersion":"00000005")";
@@ -60,7 +60,7 @@
   }
 }
 
-TEST_CASE("a configuration written in steps is the state of the table when writing began") {
+TEST_CASE("a configuration written in steps has the state of the table when writing began") {
   table::Table table;
   const auto document = parseConfig(configOf(1, 0, 50));
   REQUIRE(document.ok());
--- a/test/platform/evacuation_api_test.cc
+++ b/test/platform/evacuation_api_test.cc
@@ -51,7 +51,7 @@
   CHECK(sendOrder((leader() + 1) % hosts.size(), "POST", "sur-a") == 307);
 }
 
-TEST_CASE_METHOD(Fixture, "a configuration leaves evacuated zones as they are") {
+TEST_CASE_METHOD(Fixture, "a configuration does not change evacuated zones") {
   CHECK(sendOrder(leader(), "POST", "sur-a") == 200);
   const auto route = test::routeResource("r-1", "a.example", "/p/", "safe", "s-1");
   CHECK(putConfig(test::configBody(3, 0, {route, test::serviceResource("s-1")})) == 200);
--- a/test/platform/report_api_test.cc
+++ b/test/platform/report_api_test.cc
@@ -75,7 +75,7 @@
   CHECK(announced.back().condition == wire::EndpointCondition::DRAINING);
 }
 
-TEST_CASE_METHOD(Fixture, "a deregistered back end stays gone, also if it was not draining") {
+TEST_CASE_METHOD(Fixture, "a deregistered back end stays gone, even if it was not draining") {
   CHECK(sendRequest("PUT", "/instances/i-1", heartbeat(1, "ready")) == 200);
   CHECK(sendRequest("DELETE", "/instances/i-1", "") == 200);
   CHECK(announced.back().condition == wire::EndpointCondition::GONE);
@@ -83,7 +83,8 @@
   CHECK(announced.back().condition == wire::EndpointCondition::GONE);
 }
 
-TEST_CASE_METHOD(Fixture, "a late heartbeat of a crashed incarnation is acknowledged and displaces none") {
+TEST_CASE_METHOD(Fixture,
+                 "a late heartbeat of a crashed incarnation is acknowledged and does not replace the current one") {
   localBackend.setIdentityCheck([](const node::LocalBackend::IdentityCallback& done) { done({"i-2", false}); }, false);
   CHECK(sendRequest("PUT", "/instances/i-2", heartbeat(2, "ready")) == 200);
   CHECK(sendRequest("PUT", "/instances/i-1", heartbeat(77, "ready")) == 200);
@@ -94,7 +95,7 @@
   CHECK(announced.back().condition == wire::EndpointCondition::DRAINING);
 }
 
-TEST_CASE_METHOD(Fixture, "what is no heartbeat is refused") {
+TEST_CASE_METHOD(Fixture, "requests that are not heartbeats are refused") {
   CHECK(sendRequest("PUT", "/instances/i-1", "{") == 400);
   CHECK(sendRequest("PUT", "/instances/i-1", R"({"info":1,"status":2})") == 400);
   CHECK(sendRequest("GET", "/instances/i-1", "") == 405);
@@ -117,7 +118,7 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(Fixture, "a report that can't be read is refused, and changes nothing of what is known") {
+TEST_CASE_METHOD(Fixture, "an unreadable report is refused and does not change the known state") {
   REQUIRE(sendRequest("PUT", "/instances/i-1", heartbeat(4, "ready")) == 200);
   REQUIRE(announced.size() == 1);
   const std::vector<std::tuple<const char*, const char*, nlohmann::json>> invalidMembers = {
--- a/test/platform/rollout_api_test.cc
+++ b/test/platform/rollout_api_test.cc
@@ -57,7 +57,7 @@
   CHECK(hosts[leader()]->controller().rollouts().rowOf("s-1")->revision == row->revision);
 }
 
-TEST_CASE_METHOD(Fixture, "another order for the service is refused while one is under way") {
+TEST_CASE_METHOD(Fixture, "another order for the service is refused while a rollout is running") {
   CHECK(post(orderBody()) == 200);
   CHECK(post(orderBody(12, "v3")) == 409);
   CHECK(read()["targetVersion"] == "v2");
@@ -75,7 +75,7 @@
   CHECK(sendRequest(leader(), "GET", "/rollouts/s-1", "").status == 404);
 }
 
-TEST_CASE_METHOD(Fixture, "an order without reports of the new version is rolled back at the end of its time") {
+TEST_CASE_METHOD(Fixture, "an order without reports of the new version is rolled back at its time limit") {
   CHECK(post(orderBody(2)) == 200);
   runFor(base::seconds(3));
   CHECK(read()["state"] == "rolled_back");
@@ -84,7 +84,7 @@
   CHECK(read()["state"] == "rolled_back");
 }
 
-TEST_CASE_METHOD(Fixture, "a leader that is cut off acknowledges and reads nothing") {
+TEST_CASE_METHOD(Fixture, "an isolated leader neither accepts nor returns rollout orders") {
   const auto old = leader();
   setIsolated(old, true);
   CHECK(sendRequest(old, "POST", kOrders, orderBody()).status == 503);
--- a/test/storage/log_store_test.cc
+++ b/test/storage/log_store_test.cc
@@ -48,7 +48,7 @@
   CHECK(state.entries[1].term == 2);
 }
 
-TEST_CASE("calls that wait share one sync") {
+TEST_CASE("concurrent calls of sync() share one sync") {
   test::MemoryDisk disk;
   storage::LogStore store(disk);
   REQUIRE(store.open().ok());
@@ -63,7 +63,7 @@
   CHECK(done == 3);
 }
 
-TEST_CASE("a full disk refuses entries and leaves what was there") {
+TEST_CASE("a full disk refuses entries and keeps those already written") {
   test::MemoryDisk disk;
   storage::LogStore store(disk);
   REQUIRE(store.open().ok());
@@ -138,7 +138,7 @@
   CHECK(std::count(disk.synced.begin(), disk.synced.end(), "log-0000000000000002") == 1);
 }
 
-TEST_CASE("a log whose machine lost power while a segment began opens again") {
+TEST_CASE("a log can be opened after a loss of power while a segment was started") {
   constexpr uint64_t kSeeds = 200;  // each determines which unsynced writes survive the loss of power
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     simulation::EventQueue queue;
@@ -325,7 +325,7 @@
   CHECK(base::errorCodeOf(damaged.open().status()) == base::ErrorCode::kStorageCorrupt);
 }
 
-TEST_CASE("a crash at every byte of the last segment is recovered") {
+TEST_CASE("a last segment that a crash cut off at any byte is recovered") {
   test::MemoryDisk disk;
   storage::LogStore store(disk);
   REQUIRE(store.open().ok());
--- a/test/storage/record_file_test.cc
+++ b/test/storage/record_file_test.cc
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-TEST_CASE("a tail torn at any byte is cut to whole records") {
+TEST_CASE("a tail torn at any byte is truncated to complete records") {
   const auto bytes = threeRecords();
   for (size_t cut = 0; cut < bytes.size(); ++cut) {
     const auto scan = storage::scanRecords(bytes.substr(0, cut), true);
@@ -30,7 +30,7 @@
   }
 }
 
-TEST_CASE("damage in a synced record is refused wherever it is") {
+TEST_CASE("damage at any byte of a synced record is reported as corruption") {
   const auto bytes = threeRecords();
   const size_t synced = bytes.size() - storage::encodeRecord(RecordType::kEntry, "third", 0).size();
   for (size_t position = 0; position < synced; ++position) {
--- a/test/transport/descriptors_test.cc
+++ b/test/transport/descriptors_test.cc
@@ -1,4 +1,4 @@
-/// Server behaviour when file descriptors run out, and after clients have given up.
+/// Server behaviour when file descriptors run out, and after clients have disconnected.
 #include <catch2/catch.hpp>
 
 #include <dirent.h>
@@ -102,7 +102,7 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(Fixture, "without descriptors a listener waits, and accepts once there are some") {
+TEST_CASE_METHOD(Fixture, "without free descriptors a listener waits, and accepts once one is free") {
   const int client = ::socket(AF_INET, SOCK_STREAM, 0);
   {
     DescriptorExhaustion none;
@@ -118,7 +118,7 @@
   ::close(client);
 }
 
-TEST_CASE_METHOD(Fixture, "callers that give up and connect again leave no descriptors behind") {
+TEST_CASE_METHOD(Fixture, "clients that disconnect and reconnect leak no descriptors") {
   constexpr size_t kCallers = 200;
   constexpr int kRounds = 6;
   const auto before = openDescriptors().size();
@@ -139,7 +139,7 @@
   CHECK(server.pending() == 0);
 }
 
-TEST_CASE_METHOD(Fixture, "callers that gave up before they were accepted leave no descriptors behind") {
+TEST_CASE_METHOD(Fixture, "clients that disconnect before they are accepted leak no descriptors") {
   constexpr int kCallers = 500;
   const auto before = openDescriptors().size();
   for (int i = 0; i < kCallers; ++i) ::close(connectAndSend(kRequest));
@@ -220,7 +220,7 @@
   (void)runFor(base::milliseconds(30));
   CHECK(exchanges.size() == kMaxConnections + 1);
   CHECK(!server.accepting());
-  SECTION("or was answered and has been idle") {
+  SECTION("or has been idle after its response") {
     answerAll();
     (void)runFor(base::milliseconds(300));
     CHECK(exchanges.size() == kMaxConnections + 3);
--- a/test/transport/event_loop_test.cc
+++ b/test/transport/event_loop_test.cc
@@ -151,7 +151,7 @@
   CHECK(child.readEventsUntil('r') == "r");
 }
 
-TEST_CASE("a long event is counted, waiting is not") {
+TEST_CASE("a long event is counted, a long wait is not") {
   EventLoop loop;
   loop.schedule(base::milliseconds(150), [&loop] {
     ::usleep(120'000);
--- a/test/transport/frame_transport_test.cc
+++ b/test/transport/frame_transport_test.cc
@@ -79,7 +79,7 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(Fixture, "frames between zones are compressed, and arrive as they were in both directions") {
+TEST_CASE_METHOD(Fixture, "frames between zones are compressed and arrive unchanged in both directions") {
   const bool compress = GENERATE(false, true);
   begin("zone-a", "zone-b", compress);
   constexpr int kFrames = 50;
@@ -147,7 +147,7 @@
   CHECK(right.accepted() == 2);
 }
 
-TEST_CASE_METHOD(Fixture, "bytes that are not a frame close the connection") {
+TEST_CASE_METHOD(Fixture, "a connection is closed on bytes that are not a frame") {
   begin("zone-a", "zone-b", false);
   RawClient client(loop, port);
   client.send(std::string(200, '\xff'));
@@ -215,7 +215,7 @@
   loop.close();
 }
 
-TEST_CASE("a connection on which keep-alives are not returned is closed, though its bytes are acknowledged") {
+TEST_CASE("a connection on which keep-alives are not answered is closed, although TCP acknowledges its bytes") {
   EventLoop loop;
   FrameTransport transport(loop, "left");
   Recorder recorder;
--- a/test/transport/http_client_test.cc
+++ b/test/transport/http_client_test.cc
@@ -69,7 +69,7 @@
   CHECK(requests[0].body == "a filing");
 }
 
-TEST_CASE_METHOD(Fixture, "requests with bodies arrive whole on one connection, one after the other") {
+TEST_CASE_METHOD(Fixture, "consecutive requests with bodies arrive completely on one connection") {
   answer = [](const HttpRequest& request) {
     auto response = jsonResponse(200, request.body);
     return response;
@@ -83,7 +83,7 @@
   CHECK(requests.size() == 20);
 }
 
-TEST_CASE_METHOD(Fixture, "nothing is sent to a port where nobody listens") {
+TEST_CASE_METHOD(Fixture, "a request to a port on which nothing listens is reported as not sent") {
   HttpClientPool nobody(loop, "nobody", "127.0.0.1", 1, 1);
   std::optional<HttpResult> result;
   HttpRequest request;
@@ -159,7 +159,7 @@
   CHECK(connections.size() == 2);
 }
 
-TEST_CASE_METHOD(ScriptedServer, "a connection with bytes behind its answer is not used again") {
+TEST_CASE_METHOD(ScriptedServer, "a connection with further bytes after its response is not reused") {
   onRequest = [](TcpStream& stream) { stream.write(std::string(kMatchingResponse) + kStrayResponse); };
   CHECK(send("1").response.body == "own");
   CHECK(send("1").response.body == "own");
@@ -253,7 +253,7 @@
     while (!over) loop.runOnce();
   }
 
-  size_t unresponsiveConnections = 0;  // so many of the first connections get no response
+  size_t unresponsiveConnections = 0;  // number of first connections that get no response
 };
 
 }  // namespace
--- a/test/transport/http_reader_test.cc
+++ b/test/transport/http_reader_test.cc
@@ -66,7 +66,7 @@
   }
 }
 
-TEST_CASE("damaged streams end in a message or an error, never beyond the limits, and the same in any pieces") {
+TEST_CASE("a damaged stream never exceeds the limits and gives the same messages however it is split") {
   const auto kind = GENERATE(HttpReader::Kind::kRequests, HttpReader::Kind::kResponses);
   base::RandomSource random(12);
   for (int round = 0; round < 3000; ++round) {
--- a/test/transport/http_server_test.cc
+++ b/test/transport/http_server_test.cc
@@ -45,7 +45,7 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(Fixture, "a body in chunks arrives whole, and its trailers are dropped") {
+TEST_CASE_METHOD(Fixture, "a chunked body arrives completely, and its trailers are dropped") {
   RawClient client(loop, server.port());
   client.send("POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n");
   REQUIRE(requests.empty());
@@ -56,7 +56,7 @@
   CHECK(requests[0].header("transfer-encoding").empty());
 }
 
-TEST_CASE_METHOD(Fixture, "pipelined requests are answered in their order, whichever is ready first") {
+TEST_CASE_METHOD(Fixture, "pipelined requests are answered in their order, whichever response is ready first") {
   RawClient client(loop, server.port());
   client.send("GET /1 HTTP/1.1\r\nHost: h\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\n\r\nGET /3 HTTP/1.1\r\nHost: h\r\n\r\n");
   REQUIRE(requests.size() == 3);
@@ -88,7 +88,7 @@
   }
 }
 
-TEST_CASE_METHOD(Fixture, "a request that could be read in two ways is refused, and the connection ends") {
+TEST_CASE_METHOD(Fixture, "an ambiguous or malformed request is rejected, and the connection is closed") {
   const std::string ambiguous = GENERATE(
       "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
       "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd",
@@ -129,7 +129,7 @@
   CHECK(requests[0].body.size() == 1001);
 }
 
-TEST_CASE_METHOD(Fixture, "a caller that closes is noticed while its answers are pending") {
+TEST_CASE_METHOD(Fixture, "a client's close is detected while its responses are pending") {
   RawClient client(loop, server.port());
   client.send("GET /1 HTTP/1.1\r\nHost: h\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\n\r\n");
   REQUIRE(requests.size() == 2);
@@ -140,7 +140,7 @@
   CHECK(server.pending() == 0);
 }
 
-TEST_CASE_METHOD(Fixture, "a caller that ends its sending direction counts as one that has closed") {
+TEST_CASE_METHOD(Fixture, "a client that shuts down its sending direction counts as disconnected") {
   RawClient client(loop, server.port());
   client.send("GET /1 HTTP/1.1\r\nHost: h\r\n\r\n");
   REQUIRE(requests.size() == 1);
@@ -149,20 +149,20 @@
   CHECK(aborted == exchanges);
 }
 
-TEST_CASE_METHOD(Fixture, "a request is not taken when its caller has closed before it was read") {
+TEST_CASE_METHOD(Fixture, "a request is not delivered if its client disconnected before it was read") {
   RawClient client(loop, server.port());
   client.send("GET /1 HTTP/1.1\r\nHost: h\r\n\r\n");
   REQUIRE(requests.size() == 1);
   client.sendUnread("GET /2 HTTP/1.1\r\nHost: h\r\n\r\nPOST /3 HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nab");
-  SECTION("in order") { client.close(); }
-  SECTION("with a reset") { client.reset(); }
+  SECTION("by an orderly close") { client.close(); }
+  SECTION("by a reset") { client.reset(); }
   settle(loop);
   CHECK(requests.size() == 1);
   CHECK(aborted == exchanges);
   CHECK(server.pending() == 0);
 }
 
-TEST_CASE_METHOD(Fixture, "a request on a new connection that was closed before it was accepted is not taken") {
+TEST_CASE_METHOD(Fixture, "a request on a connection that was closed before it was accepted is not delivered") {
   std::vector<std::unique_ptr<RawClient>> clients;
   for (int i = 0; i < 5; ++i) {
     clients.push_back(std::make_unique<RawClient>(loop, server.port(), RawClient::AcceptMode::kDeferred));
@@ -173,7 +173,7 @@
   CHECK(requests.size() == 1);
 }
 
-TEST_CASE_METHOD(Fixture, "a close is detected while the server has paused reading") {
+TEST_CASE_METHOD(Fixture, "a client's close is detected while the server has paused reading") {
   RawClient client(loop, server.port());
   constexpr size_t kChunkBytes = 64U << 10;
   std::string chunk;
@@ -182,8 +182,8 @@
   // bytes in the kernel keep the client's close from arriving.
   for (int i = 0; i < 5; ++i) client.send(chunk);
   REQUIRE(requests.size() == server.options().maxPipelined);
-  SECTION("in order") { client.close(); }
-  SECTION("with a reset") { client.reset(); }
+  SECTION("by an orderly close") { client.close(); }
+  SECTION("by a reset") { client.reset(); }
   bool over = false;
   loop.schedule(base::milliseconds(200), [&] { over = true; });
   while (!over) loop.runOnce();
@@ -204,12 +204,12 @@
 
 TEST_CASE_METHOD(Fixture, "the last response announces the close, and the connection is closed after it") {
   RawClient client(loop, server.port());
-  SECTION("because the caller asked for it") { client.send("GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"); }
+  SECTION("because the client requested it") { client.send("GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"); }
   SECTION("because the server drains") {
     client.send("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
     server.setDraining();
   }
-  SECTION("because the caller speaks HTTP/1.0") { client.send("GET / HTTP/1.0\r\n\r\n"); }
+  SECTION("because the client uses HTTP/1.0") { client.send("GET / HTTP/1.0\r\n\r\n"); }
   answer(0, "done");
   const auto text = client.receive();
   CHECK(contains(text, "connection: close\r\n"));
@@ -273,21 +273,21 @@
 // the others had run. The draining server sent "connection: close" with the next response instead of the one to the
 // last accepted request, and cancelled the requests after it. With clients that use open connections until the process
 // exits, every planned stop lost requests, all of them pipelined after another one.
-TEST_CASE_METHOD(Fixture, "a server that drains answers all requests that it has taken on a connection") {
+TEST_CASE_METHOD(Fixture, "a draining server answers all requests that it has accepted on a connection") {
   RawClient client(loop, server.port());
   client.send("GET /1 HTTP/1.1\r\nHost: h\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\n\r\n");
   REQUIRE(requests.size() == 2);
-  SECTION("when they are answered in order") {
+  SECTION("when they are answered in their order") {
     server.setDraining();
     answer(0, "first");
     answer(1, "second");
   }
-  SECTION("when the last one is ready before it drains") {
+  SECTION("when the last response is ready before it drains") {
     answer(1, "second");
     server.setDraining();
     answer(0, "first");
   }
-  SECTION("and takes no more on it") {
+  SECTION("and accepts no more on it") {
     server.setDraining();
     client.send("GET /3 HTTP/1.1\r\nHost: h\r\n\r\n");
     REQUIRE(requests.size() == 2);
@@ -305,7 +305,7 @@
   CHECK(aborted.empty());
 }
 
-TEST_CASE_METHOD(Fixture, "a server that drains takes one more request on a connection that is idle") {
+TEST_CASE_METHOD(Fixture, "a draining server accepts one more request on an idle connection") {
   RawClient client(loop, server.port());
   server.setDraining();
   client.send("GET /1 HTTP/1.1\r\nHost: h\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -317,7 +317,7 @@
   CHECK(client.ended());
 }
 
-TEST_CASE_METHOD(Fixture, "a caller that does not read for two seconds gets its answer whole") {
+TEST_CASE_METHOD(Fixture, "a client that does not read for two seconds gets its complete response") {
   constexpr size_t kMoreThanWindows = 16U << 20;
   RawClient client(loop, server.port());
   client.send("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
--- a/test/transport/raw_client.h
+++ b/test/transport/raw_client.h
@@ -23,7 +23,7 @@
 /// One connection to 127.0.0.1.
 class RawClient {
  public:
-  /// Whether the constructor runs the loop until the server has accepted, or leaves that to the next run of the loop.
+  /// Whether the server accepts the connection within the constructor or in the next run of the loop.
   enum class AcceptMode { kImmediate, kDeferred };
 
   RawClient(EventLoop& loop, int port, AcceptMode mode = AcceptMode::kImmediate)
--- a/test/transport/tcp_stream_test.cc
+++ b/test/transport/tcp_stream_test.cc
@@ -21,7 +21,7 @@
 
   bool connected = false;
   size_t received = 0;
-  std::optional<bool> closed;  // set when the stream has ended: whether without a reset
+  std::optional<bool> closed;  // set when the stream has ended; whether it was closed without a reset
 };
 
 /// A listener with one connected blocking client socket that has a small receive window.
@@ -106,7 +106,7 @@
 }
 
 TEST_CASE_METHOD(Fixture, "an orderly close is distinguished from a reset") {
-  SECTION("in order") {
+  SECTION("orderly close") {
     ::close(client);
     client = -1;
     while (!recorder.closed) loop.runOnce();
