--- a/test/transport/http_client_test.cc
+++ b/test/transport/http_client_test.cc
@@ -84,12 +84,12 @@
 }
 
 TEST_CASE_METHOD(Fixture, "a request to a port on which nothing listens is reported as not sent") {
-  HttpClientPool nobody(loop, "nobody", "127.0.0.1", 1, 1);
+  HttpClientPool unreachable(loop, "nobody", "127.0.0.1", 1, 1);
   std::optional<HttpResult> result;
   HttpRequest request;
   request.method = "GET";
   request.path = "/";
-  nobody.send(request, base::seconds(20), [&](HttpResult done) { result = std::move(done); });
+  unreachable.send(request, base::seconds(20), [&](HttpResult done) { result = std::move(done); });
   while (!result) loop.runOnce();
   CHECK(result->outcome == HttpOutcome::kNotSent);
 }
