--- a/test/platform/pages_fixture.h
+++ b/test/platform/pages_fixture.h
@@ -39,7 +39,7 @@
     for (size_t i = 0; i < hosts.size(); ++i) {
       if (hosts[i]->running() && hosts[i]->controller().leads()) return i;
     }
-    FAIL("nobody leads");
+    FAIL("no controller is the leader");
     return 0;
   }
 
