--- a/apps/controller_daemon.cc
+++ b/apps/controller_daemon.cc
@@ -166,10 +166,10 @@
     frames_.setHandler(&relay_);
     frames_.enableKeepAlives();
     relay_.shareTable(controller.state().table());
-    controller.observeTable(&relay_);
+    controller.setTableObserver(&relay_);
   }
 
-  ~EmbeddedRelay() { controller_.observeTable(nullptr); }
+  ~EmbeddedRelay() { controller_.setTableObserver(nullptr); }
   EmbeddedRelay(const EmbeddedRelay&) = delete;
   EmbeddedRelay& operator=(const EmbeddedRelay&) = delete;
 
@@ -261,7 +261,7 @@
   };
   const auto reload = [&] {
     const auto seeds = base::reloadSetting("seeds");
-    if (seeds && !seeds->empty()) controller.useSeeds(seedControllers(*seeds));
+    if (seeds && !seeds->empty()) controller.setSeeds(seedControllers(*seeds));
   };
   loop.onSignals({terminate, reload});
   controller.start([&](const absl::Status& status) {
--- a/apps/node_daemon.cc
+++ b/apps/node_daemon.cc
@@ -243,7 +243,7 @@
   quarantine::request_quarantine quarantine_{loop_};
   quota::quota_queue quotas_;
   TcpPresenceCheck presenceCheck_;
-  quarantine::crash_watch crashWatch_;
+  quarantine::crash_detector crashWatch_;
   EntryServer entryServer_;
   AdminServer admin_;
   PageHandler reportPages_;  // empty if the back end does not report its state
--- a/apps/quarantine_page.cc
+++ b/apps/quarantine_page.cc
@@ -32,7 +32,7 @@
 
 transport::HttpResponse list(const quarantine::request_quarantine& quarantine) {
   json requests = json::array();
-  for (const auto& request : quarantine.history().known()) requests.push_back(describe(request));
+  for (const auto& request : quarantine.history().quarantinedRequests()) requests.push_back(describe(request));
   return transport::jsonResponse(kOk, base::jsonText({{"requests", requests}}) + "\n");
 }
 
@@ -55,13 +55,13 @@
 }
 
 void addQuarantineMetrics(const quarantine::request_quarantine& quarantine, base::MetricsPage* page) {
-  const auto known = quarantine.history().known();
-  const auto held = std::count_if(known.begin(), known.end(),
+  const auto quarantinedRequests = quarantine.history().quarantinedRequests();
+  const auto held = std::count_if(quarantinedRequests.begin(), quarantinedRequests.end(),
                                   [](const auto& request) { return request.treatedAs == standing::held; });
   const auto& counters = quarantine.counters();
   page->gauge("quarantine_held", "requests that are not run since they crash back ends", static_cast<double>(held));
   page->gauge("quarantine_suspects", "requests that run on probation",
-              static_cast<double>(static_cast<std::ptrdiff_t>(known.size()) - held));
+              static_cast<double>(static_cast<std::ptrdiff_t>(quarantinedRequests.size()) - held));
   page->gauge("quarantine_marks", "remembered runs under crashes", static_cast<double>(quarantine.history().marks()));
   page->counter("backend_crashes_total", "crashes of the back end beside this node", counters.crashes);
   page->counter("quarantine_cleared_total", "suspects that ran well beside this node", counters.cleared);
--- a/src/consensus/raft.cc
+++ b/src/consensus/raft.cc
@@ -109,7 +109,7 @@
     return status;
   }
   entries_.push_back(std::move(entry));
-  if (entries_.back().kind == wire::EntryKind::MEMBERS) useMembersFrom(entries_.back());
+  if (entries_.back().kind == wire::EntryKind::MEMBERS) adoptMembers(entries_.back());
   broadcast();
   afterSync([this, index, epoch = logEpoch_] {
     if (epoch != logEpoch_) return;
@@ -174,7 +174,7 @@
   });
 }
 
-void Raft::useMembersFrom(const wire::LogEntry& entry) {
+void Raft::adoptMembers(const wire::LogEntry& entry) {
   members_ = entry.members;
   forming_ = entry.forming;
   membersIndex_ = entry.index;
@@ -195,7 +195,7 @@
   forming_ = snapshotForming_;
   membersIndex_ = snapshotIndex_;
   for (const auto& entry : entries_) {
-    if (entry.kind == wire::EntryKind::MEMBERS) useMembersFrom(entry);
+    if (entry.kind == wire::EntryKind::MEMBERS) adoptMembers(entry);
   }
 }
 
@@ -238,8 +238,8 @@
 
 void Raft::compact() {
   const auto stateEntries = snapshot_.state.size() / options_.snapshotBytesPerEntry;
-  const auto enough = std::max(options_.compactAfterEntries, stateEntries) + options_.keepEntries;
-  if (compacting_ || appliedWeight_ < enough) return;
+  const auto threshold = std::max(options_.compactAfterEntries, stateEntries) + options_.keepEntries;
+  if (compacting_ || appliedWeight_ < threshold) return;
   compacting_ = true;
   wire::LogSnapshot snapshot;
   snapshot.state = listener_.takeSnapshot();
--- a/src/consensus/raft.h
+++ b/src/consensus/raft.h
@@ -217,7 +217,7 @@
   void compact();
   size_t weightOf(const wire::LogEntry& entry) const;
   void truncateFrom(int64_t index);
-  void useMembersFrom(const wire::LogEntry& entry);
+  void adoptMembers(const wire::LogEntry& entry);
   void recomputeMembers();
   const wire::LogEntry& entryAt(int64_t index) const {
     return entries_[static_cast<size_t>(index - snapshotIndex_ - 1)];
--- a/src/consensus/raft_election.cc
+++ b/src/consensus/raft_election.cc
@@ -126,9 +126,9 @@
   // A member that was removed or partitioned away must not disrupt a leader that has a quorum.
   if (leaderIsFresh && !request.transfer && request.term > hardState_.term) return;
   if (request.term > hardState_.term) becomeFollower(request.term, "");
-  const bool free = hardState_.votedFor.empty() || hardState_.votedFor == request.candidate;
+  const bool voteAvailable = hardState_.votedFor.empty() || hardState_.votedFor == request.candidate;
   response.term = hardState_.term;
-  response.granted = request.term == hardState_.term && free && candidateIsUpToDate(request);
+  response.granted = request.term == hardState_.term && voteAvailable && candidateIsUpToDate(request);
   if (!response.granted) {
     sendTo(from, response);
     return;
--- a/src/consensus/raft_replication.cc
+++ b/src/consensus/raft_replication.cc
@@ -118,7 +118,7 @@
   blank_ = false;
   for (auto& entry : entries) {
     entries_.push_back(std::move(entry));
-    if (entries_.back().kind == wire::EntryKind::MEMBERS) useMembersFrom(entries_.back());
+    if (entries_.back().kind == wire::EntryKind::MEMBERS) adoptMembers(entries_.back());
   }
   return absl::OkStatus();
 }
--- a/src/controller/automatic_membership.cc
+++ b/src/controller/automatic_membership.cc
@@ -17,7 +17,7 @@
   return std::any_of(members.begin(), members.end(), [&](const auto& member) { return member.id == id; });
 }
 
-void Controller::useSeeds(std::vector<ControllerAddress> seeds) {
+void Controller::setSeeds(std::vector<ControllerAddress> seeds) {
   options_.controllers = std::move(seeds);
   if (raft_) updateLinks();
 }
@@ -97,18 +97,18 @@
 
 bool Controller::isLost(const wire::Member& member) const {
   if (identityReplaced(member)) return true;
-  const auto seen = lastActive_.find(member.id);
-  return seen != lastActive_.end() && scheduler_.now() - seen->second > options_.membership.replaceAfter;
+  const auto lastActive = lastActive_.find(member.id);
+  return lastActive != lastActive_.end() && scheduler_.now() - lastActive->second > options_.membership.replaceAfter;
 }
 
 /// The largest odd number of reachable members, but at least minVoters. With at most one non-voter, any majority of the
 /// members contains a majority of the voters, so a learner never decides whether a partitioned cluster keeps a quorum.
 size_t Controller::targetVoterCount() const {
   const auto& members = raft_->members();
-  const auto inReach = static_cast<size_t>(std::count_if(members.begin(), members.end(), [&](const auto& member) {
+  const auto reachable = static_cast<size_t>(std::count_if(members.begin(), members.end(), [&](const auto& member) {
     return !identityReplaced(member) && (member.id == raft_->id() || raft_->recentlyActive(member.id));
   }));
-  const size_t odd = inReach % 2 == 1 ? inReach : inReach - 1;
+  const size_t odd = reachable % 2 == 1 ? reachable : reachable - 1;
   return std::max(options_.membership.minVoters, odd);
 }
 
@@ -133,8 +133,8 @@
   for (const auto& member : raft_->members()) {
     const bool memberLost = isLost(member);
     if (!member.voting) {
-      const auto silent = scheduler_.now() - lastActive_.at(member.id);
-      if (identityReplaced(member) || silent > options_.membership.removeLearnerAfter) return &member;
+      const auto inactiveFor = scheduler_.now() - lastActive_.at(member.id);
+      if (identityReplaced(member) || inactiveFor > options_.membership.removeLearnerAfter) return &member;
       continue;
     }
     ++voters;
@@ -142,9 +142,9 @@
     if (!memberLost && (member.id == raft_->id() || raft_->recentlyActive(member.id))) ++healthyVoters;
   }
   // A lost voter is removed only once enough healthy voters remain.
-  const size_t wanted = targetVoterCount();
-  const bool replaced = lostVoter != nullptr && healthyVoters >= wanted;
-  const bool replacedIdentity = lostVoter != nullptr && identityReplaced(*lostVoter) && voters > wanted;
+  const size_t targetVoters = targetVoterCount();
+  const bool replaced = lostVoter != nullptr && healthyVoters >= targetVoters;
+  const bool replacedIdentity = lostVoter != nullptr && identityReplaced(*lostVoter) && voters > targetVoters;
   return replaced || replacedIdentity ? lostVoter : nullptr;
 }
 
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -244,8 +244,8 @@
     onLedgerRequest(connection, *ledger);
   } else if (const auto* reports = std::get_if<wire::VersionReports>(&message)) {
     rollouts_.onReports(*reports);
-  } else if (const auto* question = std::get_if<wire::QuotaAsk>(&message)) {
-    onQuotaAsk(connection, *question);
+  } else if (const auto* quotaRequest = std::get_if<wire::QuotaAsk>(&message)) {
+    onQuotaAsk(connection, *quotaRequest);
   } else if (const auto* seen = std::get_if<wire::SeenVersions>(&message)) {
     if (leads()) rollouts_.onSeenVersions(*seen);
   } else if (const auto* confirm = std::get_if<wire::ConfirmRequest>(&message)) {
@@ -261,9 +261,9 @@
 
 /// Only a leader that holds its lease grants quota: while the lease is valid no other leader can be elected, so two
 /// controllers never grant at the same time.
-void Controller::onQuotaAsk(base::ConnectionId connection, const wire::QuotaAsk& question) {
+void Controller::onQuotaAsk(base::ConnectionId connection, const wire::QuotaAsk& quotaRequest) {
   if (!leads() || !raft_->holdsLease()) return;
-  network_.send(connection, wire::encodeFrame(quotas_.decide(question)));
+  network_.send(connection, wire::encodeFrame(quotas_.decide(quotaRequest)));
 }
 
 std::optional<quota::quota_limit> Controller::limitOf(const std::string& tenant) const {
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -101,14 +101,14 @@
   absl::Status removeController(const std::string& name);
 
   /// Replaces the seeds used for discovery, e.g. after a change of the settings.
-  void useSeeds(std::vector<ControllerAddress> seeds);
+  void setSeeds(std::vector<ControllerAddress> seeds);
 
   /// @return the leader's HTTP address; port 0 if no leader is known.
   base::Address leaderHttpAddress() const;
 
   /// Sets the table observer, which must outlive this object or unset itself first.
   /// @param observer null to unset
-  void observeTable(table::TableObserver* observer) { tableObserver_ = observer; }
+  void setTableObserver(table::TableObserver* observer) { tableObserver_ = observer; }
 
   /// Sets a hook that is called after each committed entry is applied.
   void onApplied(std::function<void(const wire::LogEntry&)> hook) { appliedHook_ = std::move(hook); }
@@ -167,7 +167,7 @@
   void broadcastHello();
   void updateLinks();
   void onRelayMessage(base::ConnectionId connection, const wire::Message& message);
-  void onQuotaAsk(base::ConnectionId connection, const wire::QuotaAsk& question);
+  void onQuotaAsk(base::ConnectionId connection, const wire::QuotaAsk& quotaRequest);
   std::optional<quota::quota_limit> limitOf(const std::string& tenant) const;
   void onHousekeeping();
   void formCluster();
--- a/src/controller/controller_membership.cc
+++ b/src/controller/controller_membership.cc
@@ -163,7 +163,7 @@
 }
 
 void Controller::removeExpiredRelays() {
-  for (const auto& relayId : convergence_.silentRelays(options_.relayRegistration)) {
+  for (const auto& relayId : convergence_.inactiveRelays(options_.relayRegistration)) {
     wire::LogEntry entry;
     entry.kind = wire::EntryKind::RELAY;
     entry.__isset.relay = true;
--- a/src/controller/convergence.cc
+++ b/src/controller/convergence.cc
@@ -17,7 +17,7 @@
   relays_.clear();
   nodes_.clear();
   detached_.clear();
-  relayLost_.clear();
+  lostRelays_.clear();
   newRelays_.clear();
   startedAt_ = time_.now();
 }
@@ -58,11 +58,11 @@
   if (relays_.count(relayId) == 0) {
     // A relay that has just started does not know the nodes that its predecessor process lost. If this leader saw the
     // predecessor's connection close, it has recorded these nodes itself.
-    const auto lost = relayLost_.find(relayId);
+    const auto lost = lostRelays_.find(relayId);
     auto began = time_.now() - base::milliseconds(report.runningMs);
     if (newRelays_.count(relayId) > 0) began = startedAt_ - lease_;
-    relays_[relayId].coverageStart = lost == relayLost_.end() ? began : std::min(began, lost->second.coverageStart);
-    relayLost_.erase(relayId);
+    relays_[relayId].coverageStart = lost == lostRelays_.end() ? began : std::min(began, lost->second.coverageStart);
+    lostRelays_.erase(relayId);
   }
   auto& relay = relays_[relayId];
   if (report.full) detachAllExcept({report.attached.begin(), report.attached.end()}, relayId);
@@ -76,14 +76,14 @@
 void ConvergenceTracker::onRelayLost(const std::string& relayId) {
   const auto relay = relays_.find(relayId);
   if (relay == relays_.end()) return;
-  relayLost_[relayId] = {time_.now(), relay->second.coverageStart};
+  lostRelays_[relayId] = {time_.now(), relay->second.coverageStart};
   relays_.erase(relay);
   detachAllExcept({}, relayId);
 }
 
 base::TimePoint ConvergenceTracker::inactiveSince(const std::string& relayId) const {
-  const auto lost = relayLost_.find(relayId);
-  return lost == relayLost_.end() ? startedAt_ : lost->second.at;
+  const auto lost = lostRelays_.find(relayId);
+  return lost == lostRelays_.end() ? startedAt_ : lost->second.at;
 }
 
 bool ConvergenceTracker::allReported() const {
@@ -94,12 +94,12 @@
   });
 }
 
-std::vector<std::string> ConvergenceTracker::silentRelays(base::Duration duration) const {
-  std::vector<std::string> silent;
+std::vector<std::string> ConvergenceTracker::inactiveRelays(base::Duration duration) const {
+  std::vector<std::string> inactive;
   for (const auto& relayId : registered_) {
-    if (relays_.count(relayId) == 0 && time_.now() - inactiveSince(relayId) >= duration) silent.push_back(relayId);
+    if (relays_.count(relayId) == 0 && time_.now() - inactiveSince(relayId) >= duration) inactive.push_back(relayId);
   }
-  return silent;
+  return inactive;
 }
 
 int64_t ConvergenceTracker::revisionOf(const std::string& nodeId, const std::set<std::string>& relays) const {
--- a/src/controller/convergence.h
+++ b/src/controller/convergence.h
@@ -62,7 +62,7 @@
   size_t attachedNodes() const { return nodes_.size(); }
 
   /// @return registered relays without a connection that has reported to this leader for at least a duration.
-  std::vector<std::string> silentRelays(base::Duration duration) const;
+  std::vector<std::string> inactiveRelays(base::Duration duration) const;
 
  private:
   struct Relay {
@@ -87,8 +87,8 @@
   base::Duration lease_;
   base::TimePoint startedAt_{};
   std::set<std::string> registered_;
-  std::set<std::string> newRelays_;             // registered for the first time since startedAt_
-  std::map<std::string, LostRelay> relayLost_;  // relays whose connection closed in this term
+  std::set<std::string> newRelays_;              // registered for the first time since startedAt_
+  std::map<std::string, LostRelay> lostRelays_;  // relays whose connection closed in this term
   std::map<std::string, Relay> relays_;
   std::map<std::string, std::set<std::string>> nodes_;  // attached nodes, with the relays that report them
   std::map<std::string, base::TimePoint> detached_;     // nodes without a relay, with the time of detachment
--- a/src/controller/relay_sessions.cc
+++ b/src/controller/relay_sessions.cc
@@ -49,11 +49,11 @@
 }
 
 std::vector<base::ConnectionId> RelaySessions::connectionsInactiveSince(base::TimePoint then) const {
-  std::vector<base::ConnectionId> silent;
+  std::vector<base::ConnectionId> inactive;
   for (const auto& [connection, session] : sessions_) {
-    if (session.subscribed && session.lastActivity < then) silent.push_back(connection);
+    if (session.subscribed && session.lastActivity < then) inactive.push_back(connection);
   }
-  return silent;
+  return inactive;
 }
 
 wire::FramePtr RelaySessions::cachedUpdate(int64_t fromRevision, const table::Table& table) {
--- a/src/controller/rollouts.cc
+++ b/src/controller/rollouts.cc
@@ -135,7 +135,7 @@
 }
 
 void Rollouts::submit(const std::string& service, wire::RolloutRow row, int64_t expectedRevision,
-                      const std::string& why, const std::function<void(ErrorCode)>& done) {
+                      const std::string& stepName, const std::function<void(ErrorCode)>& done) {
   wire::Mutation mutation;
   mutation.row.key = keyOf(service);
   mutation.row.__isset.rolloutRow = true;
@@ -144,7 +144,8 @@
   wire::EditCommand edit;
   // Each step is based on one revision of the row, which makes its request id unique. The term is included because a
   // controller that is elected again may decide differently for the same row revision.
-  edit.requestId = absl::StrCat("rollout-", service, "-", expectedRevision, "-", controller_.raft().term(), "-", why);
+  edit.requestId =
+      absl::StrCat("rollout-", service, "-", expectedRevision, "-", controller_.raft().term(), "-", stepName);
   edit.author = kAuthor;
   edit.baseRevision = controller_.state().table().revision();
   edit.mutations.push_back(std::move(mutation));
@@ -260,9 +261,9 @@
   if (!next) return;
   logDecision(*next, service, situation);
   running->submitting = true;
-  const auto why = absl::StrCat(nameOf(next->state), "-", next->targetPermille, next->retiring ? "-retiring" : "");
+  const auto stepName = absl::StrCat(nameOf(next->state), "-", next->targetPermille, next->retiring ? "-retiring" : "");
   const auto state = next->state;
-  submit(service, std::move(*next), row->revision, why, [this, service, state](ErrorCode code) {
+  submit(service, std::move(*next), row->revision, stepName, [this, service, state](ErrorCode code) {
     const auto found = running_.find(service);
     if (found != running_.end()) found->second.submitting = false;
     if (code != ErrorCode::kNone) {
--- a/src/controller/rollouts.h
+++ b/src/controller/rollouts.h
@@ -107,7 +107,7 @@
 
   void track(const wire::Row& row);
   void decide(const RolloutOrder& order, const RolloutCallback& done, int conflictsLeft);
-  void submit(const std::string& service, wire::RolloutRow row, int64_t expectedRevision, const std::string& why,
+  void submit(const std::string& service, wire::RolloutRow row, int64_t expectedRevision, const std::string& stepName,
               const std::function<void(base::ErrorCode)>& done);
   void step(const std::string& service, Running* running);
   bool recentlyRolledBack(const std::string& service, const wire::RolloutRow& row) const;
--- a/src/controller/table_state.cc
+++ b/src/controller/table_state.cc
@@ -47,7 +47,7 @@
   outcome.revision = index;
   outcome.fingerprint = fingerprintOf(edit);
   *rows = decide(index, edit, &outcome);
-  remember(std::move(outcome));
+  storeOutcome(std::move(outcome));
   return outcomes_.back();
 }
 
@@ -99,7 +99,7 @@
   return conflict;
 }
 
-void TableState::remember(wire::EditOutcome outcome) {
+void TableState::storeOutcome(wire::EditOutcome outcome) {
   outcomeByRequest_[outcome.requestId] = droppedOutcomes_ + static_cast<int64_t>(outcomes_.size());
   outcomes_.push_back(std::move(outcome));
   outcomeDetails_ += detailsOf(outcomes_.back());
--- a/src/controller/table_state.h
+++ b/src/controller/table_state.h
@@ -68,7 +68,7 @@
  private:
   table::ChangedRows decide(int64_t index, const wire::EditCommand& edit, wire::EditOutcome* outcome);
   bool findConflicts(const wire::EditCommand& edit, wire::EditOutcome* outcome) const;
-  void remember(wire::EditOutcome outcome);
+  void storeOutcome(wire::EditOutcome outcome);
   void dropOldOutcomes();
   void recordHistory(int64_t index, const wire::EditCommand& edit);
   void dropOldHistory();
--- a/src/node/endpoint_calls.h
+++ b/src/node/endpoint_calls.h
@@ -95,7 +95,7 @@
   /// Enables the quarantine of requests that crash the back end.
   /// @param quarantine outlives this object, as `watch` does
   /// @param watch detects crashes; null if the back end can't be probed
-  void useQuarantine(quarantine::request_quarantine* quarantine, quarantine::crash_watch* watch);
+  void useQuarantine(quarantine::request_quarantine* quarantine, quarantine::crash_detector* watch);
 
   /// Re-evaluates the calls that wait for probation after a change of the quarantine.
   void onQuarantineChange();
@@ -266,7 +266,7 @@
   limits::SlotLimiter limiter_;
   limits::SlotLimiter probation_;                         // one slot, for suspects
   quarantine::request_quarantine* quarantine_ = nullptr;  // may stay null
-  quarantine::crash_watch* watch_ = nullptr;              // may stay null
+  quarantine::crash_detector* watch_ = nullptr;           // may stay null
   bool leaving_ = false;
   bool stale_ = false;
   std::map<CallKey, Call> calls_;
--- a/src/node/endpoint_calls_quarantine.cc
+++ b/src/node/endpoint_calls_quarantine.cc
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-void EndpointCalls::useQuarantine(quarantine::request_quarantine* quarantine, quarantine::crash_watch* watch) {
+void EndpointCalls::useQuarantine(quarantine::request_quarantine* quarantine, quarantine::crash_detector* watch) {
   quarantine_ = quarantine;
   watch_ = watch;
 }
--- a/src/quarantine/crash_history.cc
+++ b/src/quarantine/crash_history.cc
@@ -266,25 +266,25 @@
 	return report;
 }
 
-crash_history::reports crash_history::all(const std::function<bool(const std::string& service)>& _wants) const
+crash_history::reports crash_history::all(const std::function<bool(const std::string& service)>& _includesService) const
 {
-	reports wanted;
+	reports selected;
 	for (const auto& [id, known] : m_crashes)
 	{
-		if (!_wants(known.service))
+		if (!_includesService(known.service))
 		{
 			continue;
 		}
 		auto report = reportOf(id, known);
 		if (!report.requests.empty())
 		{
-			wanted.push_back(std::move(report));
+			selected.push_back(std::move(report));
 		}
 	}
-	return wanted;
+	return selected;
 }
 
-std::vector<quarantined_request> crash_history::known() const
+std::vector<quarantined_request> crash_history::quarantinedRequests() const
 {
 	std::vector<quarantined_request> result;
 	for (const auto& [request, crashIds] : m_unclearedCrashes)
@@ -303,7 +303,7 @@
 
 /// @returns Whether a crash contributes to no hold. Cleared marks of a request that was held are kept as long as other
 /// marks, so that a node that was disconnected in the meantime cannot cause the request to be held again.
-bool crash_history::holdsNoRequest(const crash& _crash) const
+bool crash_history::causesNoHold(const crash& _crash) const
 {
 	return std::none_of(_crash.requests.begin(), _crash.requests.end(),
 						[this](const auto& _item)
@@ -355,7 +355,7 @@
 											{
 												return _item.second.cleared;
 											});
-		const bool noneHeld = holdsNoRequest(it->second);
+		const bool noneHeld = causesNoHold(it->second);
 		const bool clearedExpired = allCleared && noneHeld && now - it->second.modifiedAt > m_options.clearedRetention;
 		const bool suspectExpired =
 			(noneHeld || allCleared) && now - it->second.modifiedAt > m_options.suspectRetention;
@@ -370,7 +370,7 @@
 		auto first = m_crashes.begin();
 		const auto rank = [this](const auto& _item)
 		{
-			return std::make_pair(!holdsNoRequest(_item.second), _item.second.at);
+			return std::make_pair(!causesNoHold(_item.second), _item.second.at);
 		};
 		for (auto it = m_crashes.begin(); m_crashes.end() != it; ++it)
 		{
--- a/src/quarantine/crash_history.h
+++ b/src/quarantine/crash_history.h
@@ -108,7 +108,7 @@
 
 	/// @returns All marks, including cleared ones, for processes that lack them.
 	/// @param[in] _wants Selects the services.
-	reports all(const std::function<bool(const std::string& service)>& _wants) const;
+	reports all(const std::function<bool(const std::string& service)>& _includesService) const;
 
 	reports all() const
 	{
@@ -120,7 +120,7 @@
 	}
 
 	/// @returns All suspect and held requests.
-	std::vector<quarantined_request> known() const;
+	std::vector<quarantined_request> quarantinedRequests() const;
 
 	/// @returns The number of stored marks, including cleared ones.
 	size_t marks() const
@@ -165,7 +165,7 @@
 	base::TimePoint lastCrashOf(const crash_ids& _crashes) const;
 	base::TimePoint nextProbeAt(const crash_ids& _crashes, const request_fingerprint& _request) const;
 	wire::CrashReport reportOf(uint64_t _id, const crash& _crash) const;
-	bool holdsNoRequest(const crash& _crash) const;
+	bool causesNoHold(const crash& _crash) const;
 	void dropClearedMarks(crash* _crash);
 	void dropExpired();
 	void evictExcess();
--- a/src/quarantine/crash_watch.cc
+++ b/src/quarantine/crash_watch.cc
@@ -18,8 +18,8 @@
 
 }  // namespace
 
-crash_watch::crash_watch(const base::TimeSource& _time, base::RandomSource _random, back_end_presence& _presence,
-						 crash_handler _onCrash)
+crash_detector::crash_detector(const base::TimeSource& _time, base::RandomSource _random, back_end_presence& _presence,
+							   crash_handler _onCrash)
 	: m_time(_time)
 	, m_random(_random)
 	, m_presence(_presence)
@@ -27,12 +27,12 @@
 {
 }
 
-crash_watch::~crash_watch()
+crash_detector::~crash_detector()
 {
 	*m_alive = false;
 }
 
-void crash_watch::onCut(const crashed_run& _run, result_handler _done)
+void crash_detector::onCut(const crashed_run& _run, result_handler _done)
 {
 	if (m_time.now() < m_sameCrashUntil)
 	{
@@ -57,7 +57,7 @@
 		});
 }
 
-void crash_watch::onChecked(bool _gone)
+void crash_detector::onChecked(bool _gone)
 {
 	m_checking = false;
 	const auto pending = std::exchange(m_pending, {});
@@ -83,14 +83,14 @@
 	}
 }
 
-void crash_watch::beginCrash(const std::vector<crashed_run>& _runs)
+void crash_detector::beginCrash(const std::vector<crashed_run>& _runs)
 {
 	m_lastCrash = m_random.bits();
 	m_sameCrashUntil = m_time.now() + kSameCrashWindow;
 	m_onCrash(m_lastCrash, _runs);
 }
 
-void crash_watch::onRestart()
+void crash_detector::onRestart()
 {
 	std::vector<crashed_run> runs;
 	for (const auto& entry : std::exchange(m_recentRuns, {}))
--- a/src/quarantine/crash_watch.h
+++ b/src/quarantine/crash_watch.h
@@ -20,7 +20,7 @@
 /// Collects the runs whose connection the back end closed without an answer, until a check shows whether a process
 /// still listens at its address. If none does, all these runs were active when the back end crashed. Runs that are
 /// found cut shortly afterwards belong to the same crash.
-class crash_watch
+class crash_detector
 {
 public:
 	/// Called with the id of the crash that cut a run; nothing if there was no crash.
@@ -30,9 +30,9 @@
 	using crash_handler = std::function<void(uint64_t crash, const std::vector<crashed_run>& runs)>;
 
 	/// @param[in] _presence Must outlive the watch, as must _time.
-	crash_watch(const base::TimeSource& _time, base::RandomSource _random, back_end_presence& _presence,
-				crash_handler _onCrash);
-	~crash_watch();
+	crash_detector(const base::TimeSource& _time, base::RandomSource _random, back_end_presence& _presence,
+				   crash_handler _onCrash);
+	~crash_detector();
 
 	/// Processes a run whose connection was closed without an answer.
 	/// @param[in] _done Called once; immediately if the run belongs to a crash that is already known.
--- a/src/quarantine/request_quarantine.cc
+++ b/src/quarantine/request_quarantine.cc
@@ -114,7 +114,7 @@
 	}
 }
 
-void request_quarantine::onHistoryChanged(const reports& _changes, const char* _because)
+void request_quarantine::onHistoryChanged(const reports& _changes, const char* _cause)
 {
 	if (_changes.empty())
 	{
@@ -126,7 +126,7 @@
 		{
 			if (const auto fingerprint = fingerprintFromBytes(request.fingerprint))
 			{
-				logStandingChange(*fingerprint, report.serviceName, _because);
+				logHeldChange(*fingerprint, report.serviceName, _cause);
 			}
 		}
 	}
@@ -141,7 +141,7 @@
 		return;
 	}
 	std::set<request_fingerprint> held;
-	for (const auto& request : m_history.known())
+	for (const auto& request : m_history.quarantinedRequests())
 	{
 		if (standing::held == request.treatedAs)
 		{
@@ -151,8 +151,8 @@
 	m_loggedHeld = std::move(held);
 }
 
-void request_quarantine::logStandingChange(const request_fingerprint& _request, std::string_view _service,
-										   const char* _because)
+void request_quarantine::logHeldChange(const request_fingerprint& _request, std::string_view _service,
+									   const char* _cause)
 {
 	const bool held = standing::held == m_history.standingOf(_request, _service);
 	if (held == (0 < m_loggedHeld.count(_request)))
@@ -175,7 +175,7 @@
 		{
 			const auto probe = std::chrono::duration_cast<base::milliseconds>(m_history.untilProbe(_request));
 			return fmt::format("{} request={} service={} because={} probe_in_ms={}", held ? "held" : "released",
-							   toText(_request), _service, _because, probe.count());
+							   toText(_request), _service, _cause, probe.count());
 		});
 }
 
--- a/src/quarantine/request_quarantine.h
+++ b/src/quarantine/request_quarantine.h
@@ -91,8 +91,8 @@
 	}
 
 private:
-	void onHistoryChanged(const reports& _changes, const char* _because);
-	void logStandingChange(const request_fingerprint& _request, std::string_view _service, const char* _because);
+	void onHistoryChanged(const reports& _changes, const char* _cause);
+	void logHeldChange(const request_fingerprint& _request, std::string_view _service, const char* _cause);
 	void pruneLoggedHeld();
 	void scheduleSend(reports _cleared);
 
--- a/src/rollout/rollout_driver.cc
+++ b/src/rollout/rollout_driver.cc
@@ -100,11 +100,11 @@
 	const base::Duration finishBy = base::milliseconds(_current.finishByMs);
 	if (_situation.elapsed >= finishBy)
 	{
-		const char* why = 0 == _situation.target.count ? "no endpoint of the version reports"
-						  : !hasCapacity(_situation)   ? "the version has too few slots"
-													   : "";
+		const char* cause = 0 == _situation.target.count ? "no endpoint of the version reports"
+							: !hasCapacity(_situation)   ? "the version has too few slots"
+														 : "";
 		return rollBack(_current, _situation.elapsed,
-						absl::StrFormat("out of time: %s%s", why, 0 == *why ? reasonOf(_situation.verdict) : ""));
+						absl::StrFormat("out of time: %s%s", cause, 0 == *cause ? reasonOf(_situation.verdict) : ""));
 	}
 	if (kReportCollectionTime > _situation.leadershipAge || 0 == _situation.target.count)
 	{
--- a/src/rollout/version_evidence.cc
+++ b/src/rollout/version_evidence.cc
@@ -120,7 +120,7 @@
 		known->second = {slowOutlierThreshold(samplesOf(_policy.standing, &_route, kRateSpan)), m_time.now()};
 	}
 	const auto own = meanLogRunTime(_history.since(m_time.now() - kRateSpan));
-	return own && *own >= known->second.from;
+	return own && *own >= known->second.value;
 }
 
 run_sample version_evidence::sampleOf(int64_t _route, const route_counts& _delta) const
--- a/src/rollout/version_evidence.h
+++ b/src/rollout/version_evidence.h
@@ -104,7 +104,7 @@
 	/// Cached result of slowOutlierThreshold() and the time of its computation.
 	struct slow_outlier_threshold
 	{
-		double from = 0;
+		double value = 0;
 		base::TimePoint at{};
 	};
 
--- a/src/rollout/version_test.cc
+++ b/src/rollout/version_test.cc
@@ -146,16 +146,16 @@
 	// Faulty endpoints raise the share of all above that of the healthy ones.
 	run_sample healthy;
 	double faulty = kPriorFaultyEndpoints;
-	double seen = kPriorEndpoints;
+	double endpointCount = kPriorEndpoints;
 	for (const auto& sample : _standing)
 	{
 		const bool isFaulty = kFaultyEvidence <= logLikelihoodRatio(sample, _symptom, baseline.share);
-		seen += 0 < sample.answered ? 1 : 0;
+		endpointCount += 0 < sample.answered ? 1 : 0;
 		faulty += isFaulty ? 1 : 0;
 		healthy += isFaulty ? run_sample{} : sample;
 	}
 	baseline.share = shareOf(healthy);
-	baseline.faultyShare = faulty / seen;
+	baseline.faultyShare = faulty / endpointCount;
 	return baseline;
 }
 
@@ -212,13 +212,13 @@
 	test_result result;
 	result.testedEndpoints = target.means.size();
 	const auto faulty = static_cast<double>(std::erase_if(standing.means,
-														  [from = slowOutlierThreshold(_standing)](double _mean)
+														  [threshold = slowOutlierThreshold(_standing)](double _mean)
 														  {
-															  return _mean >= from;
+															  return _mean >= threshold;
 														  }));
-	const auto seen = static_cast<double>(standing.means.size()) + faulty;
+	const auto endpointCount = static_cast<double>(standing.means.size()) + faulty;
 	result.excludedEndpoints =
-		faultyByChance(result.testedEndpoints, (faulty + kPriorFaultyEndpoints) / (seen + kPriorEndpoints));
+		faultyByChance(result.testedEndpoints, (faulty + kPriorFaultyEndpoints) / (endpointCount + kPriorEndpoints));
 	if (kMinComparedEndpoints > result.testedEndpoints - result.excludedEndpoints
 		|| kMinComparedEndpoints > standing.means.size())
 	{
--- a/test/fleet/fleet_node.cc
+++ b/test/fleet/fleet_node.cc
@@ -189,7 +189,7 @@
 	m_endpoint = std::make_unique<node::EndpointCalls>(options, m_process, *m_calls, backEnd, nullptr);
 	if (m_backEnd)
 	{
-		m_watch = std::make_unique<quarantine::crash_watch>(
+		m_watch = std::make_unique<quarantine::crash_detector>(
 			m_process, base::RandomSource(m_position * 1000 + m_lives + 500), *m_presence,
 			[this](uint64_t _crash, const std::vector<quarantine::crashed_run>& _runs)
 			{
--- a/test/fleet/fleet_node.h
+++ b/test/fleet/fleet_node.h
@@ -103,7 +103,7 @@
 	std::unique_ptr<simulation::ProcessNetwork> m_calls;
 	std::unique_ptr<asked_presence> m_presence;
 	std::unique_ptr<quarantine::request_quarantine> m_quarantine;
-	std::unique_ptr<quarantine::crash_watch> m_watch;
+	std::unique_ptr<quarantine::crash_detector> m_watch;
 	std::unique_ptr<node::EntryCalls> m_entry;
 	std::unique_ptr<node::EndpointCalls> m_endpoint;
 	std::unique_ptr<node::ControlClient> m_client;
--- a/test/incidents/crashing_request_test.cc
+++ b/test/incidents/crashing_request_test.cc
@@ -63,7 +63,7 @@
 	fleet.runUntil(fleet.now() + base::milliseconds(100));
 	for (size_t i = 0; i < fleet.nodes(); ++i)
 	{
-		CHECK(1 == fleet.node(i).quarantine()->history().known().size());
+		CHECK(1 == fleet.node(i).quarantine()->history().quarantinedRequests().size());
 	}
 }
 
@@ -122,7 +122,7 @@
 	REQUIRE(2 == fleet.backEnds.crashesBy(kFatal));
 	setCut(false);
 	fleet.runUntil(base::seconds(16));
-	CHECK(1 == fleet.node(cutOff).quarantine()->history().known().size());
+	CHECK(1 == fleet.node(cutOff).quarantine()->history().quarantinedRequests().size());
 	fleet.repeat(kFatal, base::milliseconds(300), base::seconds(40));
 	fleet.runUntil(base::seconds(45));
 	CHECK(2 == fleet.backEnds.crashesBy(kFatal));
--- a/test/quarantine/crash_history_test.cc
+++ b/test/quarantine/crash_history_test.cc
@@ -59,7 +59,7 @@
 	history.addCrash(11, kService, "i-2", std::vector<crashed_run>{{kCrashing, true}, {kThird}});
 	CHECK(standing::clear == of(kOther));
 	CHECK(standing::clear == of(kThird));
-	CHECK(1 == history.known().size());
+	CHECK(1 == history.quarantinedRequests().size());
 }
 
 TEST_CASE_METHOD(fixture, "a request held in place of an unknown crashing request is released once that one is held")
--- a/test/rollout/simulated_service.cc
+++ b/test/rollout/simulated_service.cc
@@ -58,7 +58,7 @@
 {
 	m_row.standing = kStanding;
 	m_row.state = wire::RolloutState::STANDING;
-	m_atNodes = m_row;
+	m_rowAtNodes = m_row;
 	addBackEnds(false);
 }
 
@@ -118,7 +118,7 @@
 		++ticks;
 		if (m_time.now() >= m_nodesUpdateAt)
 		{
-			m_atNodes = m_row;
+			m_rowAtNodes = m_row;
 		}
 		const auto elapsed = m_time.now() - m_begunAt;
 		const bool burst = m_faults.burst && elapsed > base::seconds(9) && elapsed < base::seconds(14);
@@ -166,8 +166,8 @@
 			names.push_back(candidate.name);
 		}
 	}
-	const bool group = _target && 0 < m_atNodes.groupSize;
-	const auto taken = rollout::chooseTrialGroup(names, m_atNodes.groupOffset, group ? m_atNodes.groupSize : 0);
+	const bool group = _target && 0 < m_rowAtNodes.groupSize;
+	const auto taken = rollout::chooseTrialGroup(names, m_rowAtNodes.groupOffset, group ? m_rowAtNodes.groupSize : 0);
 	back_end* best = nullptr;
 	int least = m_slots;
 	const size_t first = m_random.below(m_backEnds.size());
@@ -222,7 +222,7 @@
 void simulated_service::request(int64_t _route)
 {
 	++m_all;
-	const auto policy = rollout::policyOf(m_atNodes);
+	const auto policy = rollout::policyOf(m_rowAtNodes);
 	const bool trial = policy.running && m_random.chance(policy.targetPermille / 1000.0);
 	const bool toTarget = policy.retiring || trial || policy.standing == kTarget;
 	auto* chosen = choose(toTarget);
@@ -260,7 +260,7 @@
 
 void simulated_service::report()
 {
-	if (wire::RolloutState::RUNNING != m_atNodes.state)
+	if (wire::RolloutState::RUNNING != m_rowAtNodes.state)
 	{
 		return;
 	}
@@ -312,7 +312,7 @@
 	sum(kTarget, &situation.target);
 	sum(kStanding, &situation.standing);
 	situation.standingIdle = m_row.retiring && 0 == situation.standing.active;
-	situation.inForceEverywhere = m_atNodes == m_row;
+	situation.inForceEverywhere = m_rowAtNodes == m_row;
 	situation.nodes = 2 * m_size;
 	if (const auto next = m_driver.next(m_row, situation))
 	{
--- a/test/rollout/simulated_service.h
+++ b/test/rollout/simulated_service.h
@@ -112,8 +112,8 @@
 	std::deque<delayed_report> m_reports;
 	rollout::version_evidence m_evidence{m_time};
 	rollout::rollout_driver m_driver{{}};
-	wire::RolloutRow m_row;      //!< Row at the leader.
-	wire::RolloutRow m_atNodes;  //!< Row at the nodes.
+	wire::RolloutRow m_row;         //!< Row at the leader.
+	wire::RolloutRow m_rowAtNodes;  //!< Row at the nodes.
 	base::TimePoint m_nodesUpdateAt{};
 	base::TimePoint m_writtenAt{};
 	base::TimePoint m_orderedAt{};
--- a/test/slow_fleet/core_machine.cc
+++ b/test/slow_fleet/core_machine.cc
@@ -92,7 +92,7 @@
 		std::make_unique<relay::Relay>(options, m_relayProcess, base::RandomSource(m_random.bits()), *m_relaySockets);
 	m_relaySockets->setHandler(m_relay.get());
 	m_relay->shareTable(m_controller->state().table());
-	m_controller->observeTable(m_relay.get());
+	m_controller->setTableObserver(m_relay.get());
 	m_simulated.listen(m_relaySockets.get());
 	m_relay->start();
 }
