--- a/src/consensus/raft.cc
+++ b/src/consensus/raft.cc
@@ -181,9 +181,9 @@
   if (role_ != RaftRole::kLeader) return;
   for (const auto& member : members_) {
     if (member.id == id_ || progress_.count(member.id) > 0) continue;
-    Progress fresh;
-    fresh.nextIndex = lastIndex() + 1;
-    progress_[member.id] = fresh;
+    Progress newProgress;
+    newProgress.nextIndex = lastIndex() + 1;
+    progress_[member.id] = newProgress;
   }
   std::erase_if(progress_, [this](const auto& item) {
     return std::none_of(members_.begin(), members_.end(), [&](const auto& member) { return member.id == item.first; });
--- a/src/consensus/raft_election.cc
+++ b/src/consensus/raft_election.cc
@@ -181,9 +181,9 @@
   lastQuorumContact_ = scheduler_.now();
   for (const auto& member : members_) {
     if (member.id == id_) continue;
-    Progress fresh;
-    fresh.nextIndex = lastIndex() + 1;
-    progress_[member.id] = fresh;
+    Progress newProgress;
+    newProgress.nextIndex = lastIndex() + 1;
+    progress_[member.id] = newProgress;
   }
   log_.info("{} leads term {}", id_, hardState_.term);
   termStartIndex_ = lastIndex() + 1;
--- a/src/controller/convergence.cc
+++ b/src/controller/convergence.cc
@@ -59,9 +59,10 @@
     // A relay that has just started does not know the nodes that its predecessor process lost. If this leader saw the
     // predecessor's connection close, it has recorded these nodes itself.
     const auto lost = lostRelays_.find(relayId);
-    auto began = time_.now() - base::milliseconds(report.runningMs);
-    if (newRelays_.count(relayId) > 0) began = startedAt_ - lease_;
-    relays_[relayId].coverageStart = lost == lostRelays_.end() ? began : std::min(began, lost->second.coverageStart);
+    auto startedAt = time_.now() - base::milliseconds(report.runningMs);
+    if (newRelays_.count(relayId) > 0) startedAt = startedAt_ - lease_;
+    relays_[relayId].coverageStart =
+        lost == lostRelays_.end() ? startedAt : std::min(startedAt, lost->second.coverageStart);
     lostRelays_.erase(relayId);
   }
   auto& relay = relays_[relayId];
--- a/src/controller/table_state.cc
+++ b/src/controller/table_state.cc
@@ -79,12 +79,12 @@
   std::unordered_set<wire::RowKey, table::RowKeyHash> seen;
   seen.reserve(edit.mutations.size());
   for (const auto& mutation : edit.mutations) {
-    const bool twice = !seen.insert(mutation.row.key).second;
+    const bool duplicate = !seen.insert(mutation.row.key).second;
     const auto live = table_.find(mutation.row.key);
     const int64_t current = live ? live->revision : 0;
-    const bool vanished = mutation.row.deleted && !live;
+    const bool rowMissing = mutation.row.deleted && !live;
     const bool matches = mutation.expectedRevision == kAnyRevision || mutation.expectedRevision == current;
-    if (matches && !vanished && !twice) continue;
+    if (matches && !rowMissing && !duplicate) continue;
     conflict = true;
     if (live) {
       outcome->currentRows.push_back(*live);
--- a/src/rollout/ramp.cc
+++ b/src/rollout/ramp.cc
@@ -82,10 +82,10 @@
 
 int ramp::trialPermille() const
 {
-	const double trial = std::max(0.1, secondsOf(rampUpAt()));
+	const double trialSeconds = std::max(0.1, secondsOf(rampUpAt()));
 	const double slack = kTrialSlackShare * m_options.exposure.slack / std::max(1.0, m_options.answersPerSecond);
 	const double share =
-		(kTrialExposureShare * m_options.exposure.share * secondsOf(m_options.finishBy) + slack) / trial;
+		(kTrialExposureShare * m_options.exposure.share * secondsOf(m_options.finishBy) + slack) / trialSeconds;
 	return std::clamp(static_cast<int>(share * kWholePermille), kMinTrialPermille, kMaxTrialPermille);
 }
 
--- a/src/rollout/run_statistics.cc
+++ b/src/rollout/run_statistics.cc
@@ -33,21 +33,21 @@
 
 void run_statistics::fill(wire::VersionReport* _report) const
 {
-	for (const auto& [route, seen] : m_routes)
+	for (const auto& [route, routeCounts] : m_routes)
 	{
 		wire::RouteFigures figures;
 		figures.route = route;
-		figures.answered = seen.answered;
-		figures.failed = seen.failed;
+		figures.answered = routeCounts.answered;
+		figures.failed = routeCounts.failed;
 		const auto used = [](int64_t _count)
 		{
 			return 0 < _count;
 		};
-		const auto first = std::find_if(seen.runs.begin(), seen.runs.end(), used);
-		const auto last = std::find_if(seen.runs.rbegin(), seen.runs.rend(), used).base();
-		if (first != seen.runs.end())
+		const auto first = std::find_if(routeCounts.runs.begin(), routeCounts.runs.end(), used);
+		const auto last = std::find_if(routeCounts.runs.rbegin(), routeCounts.runs.rend(), used).base();
+		if (first != routeCounts.runs.end())
 		{
-			figures.firstBucket = static_cast<int32_t>(first - seen.runs.begin());
+			figures.firstBucket = static_cast<int32_t>(first - routeCounts.runs.begin());
 			figures.runs.assign(first, last);
 		}
 		_report->routes.push_back(figures);
--- a/src/table/slice.cc
+++ b/src/table/slice.cc
@@ -29,8 +29,8 @@
 }
 
 void Slice::putEntry(Entries* entries, const RowKey& key, Entry entry) {
-  const auto [found, fresh] = entries->try_emplace(key);
-  if (!fresh) bySince_.erase(&found->second);
+  const auto [found, inserted] = entries->try_emplace(key);
+  if (!inserted) bySince_.erase(&found->second);
   found->second = std::move(entry);
   bySince_.insert(&found->second);
 }
@@ -70,9 +70,9 @@
   for (const auto& [key, entry] : removedRows_) revisions.push_back(entry.since);
   const auto upTo = medianOf(std::move(revisions));
   for (auto entry = removedRows_.begin(); entry != removedRows_.end();) {
-    const bool forgotten = entry->second.since <= upTo;
-    if (forgotten) bySince_.erase(&entry->second);
-    entry = forgotten ? removedRows_.erase(entry) : std::next(entry);
+    const bool dropped = entry->second.since <= upTo;
+    if (dropped) bySince_.erase(&entry->second);
+    entry = dropped ? removedRows_.erase(entry) : std::next(entry);
   }
 }
 
--- a/src/table/slice_selection.cc
+++ b/src/table/slice_selection.cc
@@ -103,8 +103,8 @@
 /// Updates the selection of a service and its rows after a change of its row or of the references to it.
 void SliceSelection::updateService(const Table& table, const std::string& name) {
   const bool routed = routedServices_.has(name);
-  const bool wanted = routed || interest_.includesAllHosts() || hasName(interest_.services, name);
-  const auto row = wanted ? table.find(makeKey(RowKind::SERVICE, name)) : nullptr;
+  const bool selected = routed || interest_.includesAllHosts() || hasName(interest_.services, name);
+  const auto row = selected ? table.find(makeKey(RowKind::SERVICE, name)) : nullptr;
   const auto found = services_.find(name);
   const Service before = found == services_.end() ? Service{} : found->second;
   if (before.row) countReferences(*before.row, false);
--- a/test/rollout/rollout_fleet.cc
+++ b/test/rollout/rollout_fleet.cc
@@ -212,11 +212,11 @@
 	{
 		return;
 	}
-	++callers.asked;
+	++callers.sent;
 	node::InboundCall inbound;
 	inbound.method = "GET";
 	inbound.host = kFleetHost;
-	inbound.path = "/" + std::to_string(callers.asked);
+	inbound.path = "/" + std::to_string(callers.sent);
 	inbound.deadlineMs = kDeadline;
 	entry->begin(std::move(inbound),
 				 [this](const node::CallAnswer& _answer)
--- a/test/rollout/rollout_fleet.h
+++ b/test/rollout/rollout_fleet.h
@@ -21,7 +21,7 @@
 /// Counts of the outcomes of calls.
 struct caller_counters
 {
-	int asked = 0;
+	int sent = 0;
 	int answered = 0;  //!< Answered with status 200.
 	int failed = 0;    //!< Answered by a back end with another status.
 	int notRun = 0;
--- a/test/routing/routing_test.cc
+++ b/test/routing/routing_test.cc
@@ -18,8 +18,8 @@
   for (int n = 1; n <= 1000; ++n) {
     ++picked[split.pick(choices)];
     for (const auto& choice : choices) {
-      const double due = n * static_cast<double>(choice.weight) / 100;
-      CHECK(std::abs(picked[choice.name] - due) < 2);
+      const double expected = n * static_cast<double>(choice.weight) / 100;
+      CHECK(std::abs(picked[choice.name] - expected) < 2);
     }
   }
 }
