--- a/src/consensus/raft.h
+++ b/src/consensus/raft.h
@@ -33,9 +33,9 @@
   /// The next snapshot is taken only after one applied entry per this many bytes of the last snapshot, so that the cost
   /// of snapshots per entry does not grow with the state.
   size_t snapshotBytesPerEntry = 256;
-  size_t keepEntries = 1024;  ///< added to the threshold above, so that slow followers need snapshots less often
-  /// Rows that count as one more entry for compaction, so that the log's memory use does not depend on the rows per
-  /// edit.
+  size_t keepEntries = 1024;  ///< added to the compaction threshold, so that slow followers need snapshots less often
+  /// An edit counts as one more entry for compaction per this many rows, so that the log's memory use does not depend
+  /// on the rows per edit.
   size_t rowsPerWeightUnit = 4;
   /// Sends a new commit index to followers immediately instead of with the next entry or heartbeat.
   bool announceCommits = false;
@@ -139,7 +139,7 @@
   /// @return whether the disk failed permanently.
   bool storageFailed() const { return store_.failed(); }
 
-  /// @return whether everything committed before this leader's term has been applied.
+  /// @return whether this leader has applied the first entry of its term, and so everything committed before it.
   bool appliedOwnTerm() const { return appliedIndex_ >= termStartIndex_; }
 
   /// @return whether this member was never part of a cluster.
--- a/src/consensus/raft_election.cc
+++ b/src/consensus/raft_election.cc
@@ -117,7 +117,7 @@
   response.term = request.preVote ? request.term : std::max(request.term, hardState_.term);
   if (request.preVote) {
     response.granted = !leaderIsFresh && request.term > hardState_.term && candidateIsUpToDate(request);
-    // A rejection carries this member's own term: a pre-vote must not start the requested term.
+    // A rejection contains this member's own term, so that the candidate does not adopt the requested term.
     if (!response.granted) response.term = hardState_.term;
     sendTo(from, response);
     return;
--- a/src/consensus/raft_replication.cc
+++ b/src/consensus/raft_replication.cc
@@ -230,7 +230,7 @@
 }
 
 bool Raft::holdsLease() const {
-  /// Part of the election timeout that the lease lasts; the rest is a margin for clock drift.
+  /// Duration of the lease in percent of the election timeout; the rest is a margin for clock drift.
   constexpr int kLeasePercent = 90;
   if (role_ != RaftRole::kLeader || transferring_ || !leaseStart_) return false;
   return scheduler_.now() - *leaseStart_ < options_.electionTimeout * kLeasePercent / 100;
@@ -274,7 +274,7 @@
     incomingSnapshotIndex_ = chunk.lastIndex;
     incomingSnapshotTerm_ = chunk.lastTerm;
   }
-  // A chunk at another offset is dropped; the acknowledgement carries the offset to continue from.
+  // A chunk at another offset is dropped; the acknowledgement contains the offset to continue from.
   if (chunk.offset == static_cast<int64_t>(incomingSnapshot_.size())) incomingSnapshot_ += chunk.data;
   const bool complete = static_cast<int64_t>(incomingSnapshot_.size()) >= chunk.totalBytes;
   if (complete && chunk.lastIndex > commitIndex_) return installSnapshot(from, chunk);
--- a/src/controller/automatic_membership.cc
+++ b/src/controller/automatic_membership.cc
@@ -62,8 +62,8 @@
 }
 
 void Controller::admitNewControllers() {
-  // A connected controller that is not a member is added as a learner. It may have the identity of a removed member;
-  // its old log is then as safe as a blank one.
+  // A connected controller that is not a member is added as a learner. It may be a removed member that still has its
+  // old log; this is as safe as a blank log, since appends of the leader truncate conflicting entries.
   for (const auto& [connection, peer] : peers_) {
     const bool notMember = peer.role == wire::Role::CONTROLLER && !peer.address.empty() && !isMember(peer.id);
     if (!notMember) continue;
@@ -90,7 +90,7 @@
 
 bool Controller::identityReplaced(const wire::Member& member) const {
   if (member.id == raft_->id()) return false;
-  // Another identity at the same address means that the disk was lost and this identity cannot come back.
+  // Another identity at the member's address means that its disk was lost, and its old identity cannot return.
   const auto* hello = links_.helloOf({member.address, member.framePort});
   return hello != nullptr && hello->id != member.id;
 }
@@ -101,8 +101,9 @@
   return lastActive != lastActive_.end() && scheduler_.now() - lastActive->second > options_.membership.replaceAfter;
 }
 
-/// The largest odd number of reachable members, but at least minVoters. With at most one non-voter, any majority of the
-/// members contains a majority of the voters, so a learner never decides whether a partitioned cluster keeps a quorum.
+/// @return the largest odd number of reachable members, but at least minVoters. With at most one non-voter, any
+/// majority of the members contains a majority of the voters, so the part of a partitioned cluster that has most of the
+/// members keeps a quorum.
 size_t Controller::targetVoterCount() const {
   const auto& members = raft_->members();
   const auto reachable = static_cast<size_t>(std::count_if(members.begin(), members.end(), [&](const auto& member) {
--- a/src/controller/controller_membership.cc
+++ b/src/controller/controller_membership.cc
@@ -14,8 +14,8 @@
   if (!options_.mayBootstrap) return;
   const auto* own = ownAddress();
   if (own == nullptr || options_.controllers.front().name != options_.name) return;
-  // Bootstraps only if every initial member is connected and none has ever been part of a cluster. Otherwise this data
-  // folder was lost, and the controller waits to be added under its new identity.
+  // Bootstraps only if every initial member is connected and blank. If another one already belongs to a cluster, this
+  // controller's data folder was lost, and it waits to be added under its new identity.
   for (const auto& controller : options_.controllers) {
     if (controller.name == options_.name) continue;
     const auto* hello = links_.helloOf(controller.frames);
--- a/src/controller/convergence.cc
+++ b/src/controller/convergence.cc
@@ -37,7 +37,7 @@
 void ConvergenceTracker::detach(const std::string& nodeId, const std::string& relayId) {
   const auto node = nodes_.find(nodeId);
   if (node == nodes_.end()) {
-    // Detached before this controller became leader. The node may still use an older revision while it reconnects.
+    // The node was detached before this controller became leader. It may use an older revision until it reconnects.
     detached_.emplace(nodeId, time_.now());
     return;
   }
--- a/src/controller/convergence.h
+++ b/src/controller/convergence.h
@@ -39,8 +39,8 @@
   /// Clears the state; all registered relays must report again.
   void reset();
 
-  /// Sets the relays that must report before a revision can be in force everywhere. A relay that is registered for the
-  /// first time while this controller leads has no predecessor process whose nodes it could be missing.
+  /// Sets the relays that must report before a revision can be in force everywhere. A relay registered for the first
+  /// time while this controller leads has no predecessor process, so it knows all of its nodes.
   void setRegistered(const std::set<std::string>& relayIds);
 
   /// Applies a relay's report.
@@ -55,13 +55,14 @@
   /// @return whether view(revision).everywhere() is true, without iterating over all nodes.
   bool inForceEverywhere(int64_t revision) const;
 
-  /// Drops nodes that have been detached for a long time; called periodically.
+  /// Drops nodes that have been detached for ten minutes; called periodically.
   void pruneGoneNodes();
 
   /// @return the number of nodes that at least one relay holds a connection to.
   size_t attachedNodes() const { return nodes_.size(); }
 
-  /// @return registered relays without a connection that has reported to this leader for at least a duration.
+  /// @return the registered relays that for at least the given duration had no connection on which they reported to
+  /// this leader.
   std::vector<std::string> inactiveRelays(base::Duration duration) const;
 
  private:
--- a/src/controller/rollout_http_api.cc
+++ b/src/controller/rollout_http_api.cc
@@ -20,7 +20,7 @@
 constexpr char kRolloutsPath[] = "/v1/rollouts";
 constexpr char kRolloutPathPrefix[] = "/v1/rollouts/";
 constexpr int kOk = 200;
-/// Rejects implausible values; far above any real rollout time.
+/// Upper limit that rejects implausible values; far above the duration of any rollout.
 constexpr int64_t kMaxFinishByMs = int64_t{30} * 24 * 60 * 60 * 1000;
 
 absl::StatusOr<RolloutOrder> parseOrder(const std::string& service, const std::string& body) {
--- a/src/controller/rollouts.cc
+++ b/src/controller/rollouts.cc
@@ -80,7 +80,7 @@
   const auto row = rowOf(service);
   if (!row) return;
   track(*row);
-  // Entries replayed at startup were decided long ago.
+  // Rollbacks that are replayed at startup, before this controller leads, are not recent.
   if (row->rolloutRow.state == RolloutState::ROLLED_BACK && controller_.leads()) {
     rolledBackAt_[service] = scheduler_.now();
   }
--- a/src/ledger/ledger_state.h
+++ b/src/ledger/ledger_state.h
@@ -12,15 +12,15 @@
 
 /// Retention time of a key, by the leaders' clocks. A request resent after that runs again.
 constexpr int64_t kKeyRetentionMs = int64_t{3600} * 1000;
-/// Retention time of the body of an answer. A later resend learns only that the request completed.
+/// Retention time of a stored answer. Afterwards a resent request gets only the information that it was completed.
 constexpr int64_t kAnswerRetentionMs = int64_t{600} * 1000;
 /// Maximum size of keys and stored answers. Beyond it claims are refused, since dropping keys before kKeyRetentionMs
 /// would let requests run twice.
 constexpr size_t kMaxLedgerBytes = size_t{256} << 20;
-/// Maximum size of a stored answer body. For a longer one a resend learns only that the request completed.
+/// Maximum size of the body of a stored answer. An answer with a longer body is dropped at once.
 constexpr size_t kMaxStoredAnswerBytes = size_t{256} << 10;
 
-/// HTTP status of a stored answer whose body was dropped.
+/// HTTP status that replaces a dropped answer; shows a resent request that it was completed.
 constexpr int kDroppedAnswerHttpStatus = 410;
 
 /// Result of a command.
--- a/src/quarantine/crash_history.cc
+++ b/src/quarantine/crash_history.cc
@@ -168,8 +168,8 @@
 }
 
 /// @returns Whether another request that was running during a crash explains it: one that has crashed a back end on
-/// probation and has more crashes than _request. With the same number it may itself be harmless, and have been on
-/// probation next to a crashing request that was not known yet.
+/// probation and has more crashes than _request. A request with the same number of crashes may itself be harmless: it
+/// may have been on probation together with a crashing request that was not known yet.
 bool crash_history::isExplainedByHeldRequest(uint64_t _crash, const request_fingerprint& _request) const
 {
 	const size_t own = unclearedCrashesOf(_request)->size();
@@ -301,8 +301,9 @@
 	return result;
 }
 
-/// @returns Whether a crash contributes to no hold. Cleared marks of a request that was held are kept as long as other
-/// marks, so that a node that was disconnected in the meantime cannot cause the request to be held again.
+/// @returns Whether no request is held because of a crash. A cleared mark of a request on probation counts too, so that
+/// it is kept as long as uncleared marks; otherwise a node that was disconnected when the mark was cleared could cause
+/// the request to be held again.
 bool crash_history::causesNoHold(const crash& _crash) const
 {
 	return std::none_of(_crash.requests.begin(), _crash.requests.end(),
@@ -329,8 +330,8 @@
 	}
 }
 
-/// Drops the cleared marks of requests that only ran at the same time as others. A node that subscribes after a hundred
-/// crashing requests then receives 11 kB instead of 38 kB (1,487 marks, fleet of 300 nodes).
+/// Drops the cleared marks of requests that were not on probation. A node that subscribes after a hundred crashing
+/// requests then receives 11 kB instead of 38 kB (1,487 marks, fleet of 300 nodes).
 void crash_history::dropClearedMarks(crash* _crash)
 {
 	m_markCount -= std::erase_if(_crash->requests,
--- a/src/quarantine/crash_history.h
+++ b/src/quarantine/crash_history.h
@@ -36,7 +36,8 @@
 	/// Retention of cleared marks: reports of them may still be in flight, and arrive late after a network partition.
 	base::Duration clearedRetention = std::chrono::minutes(1);
 	/// A held request is put on probation again this long after its last crash. The delay grows by probeBackoffFactor
-	/// with each further crash: within a week a request ends at most six back ends, three beyond the third.
+	/// with each further crash: within a week a request crashes at most six back ends, the last three of them after
+	/// delays of 1, 12 and 144 hours.
 	base::Duration firstProbeDelay = std::chrono::minutes(5);
 	int probeBackoffFactor = 12;
 };
--- a/src/quarantine/crash_watch.h
+++ b/src/quarantine/crash_watch.h
@@ -18,18 +18,19 @@
 class back_end_presence;
 
 /// Collects the runs whose connection the back end closed without an answer, until a check shows whether a process
-/// still listens at its address. If none does, all these runs were active when the back end crashed. Runs that are
-/// found cut shortly afterwards belong to the same crash.
+/// still listens at its address. If none does, all these runs were active when the back end crashed. Runs whose
+/// connection is found closed shortly afterwards belong to the same crash.
 class crash_detector
 {
 public:
-	/// Called with the id of the crash that cut a run; nothing if there was no crash.
+	/// Called with the id of the crash that cut a run; nothing if the back end did not crash.
 	using result_handler = std::function<void(std::optional<uint64_t> crash)>;
 
 	/// Called one or more times for each crash with the runs that were active, before their result handlers.
 	using crash_handler = std::function<void(uint64_t crash, const std::vector<crashed_run>& runs)>;
 
-	/// @param[in] _presence Must outlive the watch, as must _time.
+	/// @param[in] _time Must outlive the detector.
+	/// @param[in] _presence Must outlive the detector.
 	crash_detector(const base::TimeSource& _time, base::RandomSource _random, back_end_presence& _presence,
 				   crash_handler _onCrash);
 	~crash_detector();
@@ -38,8 +39,8 @@
 	/// @param[in] _done Called once; immediately if the run belongs to a crash that is already known.
 	void onCut(const crashed_run& _run, result_handler _done);
 
-	/// Processes a restart of the back end that no check has detected. The runs cut during the last 5 s, and those that
-	/// are found cut from now on for 200 ms, were active when it crashed.
+	/// Processes a restart of the back end that no check has detected. Runs that were cut during the last 5 s, or are
+	/// reported by onCut() within the next 200 ms, were active when it crashed.
 	void onRestart();
 
 private:
--- a/src/quarantine/request_quarantine.h
+++ b/src/quarantine/request_quarantine.h
@@ -49,8 +49,8 @@
 	void onCrash(uint64_t _id, std::string_view _service, std::string_view _endpoint,
 				 std::span<const crashed_run> _runs);
 
-	/// Records a crash of a remote back end that cut a call of this node. The node of the back end reports it to
-	/// others.
+	/// Records a crash of a remote back end that cut a call of this node. The report is not forwarded, since the node
+	/// of the back end sends one.
 	void onRemoteCrash(uint64_t _id, std::string_view _service, std::string_view _endpoint, const crashed_run& _run);
 
 	/// Records that the local back end answered a request, and clears its marks.
--- a/src/rollout/version_test.cc
+++ b/src/rollout/version_test.cc
@@ -14,15 +14,15 @@
 /// rollout is evaluated some hundred times, for several symptoms, routes and time spans, most of which use the same
 /// answers.
 constexpr double kRequiredEvidence = 11;
-/// With fewer endpoints, an unhealthy version cannot be told reliably from faulty endpoints, and twice the evidence is
-/// required.
+/// With fewer endpoints, an unhealthy version cannot be distinguished reliably from faulty endpoints, and twice the
+/// evidence is required.
 constexpr size_t kFewEndpoints = 3;
 constexpr double kFewEndpointsFactor = 2;
 /// Log-likelihood ratio from which an endpoint counts as faulty.
 constexpr double kFaultyEvidence = 3;
 /// Maximum probability that more endpoints are faulty than are excluded.
 constexpr double kExcessFaultyProbability = 1e-3;
-/// Prior for the share of faulty endpoints, so that the absence of faults in a small fleet is no proof.
+/// Prior for the share of faulty endpoints, so that the estimate is not zero for a small fleet without faults.
 constexpr double kPriorEndpoints = 10;
 constexpr double kPriorFaultyEndpoints = 0.5;
 /// Prior share of answers with a symptom, and its weight in answers.
--- a/src/routing/endpoint_picker.h
+++ b/src/routing/endpoint_picker.h
@@ -83,21 +83,21 @@
   /// Records the number of requests, running and queued, that an endpoint reported for all its callers.
   void onLoadReport(const std::string& endpoint, int inFlight);
 
-  /// Excludes an endpoint for ejectFor, as after consecutive failures: its back end is known to be down.
+  /// Excludes an endpoint for ejectFor, after consecutive failures or if its back end is known to be down.
   void eject(const std::string& endpoint);
 
-  /// The endpoint refused a request of this rank because all slots were busy; it gets no request of the same or a lower
-  /// priority for the given time.
+  /// Records that the endpoint refused a request of this rank because all slots were busy; it gets no request of the
+  /// same or a lower priority for the given time.
   void onFull(const std::string& endpoint, int rank, base::Duration backOff);
 
-  /// The endpoint refused a request because its link could not have carried the body in time; it gets no request with a
-  /// large body for the given time.
+  /// Records that the endpoint refused a request because its link is too slow to transfer the body in time; it gets no
+  /// request with a large body for the given time.
   void onLargeBodyRefused(const std::string& endpoint, base::Duration duration);
 
   /// Drops the state of a removed endpoint.
   void forget(const std::string& endpoint) { states_.erase(endpoint); }
 
-  /// A request ended without a result that counts for or against the endpoint.
+  /// Records that a request ended without a result that affects the latency or failures of the endpoint.
   void onAbandoned(const std::string& endpoint);
 
   /// Sets whether the connection to the endpoint's node is open.
--- a/test/rollout/rollout_odds_test.cc
+++ b/test/rollout/rollout_odds_test.cc
@@ -89,8 +89,8 @@
 	return {_seed, kinds[_seed % std::size(kinds)], _seed / std::size(kinds) % kSingleFaultSets};
 }
 
-/// Regression: once exceeded the exposure limit. Only 39 answers were bad in all, and the share was increased before
-/// these were sufficient evidence.
+/// Regression: this rollout exceeded the exposure limit. Only 39 answers were bad in total, and the share was increased
+/// before they were sufficient evidence.
 const drawn_rollout kExposureRegression{1017, version_fault::oneRoute, 3};
 
 /// Known failures: small services with faults of their own. In the first, three of the seven endpoints of the standing
--- a/test/rollout/simulated_service.h
+++ b/test/rollout/simulated_service.h
@@ -74,7 +74,7 @@
 		double speed = 1;
 		double failing = 0;    //!< Share of requests that a fault of the back end itself fails.
 		double slower = 1;     //!< Slowdown by a fault of the back end itself.
-		bool crashes = false;  //!< It is down for some seconds.
+		bool crashes = false;  //!< Whether it is down for some seconds.
 		base::TimePoint startedAt{};
 		int64_t sequence = 0;
 		rollout::run_statistics figures;
