--- a/test/consensus/process_stall_test.cc
+++ b/test/consensus/process_stall_test.cc
@@ -81,7 +81,7 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(StalledLeader, "a leader that stood still does not step down while its followers answer") {
+TEST_CASE_METHOD(StalledLeader, "a stalled leader does not step down while its followers respond") {
   process.setFrozen(true);
   runFor(kStallDuration, true);
   process.setFrozen(false);
@@ -90,7 +90,7 @@
   CHECK(raft->role() == RaftRole::kLeader);
 }
 
-TEST_CASE_METHOD(StalledLeader, "a leader that stood still steps down when its followers are gone") {
+TEST_CASE_METHOD(StalledLeader, "a stalled leader steps down when its followers are gone") {
   process.setFrozen(true);
   runFor(kStallDuration, false);
   process.setFrozen(false);
@@ -98,8 +98,7 @@
   CHECK(raft->role() == RaftRole::kFollower);
 }
 
-TEST_CASE_METHOD(StalledFollower,
-                 "a follower that stood still asks for no votes while its leader's heartbeats are unread") {
+TEST_CASE_METHOD(StalledFollower, "a stalled follower requests no votes while its leader's heartbeats are unread") {
   runFor(base::milliseconds(500), true);
   process.setFrozen(true);
   runFor(kStallDuration, true);
@@ -108,7 +107,7 @@
   CHECK_FALSE(sentAny<wire::VoteRequest>(transport));
 }
 
-TEST_CASE_METHOD(StalledFollower, "a follower that stood still asks for votes when its leader is gone") {
+TEST_CASE_METHOD(StalledFollower, "a stalled follower requests votes when its leader is gone") {
   runFor(base::milliseconds(500), true);
   process.setFrozen(true);
   runFor(kStallDuration, false);
--- a/test/controller/automatic_membership_test.cc
+++ b/test/controller/automatic_membership_test.cc
@@ -115,7 +115,7 @@
 }  // namespace
 
 TEST_CASE_METHOD(ElevenSlowMachines,
-                 "after a loss of all, slow controllers agree on a leader without a race of terms") {
+                 "slow controllers elect a leader within a few terms after all of them lost power") {
   REQUIRE(leader() != nullptr);
   const auto before = leader()->controller().raft().term();
   for (const auto& host : hosts) host->losePower();
@@ -131,7 +131,7 @@
   CHECK(voters() == 7);
 }
 
-TEST_CASE_METHOD(SevenMachines, "what was accepted outlives the loss of two disks while all others lose power") {
+TEST_CASE_METHOD(SevenMachines, "accepted edits survive the loss of two disks while all controllers lose power") {
   REQUIRE(edit("accepted"));
   Host* first = leader();
   Host* second = hosts[0].get() == first ? hosts[1].get() : hosts[0].get();
@@ -166,7 +166,7 @@
   CHECK(!leader()->controller().raft().forming());
 }
 
-TEST_CASE_METHOD(Fixture, "what was accepted outlives the loss of one disk while all others lose power") {
+TEST_CASE_METHOD(Fixture, "accepted edits survive the loss of one disk while all controllers lose power") {
   REQUIRE(edit("accepted"));
   auto* wiped = leader();
   for (const auto& host : hosts) host->losePower();
@@ -186,14 +186,14 @@
   runFor(base::seconds(4));
   CHECK(voters() == 3);
   REQUIRE(edit("after"));
-  // The cluster now tolerates the loss of a second one.
+  // The cluster now tolerates the loss of a second controller.
   Host* second = hosts[2].get() == leader() ? hosts[1].get() : hosts[2].get();
   second->losePower();
   runFor(base::seconds(2));
   CHECK(edit("after-the-second"));
 }
 
-TEST_CASE_METHOD(Fixture, "a controller at a new address takes the place of one that is gone for good") {
+TEST_CASE_METHOD(Fixture, "a controller at a new address replaces one that is lost permanently") {
   leader()->losePower();
   runFor(base::seconds(1));
   auto& replacement = add("10.0.0.9", "zone-1");
--- a/test/controller/convergence_test.cc
+++ b/test/controller/convergence_test.cc
@@ -40,7 +40,7 @@
   CHECK(!tracker.inForceEverywhere(6));
 }
 
-TEST_CASE_METHOD(Fixture, "a relay that stays silent until its nodes have left it no longer blocks") {
+TEST_CASE_METHOD(Fixture, "a relay that is inactive until its nodes have left it no longer blocks convergence") {
   tracker.onReport("relay-1", report(5, {"node-1"}, true));
   time.advance(base::seconds(11));
   CHECK(!tracker.inForceEverywhere(5));
@@ -48,7 +48,7 @@
   CHECK(tracker.inForceEverywhere(5));
 }
 
-TEST_CASE_METHOD(Fixture, "a lagging node blocks until its relay says otherwise") {
+TEST_CASE_METHOD(Fixture, "a lagging node blocks convergence until its relay reports that it has caught up") {
   auto lagging = report(5, {"node-1", "node-2"}, true);
   wire::NodeStatus status;
   status.nodeId = "node-2";
@@ -82,7 +82,7 @@
   CHECK(tracker.view(5).gone == 1);
 }
 
-TEST_CASE_METHOD(Fixture, "a node lost before this controller led blocks until its lease ends") {
+TEST_CASE_METHOD(Fixture, "a node lost before this controller led blocks convergence until its lease ends") {
   auto full = report(5, {}, true);
   full.detached = {"node-1"};
   tracker.onReport("relay-1", full);
--- a/test/controller/rollout_http_api_test.cc
+++ b/test/controller/rollout_http_api_test.cc
@@ -83,7 +83,7 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(LeaderFixture, "an order starts, is shown with its progress, and is taken back") {
+TEST_CASE_METHOD(LeaderFixture, "an order is started, shown with its progress, and aborted") {
   CHECK(shown()["state"] == "standing");
   CHECK(start("v2") == 200);
   runFor(base::seconds(2));
--- a/test/ledger/ledger_state_test.cc
+++ b/test/ledger/ledger_state_test.cc
@@ -108,7 +108,7 @@
   CHECK(state.apply(command(LedgerAction::CLAIM, "k0", "b")).verdict == LedgerVerdict::COMPLETED);
 }
 
-TEST_CASE("a snapshot carries everything") {
+TEST_CASE("a snapshot contains the whole state") {
   LedgerState state;
   state.apply(command(LedgerAction::CLAIM, "a", "1", 10));
   state.apply(command(LedgerAction::COMPLETE, "a", "1", 11));
--- a/test/wire/frame_test.cc
+++ b/test/wire/frame_test.cc
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-TEST_CASE("a frame survives being cut at every byte") {
+TEST_CASE("a frame is decoded wherever its bytes are split") {
   const auto frame = wire::encodeFrame(someRequest());
   for (size_t cut = 0; cut <= frame->size(); cut += 7) {
     wire::FrameReader reader;
@@ -68,7 +68,7 @@
   }
 }
 
-TEST_CASE("a large frame is packed, and decodes as what it was; a small one is left alone") {
+TEST_CASE("a large frame is packed and decodes to the original message; a small one stays unpacked") {
   wire::SliceUpdate update;
   update.full = true;
   for (int i = 0; i < 1200; ++i) {
