--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -136,7 +136,7 @@
   pending_[*index] = {raft_->term(), scheduler_.now(), std::move(done)};
 }
 
-void Controller::submitLedger(wire::LedgerCommand command, LedgerReplyCallback done) {
+void Controller::submitLedger(wire::LedgerCommand command, LedgerOutcomeCallback done) {
   command.timestampMs =
       std::chrono::duration_cast<base::milliseconds>(scheduler_.wallTime().time_since_epoch()).count();
   wire::LogEntry entry;
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -68,7 +68,7 @@
   std::string leaderName;     ///< set with kNotLeader if the leader is known
 };
 
-using LedgerReplyCallback = std::function<void(const ledger::LedgerOutcome&)>;
+using LedgerOutcomeCallback = std::function<void(const ledger::LedgerOutcome&)>;
 using EditCallback = std::function<void(const EditAnswer&)>;
 
 /// One controller process; network and disk are accessed only through interfaces.
@@ -89,7 +89,7 @@
   void submitEdit(wire::EditCommand edit, EditCallback done);
 
   /// Submits a ledger command. If leadership is lost before it is applied, `done` is not called and the sender retries.
-  void submitLedger(wire::LedgerCommand command, LedgerReplyCallback done);
+  void submitLedger(wire::LedgerCommand command, LedgerOutcomeCallback done);
 
   /// Calls back with true once a quorum has confirmed that this controller was still the leader after the call.
   void confirmLeadership(consensus::Raft::ConfirmCallback done);
@@ -220,7 +220,7 @@
   std::unique_ptr<consensus::Raft> raft_;                      // null until recovery has finished
   std::map<base::ConnectionId, wire::Hello> peers_;            // open connections
   std::map<int64_t, PendingEdit> pending_;                     // by log index
-  std::map<int64_t, LedgerReplyCallback> pendingLedger_;       // by log index
+  std::map<int64_t, LedgerOutcomeCallback> pendingLedger_;     // by log index
   std::map<std::string, ControllerAddress> pendingAdditions_;  // added by an operator, not yet members
   std::map<std::string, wire::Member> discoveredMembers_;      // members learned from other controllers, by id
   std::map<std::string, base::TimePoint> lastActive_;          // leader only: when each member last responded
--- a/src/quarantine/fingerprint_bytes.cc
+++ b/src/quarantine/fingerprint_bytes.cc
@@ -53,10 +53,10 @@
 std::optional<request_fingerprint> fingerprintFromText(std::string_view _text)
 {
 	request_fingerprint fingerprint;
-	const bool whole = 2 * kHalfDigits == _text.size()
+	const bool valid = 2 * kHalfDigits == _text.size()
 					   && absl::SimpleHexAtoi(std::string(_text.substr(0, kHalfDigits)), &fingerprint.high)
 					   && absl::SimpleHexAtoi(std::string(_text.substr(kHalfDigits)), &fingerprint.low);
-	return whole ? std::optional(fingerprint) : std::nullopt;
+	return valid ? std::optional(fingerprint) : std::nullopt;
 }
 
 }  // namespace driftlug::quarantine
