--- a/src/controller/member_address_tracker.h
+++ b/src/controller/member_address_tracker.h
@@ -12,10 +12,9 @@
 
 namespace driftlug::controller {
 
-/// Detects changes of the members' addresses, which relays must be notified of: they connect to every controller, voter
-/// or learner. Changes of voting rights are ignored. While a cluster forms, one log entry adds each member and another
-/// promotes it; if every controller notified every relay of each entry, the cost in bytes would be proportional to the
-/// fourth power of the number of members.
+/// Relays connect to every controller, so they need the addresses of all, also of learners. While a cluster forms, one
+/// log entry adds each member and another promotes it; notifying every relay of each entry, from every controller,
+/// would cost bytes proportional to the fourth power of the number of members.
 class MemberAddressTracker {
  public:
   /// @return whether the ids, addresses, ports or zones differ from those of the previous call
