--- a/src/consensus/raft_election.cc
+++ b/src/consensus/raft_election.cc
@@ -117,7 +117,7 @@
   response.term = request.preVote ? request.term : std::max(request.term, hardState_.term);
   if (request.preVote) {
     response.granted = !leaderIsFresh && request.term > hardState_.term && candidateIsUpToDate(request);
-    // A rejection carries this member's own term: a pre-vote must not start the requested term.
+    // A rejection contains this member's own term, so that the candidate does not adopt the requested term.
     if (!response.granted) response.term = hardState_.term;
     sendTo(from, response);
     return;
@@ -126,9 +126,9 @@
   // A member that was removed or partitioned away must not disrupt a leader that has a quorum.
   if (leaderIsFresh && !request.transfer && request.term > hardState_.term) return;
   if (request.term > hardState_.term) becomeFollower(request.term, "");
-  const bool free = hardState_.votedFor.empty() || hardState_.votedFor == request.candidate;
+  const bool voteAvailable = hardState_.votedFor.empty() || hardState_.votedFor == request.candidate;
   response.term = hardState_.term;
-  response.granted = request.term == hardState_.term && free && candidateIsUpToDate(request);
+  response.granted = request.term == hardState_.term && voteAvailable && candidateIsUpToDate(request);
   if (!response.granted) {
     sendTo(from, response);
     return;
@@ -181,9 +181,9 @@
   lastQuorumContact_ = scheduler_.now();
   for (const auto& member : members_) {
     if (member.id == id_) continue;
-    Progress fresh;
-    fresh.nextIndex = lastIndex() + 1;
-    progress_[member.id] = fresh;
+    Progress newProgress;
+    newProgress.nextIndex = lastIndex() + 1;
+    progress_[member.id] = newProgress;
   }
   log_.info("{} leads term {}", id_, hardState_.term);
   termStartIndex_ = lastIndex() + 1;
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -68,7 +68,7 @@
   std::string leaderName;     ///< set with kNotLeader if the leader is known
 };
 
-using LedgerReplyCallback = std::function<void(const ledger::LedgerOutcome&)>;
+using LedgerOutcomeCallback = std::function<void(const ledger::LedgerOutcome&)>;
 using EditCallback = std::function<void(const EditAnswer&)>;
 
 /// One controller process; network and disk are accessed only through interfaces.
@@ -89,7 +89,7 @@
   void submitEdit(wire::EditCommand edit, EditCallback done);
 
   /// Submits a ledger command. If leadership is lost before it is applied, `done` is not called and the sender retries.
-  void submitLedger(wire::LedgerCommand command, LedgerReplyCallback done);
+  void submitLedger(wire::LedgerCommand command, LedgerOutcomeCallback done);
 
   /// Calls back with true once a quorum has confirmed that this controller was still the leader after the call.
   void confirmLeadership(consensus::Raft::ConfirmCallback done);
@@ -101,14 +101,14 @@
   absl::Status removeController(const std::string& name);
 
   /// Replaces the seeds used for discovery, e.g. after a change of the settings.
-  void useSeeds(std::vector<ControllerAddress> seeds);
+  void setSeeds(std::vector<ControllerAddress> seeds);
 
   /// @return the leader's HTTP address; port 0 if no leader is known.
   base::Address leaderHttpAddress() const;
 
   /// Sets the table observer, which must outlive this object or unset itself first.
   /// @param observer null to unset
-  void observeTable(table::TableObserver* observer) { tableObserver_ = observer; }
+  void setTableObserver(table::TableObserver* observer) { tableObserver_ = observer; }
 
   /// Sets a hook that is called after each committed entry is applied.
   void onApplied(std::function<void(const wire::LogEntry&)> hook) { appliedHook_ = std::move(hook); }
@@ -167,7 +167,7 @@
   void broadcastHello();
   void updateLinks();
   void onRelayMessage(base::ConnectionId connection, const wire::Message& message);
-  void onQuotaAsk(base::ConnectionId connection, const wire::QuotaAsk& question);
+  void onQuotaAsk(base::ConnectionId connection, const wire::QuotaAsk& quotaRequest);
   std::optional<quota::quota_limit> limitOf(const std::string& tenant) const;
   void onHousekeeping();
   void formCluster();
@@ -220,7 +220,7 @@
   std::unique_ptr<consensus::Raft> raft_;                      // null until recovery has finished
   std::map<base::ConnectionId, wire::Hello> peers_;            // open connections
   std::map<int64_t, PendingEdit> pending_;                     // by log index
-  std::map<int64_t, LedgerReplyCallback> pendingLedger_;       // by log index
+  std::map<int64_t, LedgerOutcomeCallback> pendingLedger_;     // by log index
   std::map<std::string, ControllerAddress> pendingAdditions_;  // added by an operator, not yet members
   std::map<std::string, wire::Member> discoveredMembers_;      // members learned from other controllers, by id
   std::map<std::string, base::TimePoint> lastActive_;          // leader only: when each member last responded
--- a/src/quarantine/crash_history.h
+++ b/src/quarantine/crash_history.h
@@ -36,7 +36,8 @@
 	/// Retention of cleared marks: reports of them may still be in flight, and arrive late after a network partition.
 	base::Duration clearedRetention = std::chrono::minutes(1);
 	/// A held request is put on probation again this long after its last crash. The delay grows by probeBackoffFactor
-	/// with each further crash: within a week a request ends at most six back ends, three beyond the third.
+	/// with each further crash: within a week a request crashes at most six back ends, the last three of them after
+	/// delays of 1, 12 and 144 hours.
 	base::Duration firstProbeDelay = std::chrono::minutes(5);
 	int probeBackoffFactor = 12;
 };
@@ -108,7 +109,7 @@
 
 	/// @returns All marks, including cleared ones, for processes that lack them.
 	/// @param[in] _wants Selects the services.
-	reports all(const std::function<bool(const std::string& service)>& _wants) const;
+	reports all(const std::function<bool(const std::string& service)>& _includesService) const;
 
 	reports all() const
 	{
@@ -120,7 +121,7 @@
 	}
 
 	/// @returns All suspect and held requests.
-	std::vector<quarantined_request> known() const;
+	std::vector<quarantined_request> quarantinedRequests() const;
 
 	/// @returns The number of stored marks, including cleared ones.
 	size_t marks() const
@@ -165,7 +166,7 @@
 	base::TimePoint lastCrashOf(const crash_ids& _crashes) const;
 	base::TimePoint nextProbeAt(const crash_ids& _crashes, const request_fingerprint& _request) const;
 	wire::CrashReport reportOf(uint64_t _id, const crash& _crash) const;
-	bool holdsNoRequest(const crash& _crash) const;
+	bool causesNoHold(const crash& _crash) const;
 	void dropClearedMarks(crash* _crash);
 	void dropExpired();
 	void evictExcess();
--- a/src/rollout/version_test.cc
+++ b/src/rollout/version_test.cc
@@ -14,15 +14,15 @@
 /// rollout is evaluated some hundred times, for several symptoms, routes and time spans, most of which use the same
 /// answers.
 constexpr double kRequiredEvidence = 11;
-/// With fewer endpoints, an unhealthy version cannot be told reliably from faulty endpoints, and twice the evidence is
-/// required.
+/// With fewer endpoints, an unhealthy version cannot be distinguished reliably from faulty endpoints, and twice the
+/// evidence is required.
 constexpr size_t kFewEndpoints = 3;
 constexpr double kFewEndpointsFactor = 2;
 /// Log-likelihood ratio from which an endpoint counts as faulty.
 constexpr double kFaultyEvidence = 3;
 /// Maximum probability that more endpoints are faulty than are excluded.
 constexpr double kExcessFaultyProbability = 1e-3;
-/// Prior for the share of faulty endpoints, so that the absence of faults in a small fleet is no proof.
+/// Prior for the share of faulty endpoints, so that the estimate is not zero for a small fleet without faults.
 constexpr double kPriorEndpoints = 10;
 constexpr double kPriorFaultyEndpoints = 0.5;
 /// Prior share of answers with a symptom, and its weight in answers.
@@ -146,16 +146,16 @@
 	// Faulty endpoints raise the share of all above that of the healthy ones.
 	run_sample healthy;
 	double faulty = kPriorFaultyEndpoints;
-	double seen = kPriorEndpoints;
+	double endpointCount = kPriorEndpoints;
 	for (const auto& sample : _standing)
 	{
 		const bool isFaulty = kFaultyEvidence <= logLikelihoodRatio(sample, _symptom, baseline.share);
-		seen += 0 < sample.answered ? 1 : 0;
+		endpointCount += 0 < sample.answered ? 1 : 0;
 		faulty += isFaulty ? 1 : 0;
 		healthy += isFaulty ? run_sample{} : sample;
 	}
 	baseline.share = shareOf(healthy);
-	baseline.faultyShare = faulty / seen;
+	baseline.faultyShare = faulty / endpointCount;
 	return baseline;
 }
 
@@ -212,13 +212,13 @@
 	test_result result;
 	result.testedEndpoints = target.means.size();
 	const auto faulty = static_cast<double>(std::erase_if(standing.means,
-														  [from = slowOutlierThreshold(_standing)](double _mean)
+														  [threshold = slowOutlierThreshold(_standing)](double _mean)
 														  {
-															  return _mean >= from;
+															  return _mean >= threshold;
 														  }));
-	const auto seen = static_cast<double>(standing.means.size()) + faulty;
+	const auto endpointCount = static_cast<double>(standing.means.size()) + faulty;
 	result.excludedEndpoints =
-		faultyByChance(result.testedEndpoints, (faulty + kPriorFaultyEndpoints) / (seen + kPriorEndpoints));
+		faultyByChance(result.testedEndpoints, (faulty + kPriorFaultyEndpoints) / (endpointCount + kPriorEndpoints));
 	if (kMinComparedEndpoints > result.testedEndpoints - result.excludedEndpoints
 		|| kMinComparedEndpoints > standing.means.size())
 	{
--- a/test/rollout/simulated_service.h
+++ b/test/rollout/simulated_service.h
@@ -74,7 +74,7 @@
 		double speed = 1;
 		double failing = 0;    //!< Share of requests that a fault of the back end itself fails.
 		double slower = 1;     //!< Slowdown by a fault of the back end itself.
-		bool crashes = false;  //!< It is down for some seconds.
+		bool crashes = false;  //!< Whether it is down for some seconds.
 		base::TimePoint startedAt{};
 		int64_t sequence = 0;
 		rollout::run_statistics figures;
@@ -112,8 +112,8 @@
 	std::deque<delayed_report> m_reports;
 	rollout::version_evidence m_evidence{m_time};
 	rollout::rollout_driver m_driver{{}};
-	wire::RolloutRow m_row;      //!< Row at the leader.
-	wire::RolloutRow m_atNodes;  //!< Row at the nodes.
+	wire::RolloutRow m_row;         //!< Row at the leader.
+	wire::RolloutRow m_rowAtNodes;  //!< Row at the nodes.
 	base::TimePoint m_nodesUpdateAt{};
 	base::TimePoint m_writtenAt{};
 	base::TimePoint m_orderedAt{};
