--- a/src/controller/rollout_http_api.cc
+++ b/src/controller/rollout_http_api.cc
@@ -48,7 +48,7 @@
     return out;
   }
   const auto verdict = rollouts.verdictOf(row.key.name);
-  out["endpoints_tried"] = verdict.tried;
+  out["endpoints_tried"] = verdict.testedEndpoints;
   out["evidence"] = verdict.strength;
   out["against_it"] = verdict.reason;
   out["elapsed_ms"] = rollouts.elapsed(row.key.name) / base::milliseconds(1);
