--- a/apps/controller_daemon.cc
+++ b/apps/controller_daemon.cc
@@ -273,7 +273,7 @@
     admin.listenOrExit(http.host, http.port);
     if (embeddedRelay) embeddedRelay->startOrExit();
   });
-  if (embeddedRelay) loop.onStall([&embeddedRelay](base::Duration) { embeddedRelay->relay().onAway(); });
+  if (embeddedRelay) loop.onStall([&embeddedRelay](base::Duration) { embeddedRelay->relay().onResumed(); });
   loop.run();
   return 0;
 }
--- a/apps/node_daemon.cc
+++ b/apps/node_daemon.cc
@@ -61,11 +61,11 @@
 
 /// @param well whether the back end is healthy; a healthy back end that sends no cold time is warm
 /// @return remaining cold-start time in milliseconds; nullopt if an unhealthy back end does not send it
-std::optional<int> remainingColdMs(const std::vector<wire::HttpHeader>& headers, bool well) {
+std::optional<int> remainingColdMs(const std::vector<wire::HttpHeader>& headers, bool healthy) {
   const std::string text(transport::findHeader(headers, FLAGS_cold_header));
   int coldMs = 0;
   if (absl::SimpleAtoi(text, &coldMs)) return coldMs;
-  return well ? std::optional(0) : std::nullopt;
+  return healthy ? std::optional(0) : std::nullopt;
 }
 
 /// Dispatches messages to the endpoint and the entry side of calls, which share connections.
@@ -415,14 +415,14 @@
   constexpr base::Duration kTimeout = base::milliseconds(500);
   if (FLAGS_first_start || !localBackend_.incarnation().empty()) return;
   queryBackend(kTimeout, [this](const node::BackendIdentity& identity) {
-    if (identity.well) localBackend_.onIdentified(identity.incarnation);
+    if (identity.healthy) localBackend_.onIdentified(identity.incarnation);
   });
 }
 
 void NodeDaemon::queryColdState() {
   if (FLAGS_cold_header.empty()) return;
   queryBackend(kIdentityTimeout, [this](const node::BackendIdentity& identity) {
-    log_.info("cold state of {}: well={} cold_ms={}", identity.incarnation, identity.well,
+    log_.info("cold state of {}: well={} cold_ms={}", identity.incarnation, identity.healthy,
               identity.coldMs.value_or(-1));
     if (identity.coldMs) endpoint_.onColdReport(base::milliseconds(*identity.coldMs), true);
   });
@@ -449,9 +449,9 @@
     node::BackendIdentity identity;
     if (result.outcome == transport::HttpOutcome::kCompleted) {
       identity.incarnation = std::string(transport::findHeader(headers, FLAGS_identity_header));
-      identity.well = kOkStatus == result.response.status;
-      identity.leaving = !identity.well && !refused;
-      identity.coldMs = remainingColdMs(headers, identity.well);
+      identity.healthy = kOkStatus == result.response.status;
+      identity.leaving = !identity.healthy && !refused;
+      identity.coldMs = remainingColdMs(headers, identity.healthy);
     }
     done(identity);
   });
@@ -465,7 +465,7 @@
 
 void NodeDaemon::onStall(base::Duration late) {
   log_.warn("{} was suspended for {} ms", FLAGS_name, base::millisecondsOf(late));
-  control_.onAway();
+  control_.onResumed();
   endpoint_.setStale(true);
   loop_.schedule(base::Duration(0), [this] { endpoint_.setStale(false); });  // after this turn's socket reads
 }
--- a/apps/node_settings.cc
+++ b/apps/node_settings.cc
@@ -158,7 +158,7 @@
   options.requestIdHeader = FLAGS_correlation_header;
   options.tenantHeader = FLAGS_tenant_header;
   options.hedgeAfterShare = FLAGS_hedge_percent / 100.0;
-  options.lateHedgeAfterShare = FLAGS_late_percent / 100.0;
+  options.fallbackHedgeAfterShare = FLAGS_late_percent / 100.0;
   options.deprioritizeLateCalls = FLAGS_in_time_first;
   options.inlineBodyBytes = inlineBodyBytesFromSettings();
   options.fullFor = base::milliseconds(FLAGS_full_for_ms);
--- a/apps/relay_main.cc
+++ b/apps/relay_main.cc
@@ -121,7 +121,7 @@
   admin.listenOrExit(FLAGS_listen_host, FLAGS_http_port);
   if (const auto status = frames.listen(FLAGS_listen_host, FLAGS_frame_port); !status.ok()) apps::exitWithError(status);
   relay.start();
-  loop.onStall([&relay](base::Duration) { relay.onAway(); });
+  loop.onStall([&relay](base::Duration) { relay.onResumed(); });
   loop.run();
   return 0;
 }
--- a/src/limits/slot_limiter.cc
+++ b/src/limits/slot_limiter.cc
@@ -45,10 +45,10 @@
   // A slot can be free while requests are queued only if some of the queued requests are not ready.
   const auto free = std::max(0, maxConcurrent_ - running_);
   const auto ahead = 1 + before - free;
-  const auto paced = rateLimitWait(before);
-  if (ahead <= 0) return paced;
+  const auto rateWait = rateLimitWait(before);
+  if (ahead <= 0) return rateWait;
   const auto share = static_cast<double>(ahead) / std::max(1, maxConcurrent_);
-  return std::max<base::Duration>(paced, base::Duration(static_cast<int64_t>(averageHoldUs_ * share)));
+  return std::max<base::Duration>(rateWait, base::Duration(static_cast<int64_t>(averageHoldUs_ * share)));
 }
 
 base::Duration SlotLimiter::slotInterval() const {
--- a/src/node/control_client.cc
+++ b/src/node/control_client.cc
@@ -187,7 +187,7 @@
   connect();
 }
 
-void ControlClient::onAway() {
+void ControlClient::onResumed() {
   if (!open_) return;
   network_.close(connection_);
   connection_ = 0;
--- a/src/node/control_client.h
+++ b/src/node/control_client.h
@@ -84,7 +84,7 @@
 
   /// Reconnects after this process was stopped or its machine suspended, because unread messages of the relay may be as
   /// old as the pause.
-  void onAway();
+  void onResumed();
 
   /// Announces the state of the local endpoint.
   void announce(const wire::EndpointState& state);
--- a/src/node/endpoint_calls.cc
+++ b/src/node/endpoint_calls.cc
@@ -34,23 +34,23 @@
       network_(network),
       backend_(backend),
       ledger_(ledger),
-      pace_(scheduler),
+      coldStartLimiter_(scheduler),
       limiter_(scheduler, options_.defaultSlots, options_.defaultQueue),
-      probation_(scheduler, kMaxConcurrentSuspects, options_.defaultQueue),
-      bodies_(options_.bodies),
-      answers_(options_.bodies.linkBytesPerSecond),
+      probationLimiter_(scheduler, kMaxConcurrentSuspects, options_.defaultQueue),
+      bodyFlowController_(options_.bodies),
+      responseTransferEstimator_(options_.bodies.linkBytesPerSecond),
       bodyTimer_(scheduler, [this] { onBodyTimer(); }),
       coldCheckTimer_(scheduler, [this] { startColdCheck(); }),
       expiryTimer_(scheduler,
                    [this] {
                      limiter_.refuseExpired();
-                     probation_.refuseExpired();
+                     probationLimiter_.refuseExpired();
                      limiter_.startWaiting();
                      armExpiry();
                    }),
       decisions_("endpoint", scheduler) {
   limiter_.setNestedShare(options_.nestedShare);
-  limiter_.setColdStartLimiter(&pace_);
+  limiter_.setColdStartLimiter(&coldStartLimiter_);
 }
 
 EndpointCalls::~EndpointCalls() { alive_.reset(); }
@@ -60,9 +60,9 @@
   tableLimit_ = limit != nullptr ? std::optional(*limit) : std::nullopt;
   const auto* versions = table.versions(options_.service);
   versions_ = versions != nullptr ? std::optional(*versions) : std::nullopt;
-  pace_.setRate(table.coldPerS(options_.service) * options_.coldOverage);
+  coldStartLimiter_.setRate(table.coldPerS(options_.service) * options_.coldOverage);
   hasTable_ = true;
-  if (pace_.isUncertain() && !coldCheckTimer_.running()) startColdCheck();
+  if (coldStartLimiter_.isUncertain() && !coldCheckTimer_.running()) startColdCheck();
   setEvacuated(table.evacuated(options_.zone));
   applyLimits();
   refuseWaitingIfClosed();
@@ -86,7 +86,7 @@
 void EndpointCalls::refuseWaitingIfClosed() {
   if (acceptsCalls()) return;
   limiter_.refuseWaiting();
-  probation_.refuseWaiting();
+  probationLimiter_.refuseWaiting();
   refuseAwaitingBodies();
 }
 
@@ -99,7 +99,7 @@
   draining_ = draining;
   if (!draining_) return;
   limiter_.refuseWaiting();
-  probation_.refuseWaiting();
+  probationLimiter_.refuseWaiting();
   refuseAwaitingBodies();
 }
 
@@ -107,13 +107,13 @@
   if (endpoint != endpoint_) {
     previousEndpoint_.clear();
     limiter_.refuseWaiting();
-    probation_.refuseWaiting();
+    probationLimiter_.refuseWaiting();
     refuseAwaitingBodies();
   }
   endpoint_ = endpoint;
   endpointSlots_ = slots;
   // The table configures the rate for a cold back end; until it arrives, one request per second and slot is a low rate.
-  if (!hasTable_) pace_.setRate(slots > 0 ? slots : options_.defaultSlots);
+  if (!hasTable_) coldStartLimiter_.setRate(slots > 0 ? slots : options_.defaultSlots);
   applyLimits();
 }
 
@@ -123,7 +123,7 @@
 
 void EndpointCalls::onBackendRestarted() {
   limiter_.refuseWaiting();
-  probation_.refuseWaiting();
+  probationLimiter_.refuseWaiting();
   backend_.dropIdleConnections();
   if (watch_ != nullptr && !leaving_) watch_->onRestart();
   std::vector<CallKey> lost;
@@ -134,7 +134,7 @@
     const auto found = calls_.find(key);
     if (found == calls_.end()) continue;
     backend_.cancel(found->second.backendId);
-    onCut(key);
+    onBackendDisconnected(key);
   }
 }
 
@@ -203,8 +203,8 @@
 }
 
 double EndpointCalls::averageRunUs(const wire::CallRequest& request) const {
-  const auto usual = averageRunUs_.find(request.targetLatencyMs);
-  return usual == averageRunUs_.end() ? 0 : usual->second;
+  const auto average = averageRunUs_.find(request.targetLatencyMs);
+  return average == averageRunUs_.end() ? 0 : average->second;
 }
 
 double EndpointCalls::remainingTargetUs(const wire::CallRequest& request) const {
@@ -220,14 +220,16 @@
   counters_.runTimes.record(scheduler_.now() - call.startedAt);
   if (call.request.targetLatencyMs == 0) return;
   const auto runUs = static_cast<double>((scheduler_.now() - call.startedAt).count());
-  const auto [usual, first] = averageRunUs_.try_emplace(call.request.targetLatencyMs, runUs);
-  if (!first) usual->second += kWeight * (runUs - usual->second);
+  const auto [average, first] = averageRunUs_.try_emplace(call.request.targetLatencyMs, runUs);
+  if (!first) average->second += kWeight * (runUs - average->second);
 }
 
 void EndpointCalls::armExpiry() {
   auto next = limiter_.nextExpiry();
-  if (const auto suspect = probation_.nextExpiry(); suspect && (!next || *suspect < *next)) next = suspect;
-  if (const auto paced = limiter_.nextRateLimitedStart(); paced && (!next || *paced < *next)) next = paced;
+  if (const auto suspect = probationLimiter_.nextExpiry(); suspect && (!next || *suspect < *next)) next = suspect;
+  if (const auto rateLimitedStart = limiter_.nextRateLimitedStart();
+      rateLimitedStart && (!next || *rateLimitedStart < *next))
+    next = rateLimitedStart;
   if (!next) return expiryTimer_.stop();
   expiryTimer_.start(std::max<base::Duration>(base::milliseconds(1), *next - scheduler_.now()));
 }
@@ -237,8 +239,8 @@
   const auto service = callerServices_.find(connection);
   if (service == callerServices_.end()) return false;
   const auto kind = kindOf(request);
-  origins_.onCall(kind, service->second);
-  return origins_.nested(kind);
+  nestedCallDetector_.onCall(kind, service->second);
+  return nestedCallDetector_.nested(kind);
 }
 
 limits::Priority EndpointCalls::priorityOf(const Call& call) const {
@@ -306,14 +308,14 @@
   if (completed && backendRefused(key, answer)) return;
   notifyRunEnded(found->second, !completed || answer.httpStatus >= kFirstServerError);
   if (!completed) {
-    return answer.timedOut ? answerUnknown(key, ErrorCode::kDeadlineExceeded) : onCut(key);
+    return answer.timedOut ? answerUnknown(key, ErrorCode::kDeadlineExceeded) : onBackendDisconnected(key);
   }
   wire::StoredAnswer stored;
   stored.httpStatus = answer.httpStatus;
   stored.headers = std::move(answer.headers);
   stored.body = std::move(answer.body);
   const auto& call = found->second;
-  answers_.onResponse(kindOf(call.request), stored.body.size());
+  responseTransferEstimator_.onResponse(kindOf(call.request), stored.body.size());
   recordRunTime(call);
   recordSuccessfulRun(key);
   if (!call.owner.empty()) ledger_->complete(call.request.idempotencyKey, call.owner, stored, kLedgerTimeout);
@@ -360,7 +362,7 @@
 
 void EndpointCalls::releaseSlot(const Call& call) {
   if (call.running) limiter_.release(scheduler_.now() - call.startedAt, call.priority);
-  if (call.onProbation) probation_.release(scheduler_.now() - call.probationStartedAt, call.priority);
+  if (call.onProbation) probationLimiter_.release(scheduler_.now() - call.probationStartedAt, call.priority);
 }
 
 void EndpointCalls::refuse(const CallKey& key, ErrorCode error, base::Duration retryAfter) {
@@ -449,7 +451,7 @@
 void EndpointCalls::abandonCall(const CallKey& key) {
   const auto call = calls_.extract(key);
   limiter_.cancel(call.mapped().ticket);
-  probation_.cancel(call.mapped().probationTicket);
+  probationLimiter_.cancel(call.mapped().probationTicket);
   releaseSlot(call.mapped());
 }
 
@@ -461,7 +463,7 @@
     dropBody(key, &found->second);
   } else {
     limiter_.cancel(found->second.ticket);
-    probation_.cancel(found->second.probationTicket);
+    probationLimiter_.cancel(found->second.probationTicket);
   }
   refuse(key, ErrorCode::kDraining, base::Duration(0));
 }
--- a/src/node/endpoint_calls.h
+++ b/src/node/endpoint_calls.h
@@ -158,7 +158,7 @@
   size_t active() const { return calls_.size(); }
   const EndpointCounters& counters() const { return counters_; }
   const limits::SlotLimiter& limiter() const { return limiter_; }
-  const overload::body_flow_controller& bodies() const { return bodies_; }
+  const overload::body_flow_controller& bodies() const { return bodyFlowController_; }
 
  private:
   /// Time for which reporting the outcome of a request to the ledger is retried.
@@ -205,7 +205,7 @@
   void putOnProbation(const CallKey& key);
   void refuseHeld(const CallKey& key);
   bool mayRunNow(const CallKey& key);
-  void onCut(const CallKey& key);
+  void onBackendDisconnected(const CallKey& key);
   void answerCrashed(const CallKey& key, uint64_t crash);
   void recordSuccessfulRun(const CallKey& key);
   void abandonCall(const CallKey& key);
@@ -262,9 +262,9 @@
   base::Network& network_;
   BackendClient& backend_;
   ledger::LedgerClient* ledger_;  // may be null
-  limits::ColdStartLimiter pace_;
+  limits::ColdStartLimiter coldStartLimiter_;
   limits::SlotLimiter limiter_;
-  limits::SlotLimiter probation_;                         // one slot, for suspects
+  limits::SlotLimiter probationLimiter_;                  // one slot, for suspects
   quarantine::request_quarantine* quarantine_ = nullptr;  // may stay null
   quarantine::crash_watch* watch_ = nullptr;              // may stay null
   bool leaving_ = false;
@@ -272,9 +272,9 @@
   std::map<CallKey, Call> calls_;
   std::map<base::ConnectionId, CallerNode> callerNodes_;
   std::map<base::ConnectionId, std::string> callerServices_;  // services of the connected nodes
-  overload::nested_call_detector origins_;
-  overload::body_flow_controller bodies_;
-  overload::response_transfer_estimator answers_;
+  overload::nested_call_detector nestedCallDetector_;
+  overload::body_flow_controller bodyFlowController_;
+  overload::response_transfer_estimator responseTransferEstimator_;
   base::ConnectionId ownConnection_ = 0;  // of this node's own callers; does not use the link
   base::Timer bodyTimer_;                 // active while bodies are awaited
   bool draining_ = false;
--- a/src/node/endpoint_calls_bodies.cc
+++ b/src/node/endpoint_calls_bodies.cc
@@ -22,13 +22,14 @@
   auto& call = calls_[key];
   const auto now = scheduler_.now();
   const auto bytes = call.request.bodyBytes;
-  const auto arrival = bodies_.expectedWait(bytes, static_cast<int>(call.priority), call.latestStart);
+  const auto arrival = bodyFlowController_.expectedWait(bytes, static_cast<int>(call.priority), call.latestStart);
   const auto wait = arrival + limiter_.expectedWait(call.priority, call.latestStart);
   if (now + wait > call.latestStart) return refuseForLink(key, wait);
   call.awaitsBody = true;
   acquireSlot(key, false);
   if (calls_.count(key) == 0) return;
-  bodies_.announce({key.connection, key.callId}, bytes, static_cast<int>(call.priority), call.latestStart, now);
+  bodyFlowController_.announce({key.connection, key.callId}, bytes, static_cast<int>(call.priority), call.latestStart,
+                               now);
   grantBodies();
 }
 
@@ -38,21 +39,21 @@
 
 /// @return time until the answer to a call would be sent over this node's link, behind all queued and expected answers.
 base::Duration EndpointCalls::answerDelay(const CallKey& key) const {
-  int64_t bytes = answers_.typicalBytes(kindOf(calls_.at(key).request));
+  int64_t bytes = responseTransferEstimator_.typicalBytes(kindOf(calls_.at(key).request));
   for (const auto& [connection, service] : callerServices_) {
     bytes += static_cast<int64_t>(network_.queuedBytes(connection));
   }
   for (const auto& [other, call] : calls_) {
     if (other == key || other.connection == ownConnection_) continue;
     const auto kind = kindOf(call.request);
-    if (answers_.isLarge(kind)) bytes += answers_.typicalBytes(kind);
+    if (responseTransferEstimator_.isLarge(kind)) bytes += responseTransferEstimator_.typicalBytes(kind);
   }
-  return answers_.transferTime(bytes);
+  return responseTransferEstimator_.transferTime(bytes);
 }
 
 bool EndpointCalls::answerWouldBeLate(const CallKey& key) const {
   const auto& request = calls_.at(key).request;
-  if (key.connection == ownConnection_ || !answers_.isLarge(kindOf(request))) return false;
+  if (key.connection == ownConnection_ || !responseTransferEstimator_.isLarge(kindOf(request))) return false;
   const auto target = base::milliseconds(request.targetLatencyMs > 0 ? request.targetLatencyMs : request.remainingMs);
   const auto left = std::min<base::Duration>(target, base::milliseconds(request.remainingMs));
   return base::microsecondsOf(averageRunUs(request)) + answerDelay(key) > left;
@@ -60,32 +61,33 @@
 
 void EndpointCalls::refuseForAnswer(const CallKey& key) {
   ++counters_.refusedForAnswer;
-  const auto usual = answers_.transferTime(answers_.typicalBytes(kindOf(calls_[key].request)));
+  const auto averageTransferTime =
+      responseTransferEstimator_.transferTime(responseTransferEstimator_.typicalBytes(kindOf(calls_[key].request)));
   const auto delay = answerDelay(key);
   wire::CallResponse response;
-  response.fullForMs = base::millisecondsOf(callerBackoff(usual, &CallerNode::lastRequestAt));
+  response.fullForMs = base::millisecondsOf(callerBackoff(averageTransferTime, &CallerNode::lastRequestAt));
   refuseWith(key, ErrorCode::kOverloaded, std::max(delay, options_.overloadRetryAfter), std::move(response));
 }
 
 void EndpointCalls::grantBodies() {
-  for (const auto& granted : bodies_.grant(scheduler_.now())) {
+  for (const auto& granted : bodyFlowController_.grant(scheduler_.now())) {
     wire::CallBodyGrant grant;
     grant.callId = granted.body.call;
     grant.upToBytes = granted.upToBytes;
     network_.send(granted.body.connection, wire::encodeFrame(grant));
   }
-  if (bodies_.empty()) return bodyTimer_.stop();
+  if (bodyFlowController_.empty()) return bodyTimer_.stop();
   if (!bodyTimer_.running()) bodyTimer_.start(kBodyInterval);
 }
 
 void EndpointCalls::onBodyTimer() {
-  for (const auto& body : bodies_.takeExpired(scheduler_.now())) {
+  for (const auto& body : bodyFlowController_.takeExpired(scheduler_.now())) {
     const CallKey key{body.connection, body.call};
     auto& call = calls_[key];
     call.awaitsBody = false;
     limiter_.cancel(call.ticket);
     const auto rank = static_cast<int>(call.priority);
-    refuseForLink(key, bodies_.expectedWait(call.request.bodyBytes, rank, call.latestStart));
+    refuseForLink(key, bodyFlowController_.expectedWait(call.request.bodyBytes, rank, call.latestStart));
   }
   grantBodies();
 }
@@ -97,7 +99,7 @@
   auto& call = found->second;
   call.request.body += piece.data;
   const auto arrived = static_cast<int64_t>(piece.data.size());
-  const bool complete = bodies_.onBytes({connection, piece.callId}, arrived, scheduler_.now());
+  const bool complete = bodyFlowController_.onBytes({connection, piece.callId}, arrived, scheduler_.now());
   if (complete) {
     call.awaitsBody = false;
     const bool asAnnounced = static_cast<int64_t>(call.request.body.size()) == call.request.bodyBytes;
@@ -132,13 +134,13 @@
 void EndpointCalls::dropBody(const CallKey& key, Call* call) {
   call->awaitsBody = false;
   limiter_.cancel(call->ticket);
-  bodies_.drop({key.connection, key.callId});
+  bodyFlowController_.drop({key.connection, key.callId});
 }
 
 void EndpointCalls::refuseForLink(const CallKey& key, base::Duration wait) {
   ++counters_.refusedForLink;
   const auto bytes = static_cast<double>(calls_[key].request.bodyBytes);
-  const auto interval = base::microsecondsOf(bytes / static_cast<double>(bodies_.bytesPerSecond()) * 1e6);
+  const auto interval = base::microsecondsOf(bytes / static_cast<double>(bodyFlowController_.bytesPerSecond()) * 1e6);
   wire::CallResponse response;
   response.fullForBodies = true;
   response.fullForMs = base::millisecondsOf(callerBackoff(interval, &CallerNode::lastBodyAnnouncedAt));
--- a/src/node/endpoint_calls_cold.cc
+++ b/src/node/endpoint_calls_cold.cc
@@ -17,18 +17,18 @@
 }
 
 void EndpointCalls::markPossiblyCold() {
-  pace_.markUncertain();
-  if (pace_.isUncertain() && !coldCheckTimer_.running()) startColdCheck();
+  coldStartLimiter_.markUncertain();
+  if (coldStartLimiter_.isUncertain() && !coldCheckTimer_.running()) startColdCheck();
 }
 
 void EndpointCalls::startColdCheck() {
-  if (!pace_.isUncertain()) return;
+  if (!coldStartLimiter_.isUncertain()) return;
   coldCheckTimer_.start(kColdCheckInterval);
   if (onColdCheckNeeded_) onColdCheckNeeded_();
 }
 
 void EndpointCalls::onColdReport(base::Duration coldFor, bool asked) {
-  pace_.onColdReport(coldFor, asked);
+  coldStartLimiter_.onColdReport(coldFor, asked);
   limiter_.startWaiting();
   armExpiry();
 }
--- a/src/node/endpoint_calls_quarantine.cc
+++ b/src/node/endpoint_calls_quarantine.cc
@@ -51,7 +51,7 @@
   if (options_.waitWithinTarget) {
     call.latestStart = call.deadline - base::microsecondsOf(options_.runTimeMargin * averageRunUs(call.request));
   }
-  const auto ticket = probation_.acquire(
+  const auto ticket = probationLimiter_.acquire(
       call.priority, call.latestStart,
       [this, key] {
         auto& started = calls_.at(key);
@@ -104,7 +104,7 @@
     if (found == calls_.end() || found->second.probationTicket == 0) continue;
     const auto currentStanding = standingOfCall(key);
     if (currentStanding == standing::suspect) continue;
-    probation_.cancel(found->second.probationTicket);
+    probationLimiter_.cancel(found->second.probationTicket);
     found->second.probationTicket = 0;
     found->second.suspect = false;
     if (currentStanding == standing::held) {
@@ -116,7 +116,7 @@
 }
 
 /// Handles a connection that the back end closed without an answer: the back end crashed or the connection was lost.
-void EndpointCalls::onCut(const CallKey& key) {
+void EndpointCalls::onBackendDisconnected(const CallKey& key) {
   ++counters_.cutRuns;
   if (watch_ == nullptr || leaving_) return answerUnknown(key, ErrorCode::kBackendFailed);
   const quarantine::crashed_run run{fingerprintOfCall(key), calls_.at(key).onProbation};
--- a/src/node/endpoint_links.cc
+++ b/src/node/endpoint_links.cc
@@ -293,7 +293,7 @@
   network_.close(connection);
 }
 
-void EndpointLinks::forget(const std::string& endpoint) {
+void EndpointLinks::removeAnnounced(const std::string& endpoint) {
   const auto state = states_.find(endpoint);
   if (state == states_.end() || state->second.address.empty()) return;
   markChanged(state->second);
@@ -365,7 +365,7 @@
     log_.warn("link endpoint={} lost, {} calls in flight", endpoint, calls);
   }
   link.open = false;
-  if (scheduler_.now() - link.lostAt > options_.unreachableFor) return forget(endpoint);
+  if (scheduler_.now() - link.lostAt > options_.unreachableFor) return removeAnnounced(endpoint);
   const auto limit = options_.reconnectDelay * (1 << std::min(link.failures, kMaxBackoffDoublings));
   ++link.failures;
   scheduler_.schedule(random_.duration(limit) + base::milliseconds(1),
--- a/src/node/endpoint_links.h
+++ b/src/node/endpoint_links.h
@@ -102,7 +102,7 @@
   void onFull(const std::string& service);
 
   /// Removes an announced endpoint that is permanently gone.
-  void forget(const std::string& endpoint);
+  void removeAnnounced(const std::string& endpoint);
 
   size_t size() const { return links_.size(); }
 
--- a/src/node/entry_calls.cc
+++ b/src/node/entry_calls.cc
@@ -143,7 +143,8 @@
   call.route = route->name;
   call.repeatable = route->repeatable;
   call.targetLatencyMs = route->targetLatencyMs;
-  if (options_.deprioritizeLateCalls) call.waitedMs = callerPatience_[route->name].onCall(call.inbound.deadlineMs);
+  if (options_.deprioritizeLateCalls)
+    call.waitedMs = callerWaitEstimators_[route->name].onCall(call.inbound.deadlineMs);
   call.service = routeSplits_[route->name].pick(route->shares);
   const auto rule = table_->retryRule(call.service).value_or(options_.defaultRetry);
   call.maxAttempts = route->maxAttempts > 0 ? route->maxAttempts : rule.maxAttempts;
@@ -353,7 +354,7 @@
   if (found == calls_.end()) return;
   auto& call = found->second;
   const bool failed = response.httpStatus >= kFirstServerError;
-  const bool hasAlternative = !call.inFlight.empty() || (hedgingAllowed(&call) && pickIdleEndpoint(call) != nullptr);
+  const bool hasAlternative = !call.inFlight.empty() || (hedgingEnabledFor(&call) && pickIdleEndpoint(call) != nullptr);
   if (!failed || !call.repeatable || !hasAlternative) return finish(attempt.call, std::move(answer));
   onAttemptFailed(attempt.call, AttemptProgress::kMayHaveRun, std::move(answer));
 }
@@ -382,7 +383,7 @@
   // The endpoint's own node is authoritative for draining, so this does not wait for an announcement by a relay.
   const bool leaving = error == ErrorCode::kDraining || error == ErrorCode::kWrongEndpoint;
   if (leaving) picker_.setAvailable(attempt.endpoint, false);
-  if (error == ErrorCode::kWrongEndpoint) links_.forget(attempt.endpoint);
+  if (error == ErrorCode::kWrongEndpoint) links_.removeAnnounced(attempt.endpoint);
   const bool reachedBackend = error == ErrorCode::kBackendRefused;
   const int suggestedMs = response.retryAfterMs > 0 ? response.retryAfterMs : kDefaultRetryAfterMs;
   const int retryAfterMs = base::millisecondsOf(withJitter(base::milliseconds(suggestedMs)));
@@ -446,8 +447,8 @@
 
 void EntryCalls::logOutcome(Call* finished, const CallAnswer& answer) {
   const bool completed = answer.outcome == CallOutcome::COMPLETED;
-  const auto worth = completed ? base::LinePriority::kRoutine : base::LinePriority::kFailure;
-  decisionLog_.write(worth, [&] {
+  const auto linePriority = completed ? base::LinePriority::kRoutine : base::LinePriority::kFailure;
+  decisionLog_.write(linePriority, [&] {
     const auto& call = *finished;
     const char* outcome = completed ? "completed" : answer.outcome == CallOutcome::NOT_RUN ? "not_run" : "unknown";
     const auto now = scheduler_.now();
--- a/src/node/entry_calls.h
+++ b/src/node/entry_calls.h
@@ -51,7 +51,7 @@
   /// Multiple of its target latency after which an unanswered repeatable call is hedged although hedging is disabled; 0
   /// for never. The connection between the endpoint's node and its back end may be dead without a reset, which looks
   /// like a slow back end: the node itself still responds.
-  double lateHedgeAfterShare = 2;
+  double fallbackHedgeAfterShare = 2;
   /// Whether calls whose callers have already waited longer than the target latency rank behind those that can still
   /// meet it.
   bool deprioritizeLateCalls = true;
@@ -190,7 +190,7 @@
   void finishLater(CallId id, CallAnswer answer);
   void onLinkLost(base::ConnectionId connection, const std::string& endpoint);
   void onLinkSilent(base::ConnectionId connection);
-  void sendSecondAttempt(CallId id, const char* reason);
+  void sendHedge(CallId id, const char* reason);
   void attempt(CallId id);
   void send(CallId id, Call* call, const routing::EndpointTarget& target, bool suspect = false);
   void onResponse(base::ConnectionId connection, const wire::CallResponse& response);
@@ -210,9 +210,9 @@
   void startHedgeTimer(CallId id, Call* call);
   void onHedgeTimer(CallId id);
   const routing::EndpointTarget* pickIdleEndpoint(const Call& call);
-  bool hedgingAllowed(Call* call);
-  double secondAttemptAfterShare() const;
-  bool secondAttemptAllowed(Call* call);
+  bool hedgingEnabledFor(Call* call);
+  double effectiveHedgeAfterShare() const;
+  bool mayHedge(Call* call);
   void onCompleted(const Attempt& attempt, const wire::CallResponse& response);
   void removeAttempt(CallId call, int64_t attemptId);
   void onNotRun(const Attempt& attempt, const wire::CallResponse& response);
@@ -234,11 +234,11 @@
   base::Network& network_;
   routing::RoutingTablePtr table_;  // null before the first table
   routing::EndpointPicker picker_;
-  std::map<std::string, routing::WeightedSplit> routeSplits_;              // by route
-  std::map<std::string, routing::WeightedSplit> versionSplits_;            // by service
-  std::function<bool()> isFresh_;                                          // may be empty
-  std::map<std::string, overload::caller_wait_estimator> callerPatience_;  // by route
-  std::map<std::string, retry::RetryBudget> retryBudgets_;                 // by service
+  std::map<std::string, routing::WeightedSplit> routeSplits_;                    // by route
+  std::map<std::string, routing::WeightedSplit> versionSplits_;                  // by service
+  std::function<bool()> isFresh_;                                                // may be empty
+  std::map<std::string, overload::caller_wait_estimator> callerWaitEstimators_;  // by route
+  std::map<std::string, retry::RetryBudget> retryBudgets_;                       // by service
   std::map<CallId, Call> calls_;
   std::map<int64_t, Attempt> attempts_;  // by the call id used in frames
   EndpointLinks links_;
--- a/src/node/entry_calls_hedging.cc
+++ b/src/node/entry_calls_hedging.cc
@@ -11,14 +11,14 @@
   for (const auto& [attemptId, attempt] : attempts_) {
     if (attempt.connection == connection) waiting.push_back(attempt.call);
   }
-  for (const auto id : waiting) sendSecondAttempt(id, "silent");
+  for (const auto id : waiting) sendHedge(id, "silent");
 }
 
-void EntryCalls::sendSecondAttempt(CallId id, const char* reason) {
+void EntryCalls::sendHedge(CallId id, const char* reason) {
   const auto found = calls_.find(id);
   if (found == calls_.end()) return;
   auto& call = found->second;
-  if (call.inFlight.size() != 1 || !secondAttemptAllowed(&call)) return;
+  if (call.inFlight.size() != 1 || !mayHedge(&call)) return;
   const auto* target = pickEndpoint(call);
   if (target == nullptr || !retryBudgets_[call.service].spend()) return;
   ++counters_.hedges;
@@ -30,22 +30,22 @@
   send(id, &call, *target);
 }
 
-bool EntryCalls::secondAttemptAllowed(Call* call) {
+bool EntryCalls::mayHedge(Call* call) {
   const int startedAttempts = call->attempts + static_cast<int>(call->inFlight.size());
   // A request that may crash back ends runs on one back end at a time.
   return call->repeatable && startedAttempts < call->maxAttempts &&
          quarantineStanding(call) == quarantine::standing::clear;
 }
 
-bool EntryCalls::hedgingAllowed(Call* call) { return options_.hedgeAfterShare > 0 && secondAttemptAllowed(call); }
+bool EntryCalls::hedgingEnabledFor(Call* call) { return options_.hedgeAfterShare > 0 && mayHedge(call); }
 
-double EntryCalls::secondAttemptAfterShare() const {
-  return options_.hedgeAfterShare > 0 ? options_.hedgeAfterShare : options_.lateHedgeAfterShare;
+double EntryCalls::effectiveHedgeAfterShare() const {
+  return options_.hedgeAfterShare > 0 ? options_.hedgeAfterShare : options_.fallbackHedgeAfterShare;
 }
 
 void EntryCalls::startHedgeTimer(CallId id, Call* call) {
-  const auto share = secondAttemptAfterShare();
-  if (share <= 0 || !secondAttemptAllowed(call) || call->targetLatencyMs == 0 || call->hedgeTimer != 0) return;
+  const auto share = effectiveHedgeAfterShare();
+  if (share <= 0 || !mayHedge(call) || call->targetLatencyMs == 0 || call->hedgeTimer != 0) return;
   const base::Duration target = base::milliseconds(call->targetLatencyMs);
   const auto after = std::chrono::duration_cast<base::Duration>(target * share);
   call->hedgeTimer = scheduler_.schedule(after, [this, alive = std::weak_ptr<bool>(alive_), id] {
@@ -64,7 +64,7 @@
   if (found == calls_.end()) return;
   auto& call = found->second;
   call.hedgeTimer = 0;
-  if (secondAttemptAllowed(&call) && pickIdleEndpoint(call) != nullptr) sendSecondAttempt(id, "late");
+  if (mayHedge(&call) && pickIdleEndpoint(call) != nullptr) sendHedge(id, "late");
 }
 
 }  // namespace driftlug::node
--- a/src/node/local_backend.cc
+++ b/src/node/local_backend.cc
@@ -201,7 +201,7 @@
 }
 
 void LocalBackend::apply() {
-  const bool draining = current_.draining || stopping_ || suspended_ || leaveUnconfirmed_;
+  const bool draining = current_.draining || stopping_ || suspended_ || signOffUnconfirmed_;
   calls_.useVersion(current_.version);
   calls_.useIncarnation(endpoint(), current_.slots);
   if (onBackend_) onBackend_(endpoint(), current_);
@@ -237,29 +237,29 @@
   current_ = BackendReport{};
   candidate_.reset();
   suspended_ = false;
-  leaveUnconfirmed_ = false;
+  signOffUnconfirmed_ = false;
   silenceTimer_.stop();
   calls_.setLeaving(true);
   calls_.useIncarnation("", 0);
   if (onBackend_) onBackend_("", current_);
 }
 
-void LocalBackend::onLeave(const std::string& incarnation, int64_t startedAtMs) {
+void LocalBackend::onSignOff(const std::string& incarnation, int64_t startedAtMs) {
   const bool startUnknown = startedAtMs == 0 && incarnation == current_.incarnation;
-  if (startUnknown && hadEarlierStart() && identityCheck_) return confirmLeave();
+  if (startUnknown && hadEarlierStart() && identityCheck_) return confirmSignOff();
   const auto left = startUnknown ? endpoint() : endpointNameOf(incarnation, startedAtMs);
   if (!hasEnded(left)) retire(left);
 }
 
 /// The sign-off may be a late one of an earlier start. The back end gets no calls until it has answered.
-void LocalBackend::confirmLeave() {
-  if (leaveUnconfirmed_) return;
-  leaveUnconfirmed_ = true;
+void LocalBackend::confirmSignOff() {
+  if (signOffUnconfirmed_) return;
+  signOffUnconfirmed_ = true;
   apply();
   identityCheck_([this, asked = endpoint()](const BackendIdentity& identity) {
-    if (!leaveUnconfirmed_ || asked != endpoint()) return;
-    leaveUnconfirmed_ = false;
-    if (identity.well && identity.incarnation == current_.incarnation) return apply();
+    if (!signOffUnconfirmed_ || asked != endpoint()) return;
+    signOffUnconfirmed_ = false;
+    if (identity.healthy && identity.incarnation == current_.incarnation) return apply();
     retire(asked);
   });
 }
--- a/src/node/local_backend.h
+++ b/src/node/local_backend.h
@@ -39,7 +39,7 @@
 struct BackendIdentity {
   std::string incarnation;      ///< empty if it did not answer in time
   bool leaving = false;         ///< it is draining or unhealthy
-  bool well = false;            ///< it is healthy; both flags are false if it refused the check for lack of a slot
+  bool healthy = false;         ///< it is healthy; both flags are false if it refused the check for lack of a slot
   std::optional<int> coldMs{};  ///< remaining time for which it is slow after its start, if reported
 };
 
@@ -95,7 +95,7 @@
   /// Handles the sign-off of a back end that is stopping or has stopped.
   /// @param startedAtMs as in reports; 0 if unknown, in which case the current start is meant unless the back end
   /// answers that it is healthy
-  void onLeave(const std::string& incarnation, int64_t startedAtMs = 0);
+  void onSignOff(const std::string& incarnation, int64_t startedAtMs = 0);
 
   /// Handles a call that the back end rejected as meant for another incarnation.
   /// @param endpoint endpoint name in the call
@@ -129,7 +129,7 @@
   ReportResult onOtherStart(const BackendReport& report);
   void switchToStart(const BackendReport& report);
   void identifyStart(const BackendReport& report);
-  void confirmLeave();
+  void confirmSignOff();
   bool isSuperseded(const BackendReport& report) const;
   void markSuperseded(const BackendReport& report);
   ReportResult onOtherIncarnation(const BackendReport& report);
@@ -154,7 +154,7 @@
   int64_t firstSequence_ = 0;  // sequence of the first report of the current start, plus 1; 0 while known by name only
   std::deque<std::string> ended_;           // endpoints that have ended, oldest first
   std::optional<BackendReport> candidate_;  // last report of another start of the current incarnation
-  bool leaveUnconfirmed_ = false;           // while an identity check for a sign-off is running
+  bool signOffUnconfirmed_ = false;         // while an identity check for a sign-off is running
   IdentityCheck identityCheck_;             // may be empty
   bool afterRestart_ = false;               // until this process has a report or the name of the back end
   bool identityCheckRunning_ = false;
--- a/src/node/version_reporter.cc
+++ b/src/node/version_reporter.cc
@@ -26,7 +26,7 @@
   const bool running = policy_ && policy_->running;
   if (!running) {
     timer_.stop();
-    return figures_.clear();
+    return statistics_.clear();
   }
   // All nodes receive a rollout at the same time; a random delay spreads their reports.
   if (!timer_.running()) timer_.start(random_.duration(kReportInterval) + base::milliseconds(1));
@@ -34,7 +34,7 @@
 
 void VersionReporter::useBackend(const std::string& endpoint, const std::string& version, int slots, int coldMs) {
   if (endpoint != endpoint_) {
-    figures_.clear();
+    statistics_.clear();
     epoch_ = static_cast<int64_t>(random_.bits() >> 1);
   }
   endpoint_ = endpoint;
@@ -44,7 +44,7 @@
 }
 
 void VersionReporter::onRun(const BackendRunResult& run) {
-  if (policy_ && policy_->running) figures_.record(run.route, run.failed, run.runTime, cold());
+  if (policy_ && policy_->running) statistics_.record(run.route, run.failed, run.runTime, cold());
 }
 
 void VersionReporter::report() {
@@ -61,7 +61,7 @@
   report.active = static_cast<int32_t>(calls_.active());
   report.slots = slots_;
   report.coldMs = cold() ? base::millisecondsOf(coldUntil_ - scheduler_.now()) : 0;
-  figures_.fill(&report);
+  statistics_.fill(&report);
   wire::VersionReports message;
   message.reports.push_back(std::move(report));
   (void)send_(message);
--- a/src/node/version_reporter.h
+++ b/src/node/version_reporter.h
@@ -52,7 +52,7 @@
   base::TimePoint coldUntil_{};
   int64_t epoch_;
   int64_t sequence_ = 0;
-  rollout::run_statistics figures_;
+  rollout::run_statistics statistics_;
   base::Timer timer_;  // active while a rollout is running
 };
 
--- a/src/overload/body_flow_controller.cc
+++ b/src/overload/body_flow_controller.cc
@@ -124,17 +124,17 @@
 	const bool whole = state.arrived == state.bytes;
 	if (whole)
 	{
-		forget(_body);
+		removeBody(_body);
 	}
 	return whole;
 }
 
 void body_flow_controller::drop(const body_id& _body)
 {
-	forget(_body);
+	removeBody(_body);
 }
 
-void body_flow_controller::forget(const body_id& _body)
+void body_flow_controller::removeBody(const body_id& _body)
 {
 	const auto found = m_bodies.find(_body);
 	if (m_bodies.end() == found)
@@ -192,7 +192,7 @@
 	}
 	for (const auto& body : expired)
 	{
-		forget(body);
+		removeBody(body);
 	}
 	return expired;
 }
--- a/src/overload/body_flow_controller.h
+++ b/src/overload/body_flow_controller.h
@@ -105,7 +105,7 @@
 	int64_t grantBytes() const;
 	int64_t inFlightBytes(base::TimePoint _now) const;
 	void updateRateEstimate(int64_t _bytes, base::TimePoint _now);
-	void forget(const body_id& _body);
+	void removeBody(const body_id& _body);
 
 	body_flow_controller_options m_options;
 	std::map<body_id, incoming> m_bodies;
--- a/src/quota/quota_grantor.cc
+++ b/src/quota/quota_grantor.cc
@@ -22,16 +22,16 @@
 {
 }
 
-void quota_grantor::begin()
+void quota_grantor::reset()
 {
 	m_startedAt = m_time.now();
 	m_buckets.clear();
 }
 
-wire::QuotaGrant quota_grantor::decide(const wire::QuotaAsk& _ask)
+wire::QuotaGrant quota_grantor::decide(const wire::QuotaAsk& _request)
 {
 	wire::QuotaGrant grant;
-	for (const auto& demand : _ask.demands)
+	for (const auto& demand : _request.demands)
 	{
 		grant.decisions.push_back(decideOne(demand));
 	}
--- a/src/quota/quota_grantor.h
+++ b/src/quota/quota_grantor.h
@@ -34,10 +34,10 @@
 	quota_grantor(base::Scheduler& _time, limit_lookup _limitOf);
 
 	/// Resets all buckets to empty; called when the controller becomes leader.
-	void begin();
+	void reset();
 
 	/// @returns One decision for each demand.
-	wire::QuotaGrant decide(const wire::QuotaAsk& _ask);
+	wire::QuotaGrant decide(const wire::QuotaAsk& _request);
 
 	const grantor_counters& counters() const
 	{
--- a/src/quota/quota_queue.cc
+++ b/src/quota/quota_queue.cc
@@ -6,10 +6,10 @@
 
 namespace driftlug::quota
 {
-quota_queue::quota_queue(base::Scheduler& _scheduler, const quota_queue_options& _options, send_request _ask)
+quota_queue::quota_queue(base::Scheduler& _scheduler, const quota_queue_options& _options, send_request _sendRequest)
 	: m_scheduler(_scheduler)
 	, m_options(_options)
-	, m_ask(std::move(_ask))
+	, m_sendRequest(std::move(_sendRequest))
 	, m_timer(_scheduler,
 			  [this]
 			  {
@@ -22,7 +22,7 @@
 {
 	const auto now = m_scheduler.now();
 	m_queues[_tenant].push_back({_owner, _count, now, std::nullopt, std::move(_done)});
-	const auto earliest = m_askedOnce ? m_askedAt + m_options.batchInterval : now;
+	const auto earliest = m_hasSent ? m_lastSentAt + m_options.batchInterval : now;
 	const auto pause = std::max<base::Duration>(base::Duration(0), earliest - now);
 	if (!m_batching)
 	{
@@ -31,7 +31,7 @@
 	}
 }
 
-void quota_queue::forgetEmpty()
+void quota_queue::removeEmptyQueues()
 {
 	std::erase_if(m_queues,
 				  [](const auto& _item)
@@ -50,7 +50,7 @@
 						  return _waiter.ownerId == _owner;
 					  });
 	}
-	forgetEmpty();
+	removeEmptyQueues();
 }
 
 void quota_queue::resendAll()
@@ -59,7 +59,7 @@
 	{
 		for (auto& waiter : queue)
 		{
-			waiter.askedAt.reset();
+			waiter.sentAt.reset();
 		}
 	}
 	if (!m_queues.empty())
@@ -82,13 +82,13 @@
 
 bool quota_queue::needsSending(const waiter& _waiter) const
 {
-	return !_waiter.askedAt || m_scheduler.now() - *_waiter.askedAt >= m_options.resendInterval;
+	return !_waiter.sentAt || m_scheduler.now() - *_waiter.sentAt >= m_options.resendInterval;
 }
 
 void quota_queue::sendDemands()
 {
-	wire::QuotaAsk question;
-	std::vector<waiter*> asked;
+	wire::QuotaAsk request;
+	std::vector<waiter*> waitersToSend;
 	for (auto& [tenant, queue] : m_queues)
 	{
 		wire::QuotaDemand demand;
@@ -98,23 +98,23 @@
 			if (needsSending(waiter))
 			{
 				demand.count += waiter.count;
-				asked.push_back(&waiter);
+				waitersToSend.push_back(&waiter);
 			}
 		}
 		if (0 < demand.count)
 		{
-			question.demands.push_back(demand);
+			request.demands.push_back(demand);
 		}
 	}
-	if (question.demands.empty() || !m_ask(question))
+	if (request.demands.empty() || !m_sendRequest(request))
 	{
 		return;
 	}
-	m_askedAt = m_scheduler.now();
-	m_askedOnce = true;
-	for (auto* waiter : asked)
+	m_lastSentAt = m_scheduler.now();
+	m_hasSent = true;
+	for (auto* waiter : waitersToSend)
 	{
-		waiter->askedAt = m_askedAt;
+		waiter->sentAt = m_lastSentAt;
 	}
 }
 
@@ -130,7 +130,7 @@
 			queue.pop_front();
 		}
 	}
-	forgetEmpty();
+	removeEmptyQueues();
 	for (const auto& waiter : expired)
 	{
 		permit_outcome outcome;
@@ -149,7 +149,7 @@
 			decide(&found->second, decision);
 		}
 	}
-	forgetEmpty();
+	removeEmptyQueues();
 }
 
 /// Callbacks may add or remove waiters, so they are called after all changes to the queue.
--- a/src/quota/quota_queue.h
+++ b/src/quota/quota_queue.h
@@ -44,7 +44,7 @@
 	/// @returns Whether there was a peer to send it to.
 	using send_request = std::function<bool(const wire::QuotaAsk&)>;
 
-	quota_queue(base::Scheduler& _scheduler, const quota_queue_options& _options, send_request _ask);
+	quota_queue(base::Scheduler& _scheduler, const quota_queue_options& _options, send_request _sendRequest);
 
 	/// Queues a demand for permits. The callback is called once for each part that is decided, never from within this
 	/// call.
@@ -74,7 +74,7 @@
 		owner ownerId;
 		int count;
 		base::TimePoint since;
-		std::optional<base::TimePoint> askedAt;
+		std::optional<base::TimePoint> sentAt;
 		callback done;
 	};
 
@@ -84,15 +84,15 @@
 	void onTimer();
 	void expire();
 	bool needsSending(const waiter& _waiter) const;
-	void forgetEmpty();
+	void removeEmptyQueues();
 	static void decide(waiters* _queue, const wire::QuotaDecision& _decision);
 
 	base::Scheduler& m_scheduler;
 	quota_queue_options m_options;
-	send_request m_ask;
+	send_request m_sendRequest;
 	std::map<std::string, waiters> m_queues;  //!< By tenant; contains no empty queues.
-	base::TimePoint m_askedAt{};
-	bool m_askedOnce = false;
+	base::TimePoint m_lastSentAt{};
+	bool m_hasSent = false;
 	bool m_batching = false;  //!< The timer is running for the next request.
 	base::Timer m_timer;      //!< Runs while the queue is not empty.
 };
--- a/src/quota/token_bucket.cc
+++ b/src/quota/token_bucket.cc
@@ -16,7 +16,7 @@
 
 token_bucket::token_bucket(const quota_limit& _limit, base::TimePoint _fillingSince)
 	: m_limit(_limit)
-	, m_at(_fillingSince)
+	, m_updatedAt(_fillingSince)
 {
 }
 
@@ -27,7 +27,7 @@
 
 double token_bucket::levelAt(base::TimePoint _now) const
 {
-	return std::min(capacity(), m_level + m_limit.ratePerS * std::max(0.0, secondsOf(_now - m_at)));
+	return std::min(capacity(), m_level + m_limit.ratePerS * std::max(0.0, secondsOf(_now - m_updatedAt)));
 }
 
 void token_bucket::setLimit(const quota_limit& _limit, base::TimePoint _now)
@@ -39,13 +39,13 @@
 	const double level = levelAt(_now);
 	m_limit = _limit;
 	m_level = std::min(level, capacity());
-	m_at = std::max(m_at, _now);
+	m_updatedAt = std::max(m_updatedAt, _now);
 }
 
 int token_bucket::take(int _wanted, base::TimePoint _now)
 {
 	m_level = levelAt(_now);
-	m_at = std::max(m_at, _now);
+	m_updatedAt = std::max(m_updatedAt, _now);
 	const int taken = std::clamp(static_cast<int>(m_level), 0, std::max(0, _wanted));
 	m_level -= taken;
 	return taken;
--- a/src/quota/token_bucket.h
+++ b/src/quota/token_bucket.h
@@ -39,8 +39,8 @@
 	double levelAt(base::TimePoint _now) const;
 
 	quota_limit m_limit;
-	double m_level = 0;  //!< Tokens at the time m_at.
-	base::TimePoint m_at;
+	double m_level = 0;  //!< Tokens at the time m_updatedAt.
+	base::TimePoint m_updatedAt;
 };
 
 }  // namespace driftlug::quota
--- a/src/relay/controller_links.cc
+++ b/src/relay/controller_links.cc
@@ -25,7 +25,7 @@
 
 void ControllerLinks::start() {
   started_ = true;
-  freshSince_ = scheduler_.now();
+  freshnessAdvancedAt_ = scheduler_.now();
   keepAliveTimer_.start(base::kKeepAliveInterval);
   for (const auto& address : configured_) connect(address);
 }
@@ -92,7 +92,7 @@
   return true;
 }
 
-void ControllerLinks::onAway() {
+void ControllerLinks::onResumed() {
   const auto open = open_;
   for (const auto& [connection, address] : open) drop(connection);
   // A connection that was established meanwhile may carry stale messages too.
@@ -106,7 +106,7 @@
   const bool newer = isNewer(freshness, freshness_);
   if (newer) {
     freshness_ = freshness;
-    freshSince_ = scheduler_.now();
+    freshnessAdvancedAt_ = scheduler_.now();
   }
   if (connection == source_ || isNewer(freshness_, freshness)) return false;
   // A second leader is either newer or does not know yet that it has been replaced.
--- a/src/relay/controller_links.h
+++ b/src/relay/controller_links.h
@@ -44,7 +44,7 @@
 
   /// Reopens all connections after this process was stopped or its machine suspended: messages that controllers sent
   /// meanwhile are stale.
-  void onAway();
+  void onResumed();
 
   /// Handles a leader's heartbeat with this freshness.
   /// @return whether the controller has just become the source
@@ -64,7 +64,7 @@
   base::ConnectionId source() const { return source_; }
 
   /// @return when the freshness last advanced.
-  base::TimePoint freshSince() const { return freshSince_; }
+  base::TimePoint freshnessAdvancedAt() const { return freshnessAdvancedAt_; }
 
  private:
   bool isWanted(const base::Address& address) const;
@@ -86,7 +86,7 @@
   bool started_ = false;
   base::ConnectionId source_ = 0;
   wire::Freshness freshness_;
-  base::TimePoint freshSince_{};
+  base::TimePoint freshnessAdvancedAt_{};
   base::Timer keepAliveTimer_;
 };
 
--- a/src/relay/node_sessions.cc
+++ b/src/relay/node_sessions.cc
@@ -44,7 +44,7 @@
   const int64_t target = session->slice->revision();
   const int64_t released = releases_.released(session->zone);
   const bool older = target < session->appliedRevision || released < session->appliedRevision;
-  if (session->sentRevision >= target || released < target || (refuseOlder_ && older)) return;
+  if (session->sentRevision >= target || released < target || (refuseOlderVersions_ && older)) return;
   if (network_.queuedBytes(connection) > kMaxQueuedBytes) {
     ++counters_.skippedSlowReader;
     return;
@@ -72,7 +72,7 @@
   if (session == nullptr || !session->confirmed) return;
   const bool current = session->appliedRevision > 0 && nodeDigest == session->slice->slice().digest();
   const int64_t revision = std::max(session->appliedRevision, session->slice->revision());
-  if (!current && !refuseOlder_) {
+  if (!current && !refuseOlderVersions_) {
     session->sentRevision = 0;
     session->appliedRevision = 0;
   }
--- a/src/relay/node_sessions.h
+++ b/src/relay/node_sessions.h
@@ -98,7 +98,7 @@
   void useFullPush(bool enabled) { fullPush_ = enabled; }
 
   /// Allows sending versions older than what a node has; only for the simulator, to verify that its checker detects it.
-  void allowOlderVersions() { refuseOlder_ = false; }
+  void allowOlderVersions() { refuseOlderVersions_ = false; }
 
  private:
   void sendHeartbeat(base::ConnectionId connection, const wire::FramePtr& frame);
@@ -109,7 +109,7 @@
   std::map<base::ConnectionId, NodeSession> sessions_;
   NodeSessionCounters counters_;
   bool fullPush_ = false;
-  bool refuseOlder_ = true;
+  bool refuseOlderVersions_ = true;
 };
 
 }  // namespace driftlug::relay
--- a/src/relay/relay.cc
+++ b/src/relay/relay.cc
@@ -42,7 +42,7 @@
   nodes_.useFullPush(options_.fullPush);
   if (!options_.releaseQuorum) releases_.disableQuorum();
   if (options_.everyZone) releases_.serveEveryZone();
-  if (!options_.refuseOlder) nodes_.allowOlderVersions();
+  if (!options_.refuseOlderVersions) nodes_.allowOlderVersions();
 }
 
 Relay::~Relay() { *alive_ = false; }
@@ -89,9 +89,9 @@
   peers_.setAddresses(peers);
 }
 
-void Relay::onAway() {
+void Relay::onResumed() {
   log_.warn("{} was away (stopped or suspended), reconnecting to all controllers", options_.id);
-  controllerLinks_.onAway();
+  controllerLinks_.onResumed();
 }
 
 void Relay::onOpen(base::ConnectionId connection, const wire::Hello& peer) {
@@ -195,7 +195,7 @@
   wire::RelaySubscribe subscribe;
   subscribe.revision = revision;
   subscribe.digest = replica_.table().digest();
-  subscribe.sharesTable = replica_.shares();
+  subscribe.sharesTable = replica_.isShared();
   controllerLinks_.send(subscribe);
   quotas_.resendAll();
   reportFull_ = true;
@@ -208,7 +208,7 @@
 }
 
 void Relay::onTableUpdate(const wire::TableUpdate& update) {
-  if (replica_.shares()) return;  // sent by a controller that does not support shared tables
+  if (replica_.isShared()) return;  // sent by a controller that does not support shared tables
   table::ChangedRows rows;
   const auto result = replica_.apply(update, &rows);
   if (result == ReplicaResult::kNothingNew) return;
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -49,7 +49,7 @@
   bool fullPush = false;              ///< baseline for experiments
   bool releaseQuorum = true;          ///< off only in the simulator
   bool confirmRestartedNodes = true;  ///< off only in the simulator
-  bool refuseOlder = true;            ///< off only in the simulator
+  bool refuseOlderVersions = true;    ///< off only in the simulator
   bool reportLag = true;              ///< off only in the simulator
 };
 
@@ -83,10 +83,12 @@
   void applySettings(const std::vector<base::Address>& controllers, const std::vector<base::Address>& peers);
 
   /// Handles a wake-up after this process was stopped, or its machine suspended, for more than a second.
-  void onAway();
+  void onResumed();
 
   /// @return whether freshness has advanced within the given time.
-  bool fresh(base::Duration within) const { return scheduler_.now() - controllerLinks_.freshSince() <= within; }
+  bool fresh(base::Duration within) const {
+    return scheduler_.now() - controllerLinks_.freshnessAdvancedAt() <= within;
+  }
 
   void onOpen(base::ConnectionId connection, const wire::Hello& peer) override;
   void onMessage(base::ConnectionId connection, wire::Message message) override;
--- a/src/relay/table_freshness.cc
+++ b/src/relay/table_freshness.cc
@@ -25,7 +25,7 @@
   while (!waiting_.empty() && waiting_.front().heartbeat.revision <= revision) {
     const auto& freshness = waiting_.front().heartbeat.freshness;
     // A controller that has lost the leader repeats the last freshness that it received.
-    if (membership::isNewer(freshness, value_)) heardAt_ = waiting_.front().receivedAt;
+    if (membership::isNewer(freshness, value_)) receivedAt_ = waiting_.front().receivedAt;
     value_ = freshness;
     waiting_.pop_front();
   }
--- a/src/relay/table_freshness.h
+++ b/src/relay/table_freshness.h
@@ -26,7 +26,7 @@
   const wire::Freshness& value() const { return value_; }
 
   /// @return when that freshness was first received; the epoch if none was.
-  base::TimePoint receivedAt() const { return heardAt_; }
+  base::TimePoint receivedAt() const { return receivedAt_; }
 
   /// @return when the oldest heartbeat was received whose revision the table has not reached; nullopt if there is none.
   std::optional<base::TimePoint> laggingSince() const;
@@ -38,7 +38,7 @@
   };
 
   wire::Freshness value_;
-  base::TimePoint heardAt_{};
+  base::TimePoint receivedAt_{};
   std::deque<PendingHeartbeat> waiting_;  // not covered yet, oldest first; when full, newer ones replace the last
 };
 
--- a/src/relay/table_replica.h
+++ b/src/relay/table_replica.h
@@ -24,13 +24,13 @@
   void share(const table::Table& table) { shared_ = &table; }
 
   /// @return whether the table is shared with a controller and must not be updated here.
-  bool shares() const { return shared_ != nullptr; }
+  bool isShared() const { return shared_ != nullptr; }
 
   /// Applies an update to the copy atomically.
   /// @param change receives the changed rows
   ReplicaResult apply(const wire::TableUpdate& update, table::ChangedRows* change);
 
-  const table::Table& table() const { return shares() ? *shared_ : copy_; }
+  const table::Table& table() const { return isShared() ? *shared_ : copy_; }
   int64_t revision() const { return table().revision(); }
 
  private:
--- a/src/simulation/cluster.cc
+++ b/src/simulation/cluster.cc
@@ -108,7 +108,7 @@
   options.fullPush = plan.fullPush;
   options.releaseQuorum = !cluster_.disabled(Mechanism::kReleaseQuorum);
   options.confirmRestartedNodes = !cluster_.disabled(Mechanism::kConfirmRestartedNodes);
-  options.refuseOlder = !cluster_.disabled(Mechanism::kNeverOlder);
+  options.refuseOlderVersions = !cluster_.disabled(Mechanism::kNeverOlder);
   options.reportLag = !cluster_.disabled(Mechanism::kReportedLag);
   for (size_t i = 0; i < plan.controllers.size(); ++i) options.controllers.push_back(cluster_.controllerAddress(i));
   for (size_t i = 0; i < plan.relays.size(); ++i) {
@@ -123,7 +123,7 @@
   sockets_->setHandler(relay_.get());
   network_.listen(sockets_.get());
   relay_->start();
-  process_.onAway([this] { relay_->onAway(); });
+  process_.onResumed([this] { relay_->onResumed(); });
 }
 
 void RelayMachine::end() { relay_.reset(); }
@@ -161,7 +161,7 @@
       nullptr);
   sockets_->setHandler(control_.get());
   control_->start(plan_.hasDisk ? &disk_ : nullptr);
-  process_.onAway([this] { control_->onAway(); });
+  process_.onResumed([this] { control_->onResumed(); });
 }
 
 void NodeMachine::end() {
--- a/src/simulation/process.cc
+++ b/src/simulation/process.cc
@@ -42,7 +42,7 @@
   busyTimers_.clear();
   waiting_.clear();
   moved_.clear();
-  onAway_ = nullptr;
+  onResumedHandler_ = nullptr;
 }
 
 void Process::setFrozen(bool frozen) {
@@ -63,7 +63,7 @@
     dueTimers_.pop_front();
     runTimer(timer);
   }
-  if (onAway_ && !clockStands_ && away >= base::kStallThreshold) runNow(onAway_);
+  if (onResumedHandler_ && !clockStands_ && away >= base::kStallThreshold) runNow(onResumedHandler_);
   readUntil_.reset();
   while (!waiting_.empty()) {
     const auto action = std::move(waiting_.front());
--- a/src/simulation/process.h
+++ b/src/simulation/process.h
@@ -58,7 +58,7 @@
 
   /// Calls back when a process thaws that was frozen for longer than transport::EventLoop lets pass; forgotten with the
   /// incarnation.
-  void onAway(std::function<void()> handler) { onAway_ = std::move(handler); }
+  void onResumed(std::function<void()> handler) { onResumedHandler_ = std::move(handler); }
 
   /// Runs an action as part of the incarnation, now or when the process thaws; drops it once that one has ended.
   void run(uint64_t incarnation, std::function<void()> action);
@@ -102,7 +102,7 @@
   std::deque<std::shared_ptr<Timer>> busyTimers_;     // came due while the processor was at work; the same
   std::deque<std::function<void()>> waiting_;         // arrived while frozen
   std::unordered_map<base::TimerId, EventId> moved_;  // timers whose event is another than their first
-  std::function<void()> onAway_;                      // may be empty
+  std::function<void()> onResumedHandler_;            // may be empty
   std::function<void()> eventHook_;                   // may be empty
 };
 
--- a/test/limits/cold_start_limiter_test.cc
+++ b/test/limits/cold_start_limiter_test.cc
@@ -28,7 +28,7 @@
   }
 
   /// @return the maximum number of starts within any one-second window
-  size_t mostInASecond() const {
+  size_t maxStartsInOneSecond() const {
     size_t most = 0;
     for (auto first = started.begin(); first != started.end(); ++first) {
       const auto last = std::lower_bound(first, started.end(), *first + base::seconds(1));
@@ -54,7 +54,7 @@
   Load load;
   load.coldStart.onColdReport(base::seconds(10), true);
   load.offer(base::seconds(5));
-  CHECK(load.mostInASecond() == static_cast<size_t>(kColdRatePerSecond));
+  CHECK(load.maxStartsInOneSecond() == static_cast<size_t>(kColdRatePerSecond));
   CHECK(load.started.size() >= 4 * static_cast<size_t>(kColdRatePerSecond));
 }
 
@@ -63,7 +63,7 @@
   load.coldStart.markUncertain();
   load.coldStart.onColdReport(base::Duration(0), false);  // may have been sent before the state became uncertain
   load.offer(base::seconds(2));
-  CHECK(load.mostInASecond() == static_cast<size_t>(kColdRatePerSecond));
+  CHECK(load.maxStartsInOneSecond() == static_cast<size_t>(kColdRatePerSecond));
   load.coldStart.onColdReport(base::Duration(0), true);
   const auto before = load.started.size();
   load.offer(base::seconds(1));
--- a/test/node/backend_restart_test.cc
+++ b/test/node/backend_restart_test.cc
@@ -39,7 +39,7 @@
   SECTION("a late report of draining") {
     CHECK(local.onReport(reportOf(kFirstStart, 402, true)) == ReportResult::kOutdated);
   }
-  SECTION("a late sign-off with its start time") { local.onLeave("i-1", kFirstStart); }
+  SECTION("a late sign-off with its start time") { local.onSignOff("i-1", kFirstStart); }
   SECTION("a late answer to a call of the previous start") {
     local.onWrongEndpoint(endpointNameOf("i-1", kFirstStart));
   }
@@ -55,7 +55,7 @@
   local.onReport(reportOf(kFirstStart, 400));
   local.onReport(reportOf(kFirstStart + 3000, 1));
   const auto current = announced.back().endpoint;
-  local.onLeave("i-1");
+  local.onSignOff("i-1");
   call(1, current);
   CHECK(refusalOf(1) == base::ErrorCode::kDraining);
   REQUIRE(identityChecks.size() == 1);
@@ -79,7 +79,7 @@
 TEST_CASE_METHOD(IdentityCheckFixture, "a sign-off of the only known start ends it at once") {
   enableIdentityCheck(false);
   local.onReport(reportOf(kFirstStart, 4));
-  local.onLeave("i-1");
+  local.onSignOff("i-1");
   CHECK(identityChecks.empty());
   CHECK(announced.back().condition == EndpointCondition::GONE);
   CHECK(local.onReport(reportOf(kFirstStart, 5)) == ReportResult::kOutdated);
--- a/test/node/control_client_suspended_test.cc
+++ b/test/node/control_client_suspended_test.cc
@@ -14,7 +14,7 @@
     version(1);
     heartbeat(1, 2);
     runFor(base::milliseconds(100));
-    process.onAway([this] { client->onAway(); });
+    process.onResumed([this] { client->onResumed(); });
     process.setFrozen(true);
     const auto connection = current();
     // Arrives during the suspension and waits in the socket.
--- a/test/node/endpoint_calls_test.cc
+++ b/test/node/endpoint_calls_test.cc
@@ -71,7 +71,7 @@
     client.onReply(reply);
   }
 
-  void file(int64_t callId, const std::string& key, const std::string& body, base::ConnectionId connection = 1) {
+  void sendFiling(int64_t callId, const std::string& key, const std::string& body, base::ConnectionId connection = 1) {
     wire::CallRequest request;
     request.callId = callId;
     request.serviceName = "filings";
@@ -113,9 +113,9 @@
 }  // namespace
 
 TEST_CASE_METHOD(Fixture, "a resent filing gets the first answer, also at another endpoint") {
-  first->file(1, "key", "claim 7");
+  first->sendFiling(1, "key", "claim 7");
   runFor(base::seconds(1));
-  second->file(2, "key", "claim 7");
+  second->sendFiling(2, "key", "claim 7");
   runFor(base::seconds(1));
   REQUIRE(first->network.answers.size() == 1);
   REQUIRE(second->network.answers.size() == 1);
@@ -125,8 +125,8 @@
 }
 
 TEST_CASE_METHOD(Fixture, "two concurrent attempts run once, and both get the answer") {
-  first->file(1, "key", "claim 7");
-  second->file(2, "key", "claim 7");
+  first->sendFiling(1, "key", "claim 7");
+  second->sendFiling(2, "key", "claim 7");
   runFor(base::seconds(2));
   REQUIRE(first->network.answers.size() == 1);
   REQUIRE(second->network.answers.size() == 1);
@@ -136,9 +136,9 @@
 
 TEST_CASE_METHOD(Fixture, "a filing whose node is lost is answered as unknown, never run again") {
   first->backend.next.outcome = BackendOutcome::kUnknown;
-  first->file(1, "key", "claim 7");
+  first->sendFiling(1, "key", "claim 7");
   runFor(base::seconds(1));
-  second->file(2, "key", "claim 7");
+  second->sendFiling(2, "key", "claim 7");
   runFor(base::seconds(2));
   REQUIRE(second->network.answers.size() == 1);
   CHECK(second->network.answers[0].outcome == wire::CallOutcome::UNKNOWN);
@@ -150,11 +150,11 @@
   shed.name = "x-shed";
   shed.value = "1";
   first->backend.next.headers = {shed};
-  first->file(1, "key", "claim 7");
+  first->sendFiling(1, "key", "claim 7");
   runFor(base::seconds(1));
   REQUIRE(first->network.answers.size() == 1);
   CHECK(first->network.answers[0].outcome == wire::CallOutcome::NOT_RUN);
-  second->file(2, "key", "claim 7");
+  second->sendFiling(2, "key", "claim 7");
   runFor(base::seconds(1));
   REQUIRE(second->network.answers.size() == 1);
   CHECK(second->network.answers[0].outcome == wire::CallOutcome::COMPLETED);
@@ -163,9 +163,9 @@
 
 TEST_CASE_METHOD(Fixture, "requests that waited unread while the machine was suspended are refused as not run") {
   first->calls.setStale(true);
-  first->file(1, "key", "claim 7");
+  first->sendFiling(1, "key", "claim 7");
   first->calls.setStale(false);
-  first->file(2, "key", "claim 7");
+  first->sendFiling(2, "key", "claim 7");
   runFor(base::seconds(1));
   REQUIRE(first->network.answers.size() == 2);
   CHECK(first->network.answers[0].outcome == wire::CallOutcome::NOT_RUN);
@@ -176,7 +176,7 @@
 
 TEST_CASE_METHOD(Fixture, "without the ledger a filing is refused as not run, and does not run") {
   reachable = false;
-  first->file(1, "key", "claim 7");
+  first->sendFiling(1, "key", "claim 7");
   runFor(base::seconds(8));
   REQUIRE(first->network.answers.size() == 1);
   CHECK(first->network.answers[0].outcome == wire::CallOutcome::NOT_RUN);
@@ -186,9 +186,9 @@
 }
 
 TEST_CASE_METHOD(Fixture, "a key that is reused for another filing is refused") {
-  first->file(1, "key", "claim 7");
+  first->sendFiling(1, "key", "claim 7");
   runFor(base::seconds(1));
-  second->file(2, "key", "claim 8");
+  second->sendFiling(2, "key", "claim 8");
   runFor(base::seconds(1));
   REQUIRE(second->network.answers.size() == 1);
   CHECK(second->network.answers[0].outcome == wire::CallOutcome::NOT_RUN);
@@ -198,7 +198,7 @@
 
 TEST_CASE_METHOD(Fixture, "slots are released after every outcome of a filing") {
   for (int i = 0; i < 20; ++i) {
-    first->file(i, "key-" + std::to_string(i % 7), "claim " + std::to_string(i % 3));
+    first->sendFiling(i, "key-" + std::to_string(i % 7), "claim " + std::to_string(i % 3));
     runFor(base::milliseconds(900));
   }
   runFor(base::seconds(4));
@@ -317,7 +317,7 @@
     first->network.answers.clear();
     for (int i = 1; i <= nodes; ++i) {
       const auto key = std::to_string(nodes) + "-" + std::to_string(i);
-      first->file(nodes * 1000 + i, key, key, static_cast<base::ConnectionId>(i));
+      first->sendFiling(nodes * 1000 + i, key, key, static_cast<base::ConnectionId>(i));
     }
     int32_t longest = 0;
     for (const auto& answer : first->network.answers) longest = std::max(longest, answer.fullForMs);
--- a/test/node/local_backend_test.cc
+++ b/test/node/local_backend_test.cc
@@ -144,7 +144,7 @@
 
 TEST_CASE_METHOD(LocalBackendFixture, "an incarnation that has ended never returns") {
   local.onReport(report("i-1", 1));
-  SECTION("it left") { local.onLeave("i-1"); }
+  SECTION("it left") { local.onSignOff("i-1"); }
   SECTION("another one took its place") { local.onReport(report("i-2", 1)); }
   CHECK(announced.size() >= 2);
   CHECK(local.onReport(report("i-1", 9)) == ReportResult::kOutdated);
@@ -187,7 +187,7 @@
   CHECK(announced[1].condition == EndpointCondition::LIVE);
   local.onIdentified("i-2");
   CHECK(local.incarnation() == "i-1");
-  local.onLeave("i-1");
+  local.onSignOff("i-1");
   local.onIdentified("i-1");
   CHECK(local.incarnation().empty());
 }
--- a/test/quota/quota_fleet_test.cc
+++ b/test/quota/quota_fleet_test.cc
@@ -30,11 +30,11 @@
     newLeader();
     for (int i = 0; i < kRelays; ++i) {
       relays_.push_back(std::make_unique<quota_queue>(
-          process_, kRelayTimes, [this, i](const wire::QuotaAsk& question) { return askLeader(i, question); }));
+          process_, kRelayTimes, [this, i](const wire::QuotaAsk& request) { return askLeader(i, request); }));
     }
     for (int i = 0; i < kNodes; ++i) {
       nodes_.push_back(std::make_unique<quota_queue>(
-          process_, kNodeTimes, [this, i](const wire::QuotaAsk& question) { return askRelay(i, question); }));
+          process_, kNodeTimes, [this, i](const wire::QuotaAsk& request) { return askRelay(i, request); }));
     }
   }
 
@@ -69,7 +69,7 @@
   void setCut(int relay, bool cut) { cut_[relay] = cut; }
 
   /// @return the maximum number of permits granted within any window of the given length
-  size_t mostWithin(base::Duration span) const {
+  size_t maxGrantedWithin(base::Duration span) const {
     size_t most = 0;
     for (auto first = granted_.begin(); first != granted_.end(); ++first) {
       most = std::max(most, static_cast<size_t>(std::lower_bound(first, granted_.end(), *first + span) - first));
@@ -83,10 +83,10 @@
   int64_t unanswered() const { return unanswered_; }
 
  private:
-  bool askLeader(int relay, const wire::QuotaAsk& question) {
+  bool askLeader(int relay, const wire::QuotaAsk& request) {
     if (cut_[relay]) return true;
-    process_.schedule(kOneWay, [this, relay, question] {
-      const auto grant = grantor_->decide(question);
+    process_.schedule(kOneWay, [this, relay, request] {
+      const auto grant = grantor_->decide(request);
       process_.schedule(kOneWay, [this, relay, grant] {
         if (!cut_[relay]) relays_[relay]->onGrant(grant);
       });
@@ -94,10 +94,10 @@
     return true;
   }
 
-  bool askRelay(int node, const wire::QuotaAsk& question) {
+  bool askRelay(int node, const wire::QuotaAsk& request) {
     const int relay = node % kRelays;
-    process_.schedule(kOneWay, [this, node, relay, question] {
-      for (const auto& demand : question.demands) {
+    process_.schedule(kOneWay, [this, node, relay, request] {
+      for (const auto& demand : request.demands) {
         relays_[relay]->wait(
             static_cast<uint64_t>(node), demand.tenant, demand.count,
             [this, node, tenant = demand.tenant](const permit_outcome& outcome) { answerNode(node, tenant, outcome); });
@@ -148,7 +148,7 @@
   fleet.runFor(base::seconds(1));
   fleet.send(10 * kRatePerS, base::seconds(20));
   fleet.runFor(base::seconds(2));
-  CHECK(fleet.mostWithin(kSpan) <= kMostInSpan);
+  CHECK(fleet.maxGrantedWithin(kSpan) <= kMostInSpan);
   CHECK(fleet.granted() >= static_cast<int64_t>(0.95 * kRatePerS * 20));
   CHECK(fleet.unanswered() == 0);
   CHECK(fleet.granted() + fleet.denied() == fleet.sent());
@@ -166,7 +166,7 @@
       fleet.setCut(relay, random.below(2) == 0);
       if (random.below(2) == 0) fleet.newLeader();
     }
-    most = std::max(most, fleet.mostWithin(kSpan));
+    most = std::max(most, fleet.maxGrantedWithin(kSpan));
   }
   CHECK(most <= kMostInSpan);
 }
--- a/test/relay/controller_links_test.cc
+++ b/test/relay/controller_links_test.cc
@@ -24,7 +24,7 @@
     links.start();
     for (const auto& [connection, address] : network.connected) links.onOpen(connection);
     links.onLeader(network.connected.begin()->first, freshnessOf(1));
-    process.onAway([this] { links.onAway(); });
+    process.onResumed([this] { links.onResumed(); });
   }
 
   void runFor(base::Duration duration) {
@@ -33,7 +33,7 @@
     }
   }
 
-  bool fresh() const { return process.now() - links.freshSince() <= base::seconds(3); }
+  bool fresh() const { return process.now() - links.freshnessAdvancedAt() <= base::seconds(3); }
 
   simulation::EventQueue queue;
   simulation::Process process;
