--- a/apps/node_daemon.cc
+++ b/apps/node_daemon.cc
@@ -450,7 +450,7 @@
     if (result.outcome == transport::HttpOutcome::kCompleted) {
       identity.incarnation = std::string(transport::findHeader(headers, FLAGS_identity_header));
       identity.healthy = kOkStatus == result.response.status;
-      identity.leaving = !identity.healthy && !refused;
+      identity.unavailable = !identity.healthy && !refused;
       identity.coldMs = remainingColdMs(headers, identity.healthy);
     }
     done(identity);
--- a/src/node/endpoint_calls.cc
+++ b/src/node/endpoint_calls.cc
@@ -125,7 +125,7 @@
   limiter_.refuseWaiting();
   probationLimiter_.refuseWaiting();
   backend_.dropIdleConnections();
-  if (watch_ != nullptr && !leaving_) watch_->onRestart();
+  if (watch_ != nullptr && !backendStopping_) watch_->onRestart();
   std::vector<CallKey> lost;
   for (const auto& [key, call] : calls_) {
     if (call.running) lost.push_back(key);
@@ -240,7 +240,7 @@
   if (service == callerServices_.end()) return false;
   const auto kind = kindOf(request);
   nestedCallDetector_.onCall(kind, service->second);
-  return nestedCallDetector_.nested(kind);
+  return nestedCallDetector_.isNested(kind);
 }
 
 limits::Priority EndpointCalls::priorityOf(const Call& call) const {
--- a/src/node/endpoint_calls.h
+++ b/src/node/endpoint_calls.h
@@ -115,7 +115,7 @@
   void setDraining(bool draining);
 
   /// Sets whether the back end is shutting down. Connections that it closes meanwhile do not count as crashes.
-  void setLeaving(bool leaving) { leaving_ = leaving; }
+  void setBackendStopping(bool stopping) { backendStopping_ = stopping; }
 
   /// Sets the incarnation of the back end.
   /// @param endpoint its name; empty while none is known, in which case every call is refused
@@ -267,7 +267,7 @@
   limits::SlotLimiter probationLimiter_;                  // one slot, for suspects
   quarantine::request_quarantine* quarantine_ = nullptr;  // may stay null
   quarantine::crash_watch* watch_ = nullptr;              // may stay null
-  bool leaving_ = false;
+  bool backendStopping_ = false;
   bool stale_ = false;
   std::map<CallKey, Call> calls_;
   std::map<base::ConnectionId, CallerNode> callerNodes_;
--- a/src/node/endpoint_calls_quarantine.cc
+++ b/src/node/endpoint_calls_quarantine.cc
@@ -118,7 +118,7 @@
 /// Handles a connection that the back end closed without an answer: the back end crashed or the connection was lost.
 void EndpointCalls::onBackendDisconnected(const CallKey& key) {
   ++counters_.cutRuns;
-  if (watch_ == nullptr || leaving_) return answerUnknown(key, ErrorCode::kBackendFailed);
+  if (watch_ == nullptr || backendStopping_) return answerUnknown(key, ErrorCode::kBackendFailed);
   const quarantine::crashed_run run{fingerprintOfCall(key), calls_.at(key).onProbation};
   watch_->onCut(run, [this, alive = std::weak_ptr<bool>(alive_), key](std::optional<uint64_t> crash) {
     if (alive.expired() || calls_.count(key) == 0) return;
--- a/src/node/endpoint_links.cc
+++ b/src/node/endpoint_links.cc
@@ -251,14 +251,14 @@
   for (const auto& [service, endpoints] : chosen_) {
     for (const auto& endpoint : endpoints) wanted[endpoint.name] = {endpoint.address, endpoint.port};
   }
-  std::vector<std::string> leaving;
+  std::vector<std::string> toClose;
   for (const auto& [name, link] : links_) {
     const auto found = wanted.find(name);
     const bool moved = found == wanted.end() || !(found->second == link.address);
     const bool busy = link.open && picker_.inFlight(name) > 0 && found == wanted.end();
-    if (moved && !busy) leaving.push_back(name);
+    if (moved && !busy) toClose.push_back(name);
   }
-  for (const auto& name : leaving) closeLink(name);
+  for (const auto& name : toClose) closeLink(name);
   addLinks(wanted);
 }
 
@@ -356,9 +356,9 @@
   picker_.setConnected(endpoint, false);
   const int calls = picker_.inFlight(endpoint);
   onLost_(connection, endpoint);
-  const auto place = links_.find(endpoint);
-  if (place == links_.end()) return;
-  auto& link = place->second;
+  const auto entry = links_.find(endpoint);
+  if (entry == links_.end()) return;
+  auto& link = entry->second;
   link.connection = 0;
   if (link.open) {
     link.lostAt = scheduler_.now();
--- a/src/node/local_backend.cc
+++ b/src/node/local_backend.cc
@@ -152,7 +152,7 @@
     clearCurrent();
   }
   // A drain that a previous process of this node acknowledged must not be undone by a late report.
-  if (afterRestart && identity.leaving) chosen->draining = true;
+  if (afterRestart && identity.unavailable) chosen->draining = true;
   activate(*chosen);
 }
 
@@ -205,7 +205,7 @@
   calls_.useVersion(current_.version);
   calls_.useIncarnation(endpoint(), current_.slots);
   if (onBackend_) onBackend_(endpoint(), current_);
-  calls_.setLeaving(current_.draining);
+  calls_.setBackendStopping(current_.draining);
   calls_.setDraining(draining);
   announce(draining ? wire::EndpointCondition::DRAINING : wire::EndpointCondition::LIVE);
 }
@@ -239,7 +239,7 @@
   suspended_ = false;
   signOffUnconfirmed_ = false;
   silenceTimer_.stop();
-  calls_.setLeaving(true);
+  calls_.setBackendStopping(true);
   calls_.useIncarnation("", 0);
   if (onBackend_) onBackend_("", current_);
 }
--- a/src/node/local_backend.h
+++ b/src/node/local_backend.h
@@ -38,7 +38,7 @@
 /// Answer of a back end to an identity check.
 struct BackendIdentity {
   std::string incarnation;      ///< empty if it did not answer in time
-  bool leaving = false;         ///< it is draining or unhealthy
+  bool unavailable = false;     ///< it is draining or unhealthy
   bool healthy = false;         ///< it is healthy; both flags are false if it refused the check for lack of a slot
   std::optional<int> coldMs{};  ///< remaining time for which it is slow after its start, if reported
 };
--- a/src/overload/nested_call_detector.cc
+++ b/src/overload/nested_call_detector.cc
@@ -41,7 +41,7 @@
 	m_calls += 1;
 }
 
-bool nested_call_detector::nested(const call_kind& _kind) const
+bool nested_call_detector::isNested(const call_kind& _kind) const
 {
 	const auto own = m_kinds.find(_kind);
 	if (m_kinds.end() == own)
--- a/src/overload/nested_call_detector.h
+++ b/src/overload/nested_call_detector.h
@@ -35,7 +35,7 @@
 	void onCall(const call_kind& _kind, std::string_view _service);
 
 	/// @returns Whether the recorded calls show that this kind is made by back ends; false without enough evidence.
-	bool nested(const call_kind& _kind) const;
+	bool isNested(const call_kind& _kind) const;
 
 private:
 	using by_service = std::map<std::string, double, std::less<>>;
--- a/src/relay/controller_links.cc
+++ b/src/relay/controller_links.cc
@@ -45,11 +45,11 @@
 }
 
 void ControllerLinks::reconcileConnections() {
-  std::vector<base::ConnectionId> leaving;
+  std::vector<base::ConnectionId> toClose;
   for (const auto& [connection, address] : open_) {
-    if (!isWanted(address)) leaving.push_back(connection);
+    if (!isWanted(address)) toClose.push_back(connection);
   }
-  for (const auto connection : leaving) drop(connection);
+  for (const auto connection : toClose) drop(connection);
   for (const auto& address : connectionAttempts_.addresses()) {
     if (!isWanted(address)) connectionAttempts_.stop(address);
   }
--- a/src/relay/freshness_confirmer.cc
+++ b/src/relay/freshness_confirmer.cc
@@ -10,11 +10,11 @@
 }  // namespace
 
 FreshnessConfirmer::FreshnessConfirmer(base::Scheduler& scheduler, const ReleaseGroup* group, std::string ownId,
-                                       SendRequests ask)
+                                       SendRequests sendRequests)
     : scheduler_(scheduler),
       group_(group),
       ownId_(std::move(ownId)),
-      sendRequests_(std::move(ask)),
+      sendRequests_(std::move(sendRequests)),
       retryTimer_(scheduler, [this] { startRound(); }) {}
 
 void FreshnessConfirmer::confirm(Callback callback) {
--- a/src/relay/freshness_confirmer.h
+++ b/src/relay/freshness_confirmer.h
@@ -23,7 +23,8 @@
   using SendRequests = std::function<int64_t()>;
   using Callback = std::function<void()>;
 
-  FreshnessConfirmer(base::Scheduler& scheduler, const ReleaseGroup* group, std::string ownId, SendRequests ask);
+  FreshnessConfirmer(base::Scheduler& scheduler, const ReleaseGroup* group, std::string ownId,
+                     SendRequests sendRequests);
 
   /// Runs the callback once the table is confirmed to be recent.
   void confirm(Callback callback);
--- a/src/relay/relay.cc
+++ b/src/relay/relay.cc
@@ -33,7 +33,7 @@
       versions_(scheduler, replica_, endpoints_,
                 [this](const wire::Message& message) { return controllerLinks_.send(message); }),
       quotas_(scheduler, kQuotaQueueOptions,
-              [this](const wire::QuotaAsk& question) { return controllerLinks_.send(question); }),
+              [this](const wire::QuotaAsk& quotaRequest) { return controllerLinks_.send(quotaRequest); }),
       nodeTimer_(scheduler, [this] { onNodeTimer(); }),
       reportTimer_(scheduler, [this] {
         reportTimer_.start(options_.reportInterval);
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -134,7 +134,7 @@
   void onLedgerReply(const wire::LedgerReply& reply);
 
   // Quotas
-  void onQuotaAsk(base::ConnectionId connection, const wire::QuotaAsk& question);
+  void onQuotaAsk(base::ConnectionId connection, const wire::QuotaAsk& quotaRequest);
 
   // Reports
   void scheduleReport();
--- a/src/relay/relay_nodes.cc
+++ b/src/relay/relay_nodes.cc
@@ -29,15 +29,15 @@
     onEndpointStates(states->states, hellos_[connection].id, true);
   } else if (const auto* crashes = std::get_if<wire::CrashReports>(&message)) {
     crashDistributor_.onNodeReports(connection, crashes->reports);
-  } else if (const auto* question = std::get_if<wire::QuotaAsk>(&message)) {
-    onQuotaAsk(connection, *question);
+  } else if (const auto* quotaRequest = std::get_if<wire::QuotaAsk>(&message)) {
+    onQuotaAsk(connection, *quotaRequest);
   } else if (const auto* versions = std::get_if<wire::VersionReports>(&message)) {
     versions_.onReports(*versions);
   }
 }
 
-void Relay::onQuotaAsk(base::ConnectionId connection, const wire::QuotaAsk& question) {
-  for (const auto& demand : question.demands) {
+void Relay::onQuotaAsk(base::ConnectionId connection, const wire::QuotaAsk& quotaRequest) {
+  for (const auto& demand : quotaRequest.demands) {
     quotas_.wait(connection, demand.tenant, demand.count,
                  [this, connection, tenant = demand.tenant](const quota::permit_outcome& outcome) {
                    if (outcome.granted + outcome.denied == 0) return;  // the node retries by itself
--- a/test/limits/slot_limiter_test.cc
+++ b/test/limits/slot_limiter_test.cc
@@ -16,8 +16,8 @@
   std::vector<int> refused;
 };
 
-limits::TicketId ask(limits::SlotLimiter& limiter, Outcome& outcome, int id, base::TimePoint deadline,
-                     Priority priority = Priority::kNormal) {
+limits::TicketId requestSlot(limits::SlotLimiter& limiter, Outcome& outcome, int id, base::TimePoint deadline,
+                             Priority priority = Priority::kNormal) {
   return limiter.acquire(
       priority, deadline, [&outcome, id] { outcome.started.push_back(id); },
       [&outcome, id](limits::SlotRefusal) { outcome.refused.push_back(id); });
@@ -30,7 +30,7 @@
   limits::SlotLimiter limiter(time, 2, 1);
   Outcome outcome;
   const auto deadline = time.now() + base::seconds(10);
-  for (int id = 0; id < 5; ++id) ask(limiter, outcome, id, deadline);
+  for (int id = 0; id < 5; ++id) requestSlot(limiter, outcome, id, deadline);
   CHECK(outcome.started == std::vector<int>{0, 1});
   CHECK(outcome.refused == std::vector<int>{3, 4});
   limiter.release(base::milliseconds(1));
@@ -43,8 +43,8 @@
   limits::SlotLimiter limiter(time, 1, 2);
   Outcome outcome;
   const auto deadline = time.now() + base::seconds(10);
-  for (int id = 0; id < 3; ++id) ask(limiter, outcome, id, deadline);
-  ask(limiter, outcome, 9, deadline + base::seconds(5), Priority::kMustRun);
+  for (int id = 0; id < 3; ++id) requestSlot(limiter, outcome, id, deadline);
+  requestSlot(limiter, outcome, 9, deadline + base::seconds(5), Priority::kMustRun);
   CHECK(outcome.refused == std::vector<int>{2});
   limiter.release(base::milliseconds(1));
   CHECK(outcome.started == std::vector<int>{0, 9});
@@ -55,10 +55,10 @@
   limits::SlotLimiter limiter(time, 1, 100);
   Outcome outcome;
   const auto far = time.now() + base::seconds(100);
-  ask(limiter, outcome, 0, far);
+  requestSlot(limiter, outcome, 0, far);
   limiter.release(base::milliseconds(100));
-  for (int id = 1; id < 12; ++id) ask(limiter, outcome, id, far, Priority::kMustRun);
-  ask(limiter, outcome, 99, time.now() + base::milliseconds(200));
+  for (int id = 1; id < 12; ++id) requestSlot(limiter, outcome, id, far, Priority::kMustRun);
+  requestSlot(limiter, outcome, 99, time.now() + base::milliseconds(200));
   CHECK(outcome.refused == std::vector<int>{99});
 }
 
@@ -67,11 +67,11 @@
   limits::SlotLimiter limiter(time, 1, 100);
   Outcome outcome;
   const auto far = time.now() + base::seconds(100);
-  ask(limiter, outcome, 0, far);
+  requestSlot(limiter, outcome, 0, far);
   limiter.release(base::milliseconds(100));
-  for (int id = 1; id < 12; ++id) ask(limiter, outcome, id, far);
-  ask(limiter, outcome, 98, time.now() + base::milliseconds(200));
-  ask(limiter, outcome, 99, time.now() + base::milliseconds(90));
+  for (int id = 1; id < 12; ++id) requestSlot(limiter, outcome, id, far);
+  requestSlot(limiter, outcome, 98, time.now() + base::milliseconds(200));
+  requestSlot(limiter, outcome, 99, time.now() + base::milliseconds(90));
   CHECK(outcome.refused == std::vector<int>{99});
   limiter.release(base::milliseconds(100));
   CHECK(outcome.started == std::vector<int>{0, 1, 98});
@@ -82,7 +82,7 @@
   limits::SlotLimiter limiter(time, 4, 4);
   Outcome outcome;
   const auto deadline = time.now() + base::seconds(10);
-  for (int id = 0; id < 8; ++id) ask(limiter, outcome, id, deadline);
+  for (int id = 0; id < 8; ++id) requestSlot(limiter, outcome, id, deadline);
   limiter.setLimits(1, 2);
   CHECK(limiter.running() == 4);
   CHECK(outcome.refused.size() == 2);
@@ -99,8 +99,8 @@
   limits::SlotLimiter limiter(time, 1, 4);
   Outcome outcome;
   const auto deadline = time.now() + base::seconds(10);
-  ask(limiter, outcome, 0, deadline);
-  const auto ticket = ask(limiter, outcome, 1, deadline);
+  requestSlot(limiter, outcome, 0, deadline);
+  const auto ticket = requestSlot(limiter, outcome, 1, deadline);
   CHECK(limiter.cancel(ticket));
   limiter.release(base::milliseconds(1));
   CHECK(outcome.started == std::vector<int>{0});
@@ -111,10 +111,10 @@
   limits::SlotLimiter limiter(time, 1, 10);
   Outcome outcome;
   const auto now = time.now();
-  ask(limiter, outcome, 0, now + base::seconds(9));
-  ask(limiter, outcome, 1, now + base::seconds(3), limits::priorityFor(2, true));
-  ask(limiter, outcome, 2, now + base::seconds(8), limits::priorityFor(1, true));
-  ask(limiter, outcome, 3, now + base::seconds(5), limits::priorityFor(1, true));
+  requestSlot(limiter, outcome, 0, now + base::seconds(9));
+  requestSlot(limiter, outcome, 1, now + base::seconds(3), limits::priorityFor(2, true));
+  requestSlot(limiter, outcome, 2, now + base::seconds(8), limits::priorityFor(1, true));
+  requestSlot(limiter, outcome, 3, now + base::seconds(5), limits::priorityFor(1, true));
   for (int i = 0; i < 3; ++i) limiter.release(base::milliseconds(1));
   CHECK(outcome.started == std::vector<int>{0, 3, 2, 1});
 }
@@ -124,10 +124,10 @@
   limits::SlotLimiter limiter(time, 1, 10);
   Outcome outcome;
   const auto now = time.now();
-  ask(limiter, outcome, 0, now + base::seconds(9));
+  requestSlot(limiter, outcome, 0, now + base::seconds(9));
   limiter.release(base::milliseconds(100));
-  ask(limiter, outcome, 1, now + base::seconds(9));
-  for (int id = 2; id < 6; ++id) ask(limiter, outcome, id, now + base::seconds(5));
+  requestSlot(limiter, outcome, 1, now + base::seconds(9));
+  for (int id = 2; id < 6; ++id) requestSlot(limiter, outcome, id, now + base::seconds(5));
   CHECK(limiter.expectedWait(Priority::kNormal, now + base::seconds(6)) == base::milliseconds(500));
   CHECK(limiter.expectedWait(Priority::kNormal, now + base::seconds(4)) == base::milliseconds(100));
   CHECK(limiter.expectedWait(Priority::kMustRun, now + base::seconds(6)) == base::milliseconds(100));
@@ -138,9 +138,9 @@
   limits::SlotLimiter limiter(time, 1, 10);
   Outcome outcome;
   const auto now = time.now();
-  ask(limiter, outcome, 0, now + base::seconds(9));
-  ask(limiter, outcome, 1, now + base::seconds(1));
-  ask(limiter, outcome, 2, now + base::seconds(4));
+  requestSlot(limiter, outcome, 0, now + base::seconds(9));
+  requestSlot(limiter, outcome, 1, now + base::seconds(1));
+  requestSlot(limiter, outcome, 2, now + base::seconds(4));
   CHECK(limiter.nextExpiry() == now + base::seconds(1));
   time.advance(base::seconds(2));
   limiter.refuseExpired();
@@ -157,9 +157,9 @@
   limiter.setNestedShare(0.5);
   Outcome outcome;
   const auto far = time.now() + base::seconds(9);
-  for (int id = 0; id < 4; ++id) ask(limiter, outcome, id, far);
-  for (int id = 10; id < 14; ++id) ask(limiter, outcome, id, far, Priority::kMustRun);
-  for (int id = 20; id < 24; ++id) ask(limiter, outcome, id, far, Priority::kNested);
+  for (int id = 0; id < 4; ++id) requestSlot(limiter, outcome, id, far);
+  for (int id = 10; id < 14; ++id) requestSlot(limiter, outcome, id, far, Priority::kMustRun);
+  for (int id = 20; id < 24; ++id) requestSlot(limiter, outcome, id, far, Priority::kNested);
   for (int i = 0; i < 4; ++i) limiter.release(base::milliseconds(1));
   CHECK(outcome.started == std::vector<int>{0, 1, 2, 3, 20, 21, 10, 11});
   limiter.release(base::milliseconds(1), Priority::kNested);
@@ -175,20 +175,20 @@
   limits::SlotLimiter limiter(time, 1, 10);
   Outcome outcome;
   const auto start = time.now();
-  const auto askUnready = [&](int id, base::TimePoint latest) {
+  const auto requestSlotUnready = [&](int id, base::TimePoint latest) {
     return limiter.acquire(
         Priority::kNormal, latest, [&outcome, id] { outcome.started.push_back(id); },
         [&outcome, id](limits::SlotRefusal) { outcome.refused.push_back(id); }, false);
   };
-  const auto first = askUnready(1, start + base::seconds(1));
-  ask(limiter, outcome, 2, start + base::seconds(2));
+  const auto first = requestSlotUnready(1, start + base::seconds(1));
+  requestSlot(limiter, outcome, 2, start + base::seconds(2));
   CHECK(outcome.started == std::vector<int>{2});
-  ask(limiter, outcome, 3, start + base::seconds(2));
+  requestSlot(limiter, outcome, 3, start + base::seconds(2));
   limiter.setReady(first);
   CHECK(outcome.started == std::vector<int>{2});
   limiter.release(base::milliseconds(100));
   CHECK(outcome.started == std::vector<int>{2, 1});
-  const auto late = askUnready(4, start + base::milliseconds(500));
+  const auto late = requestSlotUnready(4, start + base::milliseconds(500));
   time.advance(base::milliseconds(600));
   limiter.refuseExpired();
   CHECK(outcome.refused == std::vector<int>{4});
@@ -202,11 +202,11 @@
   limits::SlotLimiter limiter(time, 2, 10);
   Outcome outcome;
   const auto far = time.now() + base::seconds(10);
-  ask(limiter, outcome, 0, far);
+  requestSlot(limiter, outcome, 0, far);
   limiter.release(base::seconds(1));
   (void)limiter.acquire(
       Priority::kNormal, far, [] {}, [](limits::SlotRefusal) {}, false);
   CHECK(limiter.expectedWait(Priority::kNormal, far) == base::Duration(0));
-  ask(limiter, outcome, 1, time.now() + base::milliseconds(1));
+  requestSlot(limiter, outcome, 1, time.now() + base::milliseconds(1));
   CHECK(outcome.started == std::vector<int>{0, 1});
 }
--- a/test/node/local_backend_fixture.h
+++ b/test/node/local_backend_fixture.h
@@ -107,11 +107,11 @@
                            afterRestart);
   }
 
-  void answer(const std::string& incarnation, bool leaving = false) {
+  void answer(const std::string& incarnation, bool unavailable = false) {
     REQUIRE(!identityChecks.empty());
     const auto done = std::move(identityChecks.front());
     identityChecks.erase(identityChecks.begin());
-    done({incarnation, leaving});
+    done({incarnation, unavailable});
   }
 
   std::vector<LocalBackend::IdentityCallback> identityChecks;
--- a/test/overload/nested_call_detector_test.cc
+++ b/test/overload/nested_call_detector_test.cc
@@ -22,9 +22,9 @@
 		detector.onCall(kOrder, kServices[i % 3]);
 		detector.onCall(kCheck, "catalogue");
 	}
-	CHECK(detector.nested(kCheck));
-	CHECK(!detector.nested(kOrder));
-	CHECK(!detector.nested(kSearch));
+	CHECK(detector.isNested(kCheck));
+	CHECK(!detector.isNested(kOrder));
+	CHECK(!detector.isNested(kSearch));
 }
 
 TEST_CASE("a kind that comes from the nodes of all services but one is nested as well")
@@ -35,8 +35,8 @@
 		detector.onCall(kOrder, kServices[i % 3]);
 		detector.onCall(kCheck, kServices[i % 2]);
 	}
-	CHECK(detector.nested(kCheck));
-	CHECK(!detector.nested(kOrder));
+	CHECK(detector.isNested(kCheck));
+	CHECK(!detector.isNested(kOrder));
 }
 
 TEST_CASE("nothing is nested before there is enough evidence")
@@ -47,7 +47,7 @@
 		detector.onCall(kOrder, kServices[i % 3]);
 		detector.onCall(kCheck, "catalogue");
 	}
-	CHECK(!detector.nested(kCheck));
+	CHECK(!detector.isNested(kCheck));
 }
 
 TEST_CASE("nothing is nested while all calls come from the nodes of one service")
@@ -59,8 +59,8 @@
 		detector.onCall(kCheck, "orders");
 		detector.onCall(kSearch, "");
 	}
-	CHECK(!detector.nested(kCheck));
-	CHECK(!detector.nested(kOrder));
+	CHECK(!detector.isNested(kCheck));
+	CHECK(!detector.isNested(kOrder));
 }
 
 TEST_CASE("a kind that callers outside begin to use is no longer nested")
@@ -71,12 +71,12 @@
 		detector.onCall(kOrder, kServices[i % 3]);
 		detector.onCall(kCheck, "catalogue");
 	}
-	CHECK(detector.nested(kCheck));
+	CHECK(detector.isNested(kCheck));
 	for (int i = 0; i < 60; ++i)
 	{
 		detector.onCall(kCheck, kServices[i % 3]);
 	}
-	CHECK(!detector.nested(kCheck));
+	CHECK(!detector.isNested(kCheck));
 }
 
 }  // namespace driftlug::overload
--- a/test/quota/quota_fleet_test.cc
+++ b/test/quota/quota_fleet_test.cc
@@ -30,11 +30,11 @@
     newLeader();
     for (int i = 0; i < kRelays; ++i) {
       relays_.push_back(std::make_unique<quota_queue>(
-          process_, kRelayTimes, [this, i](const wire::QuotaAsk& request) { return askLeader(i, request); }));
+          process_, kRelayTimes, [this, i](const wire::QuotaAsk& request) { return sendToLeader(i, request); }));
     }
     for (int i = 0; i < kNodes; ++i) {
       nodes_.push_back(std::make_unique<quota_queue>(
-          process_, kNodeTimes, [this, i](const wire::QuotaAsk& request) { return askRelay(i, request); }));
+          process_, kNodeTimes, [this, i](const wire::QuotaAsk& request) { return sendToRelay(i, request); }));
     }
   }
 
@@ -83,7 +83,7 @@
   int64_t unanswered() const { return unanswered_; }
 
  private:
-  bool askLeader(int relay, const wire::QuotaAsk& request) {
+  bool sendToLeader(int relay, const wire::QuotaAsk& request) {
     if (cut_[relay]) return true;
     process_.schedule(kOneWay, [this, relay, request] {
       const auto grant = grantor_->decide(request);
@@ -94,7 +94,7 @@
     return true;
   }
 
-  bool askRelay(int node, const wire::QuotaAsk& request) {
+  bool sendToRelay(int node, const wire::QuotaAsk& request) {
     const int relay = node % kRelays;
     process_.schedule(kOneWay, [this, node, relay, request] {
       for (const auto& demand : request.demands) {
