--- a/src/lifecycle/planned_stop.h
+++ b/src/lifecycle/planned_stop.h
@@ -36,7 +36,7 @@
 /// Timing of a planned stop, relative to its start.
 struct stop_times
 {
-	base::Duration linger{0};   //!< Requests are accepted until then, so that others learn of the stop.
+	base::Duration linger{0};  //!< Requests are accepted until then, so that other processes can notice the stop first.
 	base::Duration timeout{0};  //!< The process ends by then, even with requests in progress.
 };
 
--- a/src/membership/connection_attempts.cc
+++ b/src/membership/connection_attempts.cc
@@ -3,10 +3,10 @@
 namespace driftlug::membership {
 namespace {
 
-/// On any path that is not congested the connection is established within this time; after it the next attempt starts.
+/// Time after which the next attempt starts. On a path that is not congested, the connection is established within it.
 constexpr base::Duration kAttemptInterval = base::milliseconds(700);
 constexpr size_t kMaxAttempts = 4;
-/// The oldest attempt ends when the one after the last starts.
+/// An attempt times out when the attempt that would exceed kMaxAttempts starts.
 constexpr base::Duration kAttemptTimeout = kMaxAttempts * kAttemptInterval;
 
 }  // namespace
--- a/src/node/control_client.h
+++ b/src/node/control_client.h
@@ -29,10 +29,10 @@
   base::Duration relayTimeout = base::milliseconds(1800);  ///< longest time without a message of the relay
   base::Duration firstSliceTimeout = base::milliseconds(2000);
   /// Replaces firstSliceTimeout on a node without a version while its relay knows of no leader; doubled after each
-  /// round of all relays. Such a node serves no calls, and stayed with a relay that was cut off for 1.8 s without this
-  /// limit.
+  /// round of all relays. Without this limit, such a node stayed for 1.8 s with a relay that was cut off from the
+  /// controllers, and served no calls meanwhile.
   base::Duration leaderlessTimeout = base::milliseconds(600);
-  base::Duration staleAfter = base::seconds(4);  ///< longest time without newer freshness of the controllers
+  base::Duration staleAfter = base::seconds(4);  ///< longest time without an advance of the controllers' freshness
   /// Delay before the next relay is tried in parallel to a connection attempt, on a node without a version; doubled
   /// after each round of all relays.
   base::Duration connectionAttemptDelay = base::milliseconds(150);
--- a/src/node/endpoint_calls.cc
+++ b/src/node/endpoint_calls.cc
@@ -15,7 +15,8 @@
 constexpr int kFirstServerError = 500;
 /// A node that sent a request within this time counts as an active caller.
 constexpr base::Duration kActiveCallerWindow = base::seconds(2);
-/// Number of requests invited for each slot that becomes free, so that no slot stays idle.
+/// Number of requests that all callers together should send for each slot that becomes free; more than one, so that no
+/// slot stays idle.
 constexpr int kRequestsPerFreeSlot = 2;
 /// Suspects that may run concurrently: with one, a crash identifies at most one suspect.
 constexpr int kMaxConcurrentSuspects = 1;
@@ -194,7 +195,7 @@
 base::TimePoint EndpointCalls::latestStartOf(const Call& call) const {
   const int targetMs = call.request.targetLatencyMs;
   if (!options_.waitWithinTarget || targetMs == 0) return call.deadline;
-  // A late answer to a nested call is still useful to the call that made it, up to the deadline.
+  // A late answer to a nested call is useful to its outer call until the deadline.
   if (call.nested) return call.deadline - base::microsecondsOf(options_.runTimeMargin * averageRunUs(call.request));
   const double targetUs = static_cast<double>(base::Duration(base::milliseconds(targetMs)).count());
   const double spareUs = remainingTargetUs(call.request) - options_.runTimeMargin * averageRunUs(call.request);
@@ -246,7 +247,7 @@
 limits::Priority EndpointCalls::priorityOf(const Call& call) const {
   if (call.nested) return limits::Priority::kNested;
   const auto& request = call.request;
-  // With targets, the nearest one goes first within a priority, whether or not the request may be repeated.
+  // Within a priority, the request whose target is due first goes first, whether or not it may be repeated.
   const bool byTarget = options_.waitWithinTarget && request.targetLatencyMs > 0;
   const auto rank = limits::priorityFor(request.priority, byTarget || isRepeatable(request));
   return byTarget && isLate(request) ? limits::latePriority(rank) : rank;
--- a/src/node/endpoint_calls.h
+++ b/src/node/endpoint_calls.h
@@ -40,9 +40,10 @@
   double coldOverage = 1;
   double runTimeMargin = 1.3;  ///< with waitWithinTarget: time reserved for a run, as a multiple of the average run
   double minWaitShare = 0.15;  ///< with waitWithinTarget: share of the target latency that a request may always wait
-  /// Whether calls that are detected as nested go first: refusing one wastes the work already done for its outer call.
+  /// Whether calls that are detected as nested get slots first: refusing one wastes the work already done for its outer
+  /// call.
   bool nestedFirst = true;
-  double nestedShare = 0.75;    ///< with nestedFirst: highest share of slots for nested calls while others wait
+  double nestedShare = 0.75;    ///< with nestedFirst: maximum share of slots for nested calls while others wait
   std::string requestIdHeader;  ///< header, in lower case, whose value identifies a call in logs; empty for none
   base::Duration overloadRetryAfter{0};                        ///< lower bound of the Retry-After of overload refusals
   base::Duration maxCallerBackoff = base::milliseconds(1500);  ///< upper bound of the back-off of a calling node
--- a/src/node/endpoint_calls_quarantine.cc
+++ b/src/node/endpoint_calls_quarantine.cc
@@ -25,7 +25,8 @@
   return *call.fingerprint;
 }
 
-/// Includes the sender's view, which may know of a crash that has not been reported to this node yet.
+/// @return the stricter of this node's standing and the sender's, which may know of a crash that has not been reported
+/// to this node yet.
 standing EndpointCalls::standingOfCall(const CallKey& key) {
   if (quarantine_ == nullptr) return standing::clear;
   const auto reported = calls_.at(key).request.suspect ? standing::suspect : standing::clear;
@@ -44,7 +45,8 @@
   }
 }
 
-/// Suspects wait for each other until their deadline, beyond their target: their callers have already lost a run.
+/// Queues a suspect for the probation slot until its deadline instead of its target latency, since its caller has
+/// already lost a run.
 void EndpointCalls::putOnProbation(const CallKey& key) {
   auto& call = calls_.at(key);
   call.suspect = true;
@@ -115,7 +117,7 @@
   }
 }
 
-/// Handles a connection that the back end closed without an answer: the back end crashed or the connection was lost.
+/// Handles a run that the back end ended without an answer: it closed the connection, crashed or restarted.
 void EndpointCalls::onBackendDisconnected(const CallKey& key) {
   ++counters_.cutRuns;
   if (watch_ == nullptr || backendStopping_) return answerUnknown(key, ErrorCode::kBackendFailed);
--- a/src/node/endpoint_links.cc
+++ b/src/node/endpoint_links.cc
@@ -95,7 +95,7 @@
     }
     picker_.setAvailable(state.endpoint, state.condition == wire::EndpointCondition::LIVE);
     announced = announced || !state.address.empty();
-    // At the first state of an endpoint, a pending connect attempt is recent and is kept: this node has just started.
+    // A connect attempt pending at the first state of an endpoint is recent and is kept: this node has just started.
     if (newIncarnation && !firstState) abortConnectAttempt(state.endpoint);
     if (newIncarnation) reconnectNow(state.endpoint);
   }
@@ -315,7 +315,7 @@
 void EndpointLinks::reconnectNow(const std::string& endpoint) {
   const auto found = links_.find(endpoint);
   if (found == links_.end() || found->second.open) return;
-  found->second.failures = std::min(found->second.failures, 1);  // counts as unreachable until it is up
+  found->second.failures = std::min(found->second.failures, 1);  // still unreachable until it is open
   connect(endpoint);
 }
 
@@ -336,7 +336,7 @@
   link.takesBodyPieces = peer.takesBodyPieces && peer.id != options_.nodeId;
   link.supportsWithdrawals = peer.acknowledgesCalls;  // introduced together with acknowledgements
   link.acknowledges = peer.acknowledgesCalls && peer.id != options_.nodeId;
-  if (link.failures > 0) pendingServices_.insert(serviceOf(endpoint->second));  // its replacements may be unlinked
+  if (link.failures > 0) pendingServices_.insert(serviceOf(endpoint->second));  // its replacements may be dropped
   link.failures = 0;
   link.lastReceivedAt = scheduler_.now();
   link.unacknowledgedSince.reset();
--- a/src/node/endpoint_links.h
+++ b/src/node/endpoint_links.h
@@ -87,7 +87,7 @@
     return endpointOf_.count(connection) > 0 || replacedConnections_.count(connection) > 0;
   }
 
-  /// @return the chosen endpoints of a service, of all versions that get requests or soon may.
+  /// @return the chosen endpoints of a service, of all versions that get requests or may get them soon.
   const std::vector<routing::EndpointTarget>& chosenEndpoints(const std::string& service) const;
 
   /// @return the chosen endpoints of one version while a rollout runs; for its target version, the current trial group
@@ -98,7 +98,7 @@
   /// @return the link to an endpoint; a closed one if the endpoint has none.
   const Link& link(const std::string& endpoint) const;
 
-  /// Adds links for a while, since the chosen endpoints of a service are full.
+  /// Temporarily adds links to a service whose chosen endpoints are full.
   void onFull(const std::string& service);
 
   /// Removes an announced endpoint that is permanently gone.
@@ -106,7 +106,7 @@
 
   size_t size() const { return links_.size(); }
 
-  /// @return the number of known endpoints of all services, chosen or not.
+  /// @return the number of known endpoints of all services, whether or not they are chosen.
   size_t knownEndpointCount() const { return knownEndpoints_; }
 
   /// @return how often a chosen endpoint got no link because of maxLinks.
--- a/src/node/entry_calls.cc
+++ b/src/node/entry_calls.cc
@@ -88,7 +88,7 @@
 void EntryCalls::onEndpointStates(const std::vector<wire::EndpointState>& states) { links_.onStates(states); }
 
 int EntryCalls::rankOf(const Call& call) {
-  // The order in which endpoints queue calls: by priority, then by the shorter target latency.
+  // Endpoints queue calls by priority, then by target latency, shortest first.
   constexpr int kTargets = table::kMaxTimeoutMs + 1;
   constexpr int kLateRank = 1 << 30;  // ranks behind all priorities
   static_assert(table::kMaxPriority * kTargets + table::kMaxTimeoutMs < kLateRank);
--- a/src/node/entry_calls.h
+++ b/src/node/entry_calls.h
@@ -48,8 +48,8 @@
   /// one is idle; 0 disables hedging. The first answer wins. Server errors (5xx) of back ends are retried under the
   /// same condition.
   double hedgeAfterShare = 0;
-  /// Multiple of its target latency after which an unanswered repeatable call is hedged although hedging is disabled; 0
-  /// for never. The connection between the endpoint's node and its back end may be dead without a reset, which looks
+  /// Multiple of its target latency after which an unanswered repeatable call is hedged although hedgeAfterShare is 0;
+  /// 0 for never. The connection between the endpoint's node and its back end may be dead without a reset, which looks
   /// like a slow back end: the node itself still responds.
   double fallbackHedgeAfterShare = 2;
   /// Whether calls whose callers have already waited longer than the target latency rank behind those that can still
@@ -72,7 +72,7 @@
   int64_t attempts = 0;
   int64_t retries = 0;
   int64_t budgetDenials = 0;                ///< retries denied by the retry budget
-  int64_t hedges = 0;                       ///< second attempts sent while the first is in flight
+  int64_t hedges = 0;                       ///< hedged attempts, sent while the first is in flight
   int64_t heldBack = 0;                     ///< calls refused because their request is held in quarantine
   int64_t probations = 0;                   ///< attempts of suspect requests, sent on probation
   int64_t silentLinks = 0;                  ///< times a link failed to acknowledge in time
--- a/src/node/entry_calls_hedging.cc
+++ b/src/node/entry_calls_hedging.cc
@@ -1,4 +1,4 @@
-/// Hedging: second attempts of calls whose first attempt has no answer yet.
+/// Hedged attempts of calls whose first attempt has no answer yet.
 #include "node/entry_calls.h"
 
 namespace driftlug::node {
--- a/src/overload/body_flow_controller.cc
+++ b/src/overload/body_flow_controller.cc
@@ -86,7 +86,7 @@
 	for (const auto& [key, state] : m_order)
 	{
 		const bool goesFirst = key.rank < _rank || (key.rank == _rank && key.deadline <= _deadline);
-		// Granted bytes arrive first, whatever the urgency of their body.
+		// Bytes that are already granted arrive first, regardless of the urgency of their body.
 		ahead += goesFirst ? state->bytes - state->arrived : state->granted - state->arrived;
 	}
 	return durationOf(static_cast<double>(ahead) / m_bytesPerSecond);
--- a/src/overload/response_transfer_estimator.cc
+++ b/src/overload/response_transfer_estimator.cc
@@ -5,7 +5,7 @@
 namespace
 {
 constexpr double kWeight = 0.2;  //!< Weight of a new size in the moving average.
-/// Responses with a shorter transfer time are ignored: many of them fit into a target latency.
+/// Responses with a shorter transfer time are not considered large: many of them fit into a target latency.
 constexpr base::Duration kNegligibleTransferTime = base::milliseconds(10);
 
 }  // namespace
--- a/src/relay/endpoint_state_distributor.cc
+++ b/src/relay/endpoint_state_distributor.cc
@@ -10,8 +10,8 @@
 constexpr base::Duration kBatchDelayPerEndpoint = base::microseconds(125);
 /// Below this delay, batching saves few messages.
 constexpr base::Duration kMinBatchDelay = base::milliseconds(20);
-/// States may be delayed this long because an endpoint refuses calls that it cannot take by itself, and the silence of
-/// its node is detected within this time.
+/// A state that is delayed this long does no harm: an endpoint itself refuses calls that it cannot take, and the
+/// silence of its node is detected within this time.
 constexpr base::Duration kMaxBatchDelay = base::milliseconds(250);
 
 }  // namespace
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -38,11 +38,11 @@
   bool everyZone = false;                   ///< serve the nodes of every zone without a release group
   base::Address listening;                  ///< address for nodes and other relays; port 0 when not known
   base::Duration nodeHeartbeat = base::milliseconds(600);
-  base::Duration nodeTimeout = base::seconds(4);          ///< a node that is silent for longer is dropped
-  base::Duration reportInterval = base::seconds(5);       ///< of periodic reports; changes are reported immediately
-  base::Duration nodeLease = base::seconds(8);            ///< a full report lists nodes lost within this time
-  base::Duration endpointLease = base::seconds(2);        ///< of a node's endpoints after its connection is lost
-  base::Duration peerLease = base::seconds(5);            ///< of a relay's endpoints after its connection is lost
+  base::Duration nodeTimeout = base::seconds(4);     ///< a node that is silent for longer is dropped
+  base::Duration reportInterval = base::seconds(5);  ///< interval of periodic reports; changes are reported at once
+  base::Duration nodeLease = base::seconds(8);       ///< a full report lists nodes lost within this time
+  base::Duration endpointLease = base::seconds(2);   ///< lease of a node's endpoints after it is disconnected
+  base::Duration peerLease = base::seconds(5);       ///< lease of a relay's endpoints after it is disconnected
   base::Duration stallTimeout = base::milliseconds(800);  ///< nodes are redirected when releases stall for longer
   int admissionsPerSecond = 2000;
   int admissionBurst = 400;
@@ -82,7 +82,7 @@
   /// Replaces the configured controllers and relays; those learned from the member list stay in use.
   void applySettings(const std::vector<base::Address>& controllers, const std::vector<base::Address>& peers);
 
-  /// Handles a wake-up after this process was stopped, or its machine suspended, for more than a second.
+  /// Reconnects to the controllers after this process was stopped, or its machine suspended, for more than a second.
   void onResumed();
 
   /// @return whether freshness has advanced within the given time.
--- a/src/relay/relay_nodes.cc
+++ b/src/relay/relay_nodes.cc
@@ -195,7 +195,8 @@
 }
 
 void Relay::dropNode(base::ConnectionId connection) {
-  // Also for connections without a session: the close of a node's last connection starts the lease of its endpoints.
+  // Applies to connections without a session too: the close of a node's last connection starts the lease of its
+  // endpoints.
   const auto nodeId = hellos_[connection].id;
   expireLater(nodeId, options_.endpointLease);
   if (nodes_.find(connection) == nullptr) return;
--- a/src/relay/release_group.h
+++ b/src/relay/release_group.h
@@ -36,7 +36,7 @@
   /// Sets the revision of this relay's own table; an older one is ignored.
   void setOwnRevision(int64_t revision);
 
-  /// Sets the revision that another relay reported.
+  /// Sets the revision that another relay reported to hold.
   void onHeldRevision(const std::string& relayId, int64_t revision);
 
   /// Discards the revision of a peer whose connection closed: it may have restarted without its table.
@@ -49,8 +49,8 @@
   bool serves(const std::string& zone) const { return everyZone_ || groups_.count(zone) > 0; }
 
   /// Serves the nodes of every zone without a release group: every held revision is released, and only the leading
-  /// controller can confirm that the table is recent for a restarted node. For
-  /// fleets whose relays are added and removed together with the controllers.
+  /// controller can confirm that the table is recent for a restarted node. Used in fleets whose relays are added and
+  /// removed together with the controllers.
   void serveEveryZone() { everyZone_ = true; }
 
   /// @return the other members of this relay's groups.
--- a/src/subsetting/endpoint_subset.h
+++ b/src/subsetting/endpoint_subset.h
@@ -20,12 +20,12 @@
 /// Sizes of a node's endpoint subset.
 struct subset_options
 {
-	/// Number of reachable endpoints per service. At 16 the least busy of them rarely has no free capacity, and each
-	/// endpoint is chosen by at least a dozen nodes, also while a third of the fleet is down. For services with no more
-	/// endpoints than this, all of them are chosen.
+	/// Number of reachable endpoints per service. With 16, the least busy of them nearly always has free capacity, and
+	/// each endpoint is chosen by at least a dozen nodes, also while a third of the fleet is down. For services with no
+	/// more endpoints than this, all of them are chosen.
 	size_t endpoints = 16;
 	size_t maxInOwnZone = 12;      //!< The rest are in other zones, as fallback if the own zone fails or is full.
-	size_t maxTriedPerWanted = 3;  //!< Bound of reachable and unreachable endpoints, per wanted one.
+	size_t maxTriedPerWanted = 3;  //!< Maximum number of chosen endpoints, reachable or not, per wanted one.
 };
 
 /// Chooses endpoints by rendezvous hashing: each node sorts all endpoints by a hash of both names and takes the first.
--- a/test/node/control_client_fixture.h
+++ b/test/node/control_client_fixture.h
@@ -12,7 +12,7 @@
 inline const base::Address kOwnZoneRelay{"10.0.0.1", 7001};
 inline const base::Address kOtherZoneRelay{"10.0.0.2", 7001};
 
-/// A node with one seed relay that learns of relays in two zones.
+/// A node with one seed relay, which sends it a list of relays in two zones.
 struct ControlClientFixture {
   ControlClientFixture() : process(queue, "node", {"zone-1", "region"}, {"10.0.0.9", 7000}) {
     process.start();
--- a/test/node/endpoint_calls_answers_test.cc
+++ b/test/node/endpoint_calls_answers_test.cc
@@ -77,7 +77,7 @@
     calls->onOpen(kLocalConnection, peer);
   }
 
-  /// Requests answers at twice the bandwidth of the link.
+  /// Sends calls whose answers need twice the bandwidth of the link.
   void load(base::ConnectionId connection, base::Duration duration) {
     constexpr auto kGap = base::milliseconds(30);
     for (base::Duration at{0}; at < duration; at += kGap) {
--- a/test/node/endpoint_calls_test.cc
+++ b/test/node/endpoint_calls_test.cc
@@ -325,7 +325,7 @@
     return longest;
   };
   longestBackoffMs(4);
-  // Four slots, each held for about 6 ms, free one slot per 1.6 ms, for which two requests are invited.
+  // Four slots, each held for about 6 ms, free one slot per 1.6 ms, for which callers should send two requests.
   CHECK(longestBackoffMs(20) <= 20);
   const auto forMany = longestBackoffMs(400);
   CHECK(forMany >= 200);
