--- a/test/lifecycle/planned_stop_test.cc
+++ b/test/lifecycle/planned_stop_test.cc
@@ -127,7 +127,7 @@
 	CHECK(notes{{"refuse new", 3000}, {"read no more", 5300}, {"refuse waiting", 5300}, {"end", 5500}} == target.notes);
 }
 
-TEST_CASE_METHOD(fixture, "a second order to stop changes nothing")
+TEST_CASE_METHOD(fixture, "a repeated begin() is ignored")
 {
 	target.isIdle = false;
 	stop.begin();
@@ -142,7 +142,7 @@
 // had been taken for "all answers sent"; bodies queued in front of a full link are the same class of fault. Of a 16.8
 // MB answer to a peer that does not read, 12.9 MB stay queued in the server while it reports no pending request. A
 // request that is read in the last moment of a stop can be lost in the same way.
-TEST_CASE_METHOD(fixture, "a stop does not end while answers have not left")
+TEST_CASE_METHOD(fixture, "a stop does not end while answers are unsent")
 {
 	target.unsent = 1000;
 	stop.begin();
--- a/test/limits/cold_start_limiter_test.cc
+++ b/test/limits/cold_start_limiter_test.cc
@@ -58,7 +58,7 @@
   CHECK(load.started.size() >= 4 * static_cast<size_t>(kColdRatePerSecond));
 }
 
-TEST_CASE("a back end that may have turned cold counts as cold until it was asked") {
+TEST_CASE("a back end that may have turned cold counts as cold until its state has been queried") {
   Load load;
   load.coldStart.markUncertain();
   load.coldStart.onColdReport(base::Duration(0), false);  // may have been sent before the state became uncertain
@@ -96,7 +96,7 @@
   mutable base::TimePoint now_{base::seconds(1)};
 };
 
-TEST_CASE("a request starts at once where a slot is free and nothing is bounded, also while the clock moves") {
+TEST_CASE("a request starts at once while a slot is free and no rate limit applies, also while the clock advances") {
   MovingTime time;
   ColdStartLimiter coldStart(time);
   SlotLimiter limiter(time, 4, 16);
--- a/test/limits/slot_limiter_test.cc
+++ b/test/limits/slot_limiter_test.cc
@@ -77,7 +77,7 @@
   CHECK(outcome.started == std::vector<int>{0, 1, 98});
 }
 
-TEST_CASE("a smaller limit cuts nothing that runs") {
+TEST_CASE("lowering the limit does not abort running requests") {
   test::ManualTime time;
   limits::SlotLimiter limiter(time, 4, 4);
   Outcome outcome;
@@ -106,7 +106,7 @@
   CHECK(outcome.started == std::vector<int>{0});
 }
 
-TEST_CASE("what waits is ordered by priority, then by how soon it must start") {
+TEST_CASE("queued requests are ordered by priority, then by latest start time") {
   test::ManualTime time;
   limits::SlotLimiter limiter(time, 1, 10);
   Outcome outcome;
@@ -119,7 +119,7 @@
   CHECK(outcome.started == std::vector<int>{0, 3, 2, 1});
 }
 
-TEST_CASE("the estimate of the wait counts only what goes before") {
+TEST_CASE("the expected wait counts only the requests that are ordered before") {
   test::ManualTime time;
   limits::SlotLimiter limiter(time, 1, 10);
   Outcome outcome;
--- a/test/membership/peer_links_test.cc
+++ b/test/membership/peer_links_test.cc
@@ -100,7 +100,8 @@
   CHECK(network.connected.size() == 1);
 }
 
-TEST_CASE_METHOD(SlowFixture, "a peer that is away costs four attempts at a time, and is reached when it is back") {
+TEST_CASE_METHOD(SlowFixture,
+                 "at most four attempts to an unreachable peer run at a time, and it is reached once it is back") {
   network.openDelay = std::chrono::hours(1);
   links->setAddresses({kPeer});
   CHECK_FALSE(connectedWithin(base::seconds(30)));
--- a/test/node/endpoint_links_test.cc
+++ b/test/node/endpoint_links_test.cc
@@ -150,7 +150,7 @@
   CHECK(network.connected.size() >= 16);
 }
 
-TEST_CASE_METHOD(LinksFixture, "more endpoints are linked while the chosen ones are full, and let go later") {
+TEST_CASE_METHOD(LinksFixture, "more endpoints are linked while the chosen ones are full, and unlinked later") {
   links->onFull("records");
   runFor(base::milliseconds(30));
   CHECK(links->chosenEndpoints("records").size() == 20);
--- a/test/node/entry_calls_bodies_test.cc
+++ b/test/node/entry_calls_bodies_test.cc
@@ -54,7 +54,7 @@
   CHECK(node.network.all<wire::CallRequest>()[1].body == node.body);
 }
 
-TEST_CASE_METHOD(BodyPiecesFixture, "of a large body only what was granted is sent, once and in order") {
+TEST_CASE_METHOD(BodyPiecesFixture, "only the granted bytes of a large body are sent, once and in order") {
   upload(kBodyBytes);
   const auto request = network.all<wire::CallRequest>()[0];
   CHECK(request.body.empty());
--- a/test/node/entry_calls_tenants_test.cc
+++ b/test/node/entry_calls_tenants_test.cc
@@ -63,7 +63,7 @@
   CHECK(entry->counters().unknownKeys == 2);
 }
 
-TEST_CASE_METHOD(Fixture, "routes without keys take calls of anybody") {
+TEST_CASE_METHOD(Fixture, "routes that require no key accept calls without one") {
   callWith("/open/1", "");
   CHECK(network.all<wire::CallRequest>().size() == 1);
 }
@@ -78,13 +78,13 @@
   CHECK(network.all<wire::CallRequest>().size() == 2);
 }
 
-TEST_CASE_METHOD(Fixture, "a table without tenants asks for no keys") {
+TEST_CASE_METHOD(Fixture, "no key is required while the table has no tenants") {
   useTenants({});
   callWith("/safe/1", "");
   CHECK(network.all<wire::CallRequest>().size() == 1);
 }
 
-TEST_CASE_METHOD(Fixture, "back ends of an evacuated zone get nothing, and get calls again when it is taken back") {
+TEST_CASE_METHOD(Fixture, "back ends of an evacuated zone get no calls until the evacuation ends") {
   const auto useZone = [&](bool evacuated) {
     table::Table rows;
     rows.put(table::storeRow(routeRow("safe", "/safe/", true)));
--- a/test/node/entry_calls_test.cc
+++ b/test/node/entry_calls_test.cc
@@ -131,7 +131,8 @@
   CHECK(requestedEndpoints().size() == 2);
 }
 
-TEST_CASE_METHOD(EntryCallsFixture, "a call that may not be repeated is never hedged, and none is where all are busy") {
+TEST_CASE_METHOD(EntryCallsFixture,
+                 "neither a call that may not be repeated nor one whose other endpoints are busy is hedged") {
   SECTION("not repeatable") { call("/once/1"); }
   SECTION("busy") {
     for (int i = 0; i < 8; ++i) call("/safe/" + std::to_string(i));
@@ -280,7 +281,7 @@
   CHECK(answer->error == ErrorCode::kNoTable);
 }
 
-TEST_CASE_METHOD(EntryCallsFixture, "an endpoint that stays out of reach is forgotten") {
+TEST_CASE_METHOD(EntryCallsFixture, "an endpoint that stays unreachable is removed") {
   entry->onEndpointStates({endpoint("far", 2, wire::EndpointCondition::GONE)});
   for (int second = 0; second < 40; ++second) {
     std::vector<base::ConnectionId> open;
@@ -323,7 +324,8 @@
   CHECK(answers[0].outcome == CallOutcome::COMPLETED);
 }
 
-TEST_CASE_METHOD(NoHedgingFixture, "a call that may not be repeated waits its time out, and its outcome is unknown") {
+TEST_CASE_METHOD(NoHedgingFixture,
+                 "a call that may not be repeated waits until its deadline, and its outcome is unknown") {
   call("/once/1");
   runFor(base::milliseconds(2100));
   CHECK(requestedEndpoints().size() == 1);
--- a/test/quota/quota_fleet_test.cc
+++ b/test/quota/quota_fleet_test.cc
@@ -135,7 +135,7 @@
 
 }  // namespace
 
-TEST_CASE("what is below the limit is granted") {
+TEST_CASE("requests below the limit are granted") {
   Fleet fleet(1);
   fleet.runFor(base::seconds(1));
   fleet.send(0.6 * kRatePerS, base::seconds(20));
--- a/test/relay/dynamic_endpoints_test.cc
+++ b/test/relay/dynamic_endpoints_test.cc
@@ -163,7 +163,7 @@
   CHECK(lastTerm() == 0);
 }
 
-TEST_CASE_METHOD(Fixture, "a node is told of announced endpoints of the services that its routes need") {
+TEST_CASE_METHOD(Fixture, "a node receives the announced endpoints of the services that its routes need") {
   update(1, "records");
   const auto reader = attach(100, "reader");
   const auto announcer = attach(101, "announcer");
@@ -175,7 +175,7 @@
   CHECK(receivedConditions(reader).back() == EndpointCondition::DRAINING);
 }
 
-TEST_CASE_METHOD(Fixture, "a node that comes later is told of what was announced before") {
+TEST_CASE_METHOD(Fixture, "a node that attaches later receives the endpoints announced before") {
   update(1, "records");
   const auto announcer = attach(101, "announcer");
   announce(announcer, "records", EndpointCondition::LIVE);
@@ -193,7 +193,8 @@
   CHECK(receivedConditions(reader) == std::vector<EndpointCondition::type>{EndpointCondition::LIVE});
 }
 
-TEST_CASE_METHOD(Fixture, "the controllers' members become the relays that nodes are told of, and peers") {
+TEST_CASE_METHOD(Fixture,
+                 "the member list of the controllers sets the relay's peers and the relays announced to nodes") {
   const auto reader = attach(100, "reader");
   wire::MemberList list;
   for (int i = 1; i <= 3; ++i) {
@@ -249,7 +250,8 @@
   static constexpr base::ConnectionId kSecond = 102;
 };
 
-TEST_CASE_METHOD(SilentConnectionFixture, "a node that greets and is then lost in silence keeps no endpoint alive") {
+TEST_CASE_METHOD(SilentConnectionFixture,
+                 "the endpoints of a node that is lost right after its hello are not kept alive") {
   runWithReaderAlive(3);
   CHECK(receivedConditions(kReader).back() == EndpointCondition::LIVE);
   CHECK(network.closed.count(kSecond) == 0);
--- a/test/relay/release_group_test.cc
+++ b/test/relay/release_group_test.cc
@@ -28,7 +28,7 @@
   CHECK(releases.released("zone-1") == 10);
 }
 
-TEST_CASE("what others hold beyond the own table is not released here") {
+TEST_CASE("a revision beyond the relay's own table is not released") {
   auto releases = tracker();
   releases.setOwnRevision(10);
   releases.onHeldRevision("relay-2", 12);
@@ -36,7 +36,7 @@
   CHECK(releases.released("zone-1") == 10);
 }
 
-TEST_CASE("a release is never taken back, also when a peer restarts empty") {
+TEST_CASE("the released revision never decreases, also when a peer restarts without its table") {
   auto releases = tracker();
   releases.setOwnRevision(10);
   releases.onHeldRevision("relay-2", 10);
--- a/test/relay/shared_table_test.cc
+++ b/test/relay/shared_table_test.cc
@@ -139,7 +139,7 @@
   CHECK(network.all<wire::NodeHeartbeat>().back().ageMs >= 1100);
 }
 
-TEST_CASE_METHOD(Fixture, "nodes are sent away from a relay whose table stays behind the leader's") {
+TEST_CASE_METHOD(Fixture, "a relay whose table stays behind the leader's redirects its nodes") {
   runFor(base::seconds(6));
   heartbeat(1, 1);
   attach(1, table.digest());
--- a/test/subsetting/endpoint_subset_test.cc
+++ b/test/subsetting/endpoint_subset_test.cc
@@ -110,7 +110,7 @@
 	CHECK(highestOf(load) < 1.5);
 }
 
-TEST_CASE("the endpoints that are left share the load while a third of the service is away")
+TEST_CASE("the remaining endpoints share the load while a third of the service is down")
 {
 	fleet all(300, 100);
 	for (int i = 0; i < 100; i += 3)
