--- a/src/node/endpoint_links.cc
+++ b/src/node/endpoint_links.cc
@@ -310,8 +310,8 @@
 }
 
 /// Reconnects without waiting for the back-off, which grew while the endpoint's node was down. Waiting for back-offs
-/// and for hanging connect attempts left all endpoints of a service without a link for up to 2.0 s after they were
-/// announced as live (seen in the logs of four nodes).
+/// and for hanging connect attempts left four nodes without a link to any endpoint of a service for up to 2.0 s after
+/// the endpoints were announced as live.
 void EndpointLinks::reconnectNow(const std::string& endpoint) {
   const auto found = links_.find(endpoint);
   if (found == links_.end() || found->second.open) return;
--- a/src/node/endpoint_links_known.cc
+++ b/src/node/endpoint_links_known.cc
@@ -28,8 +28,8 @@
   if (!state.address.empty()) changedEndpoints_[state.endpoint] = state.serviceName;
 }
 
-/// Updates known_ incrementally: with a thousand endpoints, a full pass for each of their states costs a node more than
-/// its calls.
+/// Updates known_ incrementally: with a thousand endpoints, a full pass for each state change would cost a node
+/// more than its calls.
 /// @return the services whose endpoints changed
 std::set<std::string> EndpointLinks::updateChangedEndpoints() {
   std::set<std::string> services;
--- a/src/node/entry_calls.cc
+++ b/src/node/entry_calls.cc
@@ -27,6 +27,7 @@
 constexpr int kDefaultRetryAfterMs = 200;
 /// Retry-after hint while this node has no routing table: it has just started, and receives one within about a second.
 constexpr int kNoTableRetryAfterMs = 1000;
+
 int64_t remainingMs(base::TimePoint deadline, base::TimePoint now) {
   return std::chrono::duration_cast<std::chrono::milliseconds>(deadline - now).count();
 }
@@ -194,7 +195,7 @@
     case quarantine::standing::clear:
       break;
   }
-  // The current table decides, so that a retry does not go to an endpoint that was removed meanwhile.
+  // Uses the current table, so that a retry does not go to an endpoint that was removed meanwhile.
   if (call.tried.empty()) call.useTargetVersion = drawsTargetVersion(call.service);
   const auto* target = pickEndpoint(call);
   if (target == nullptr) {
--- a/src/node/version_reporter.cc
+++ b/src/node/version_reporter.cc
@@ -3,8 +3,8 @@
 namespace driftlug::node {
 namespace {
 
-/// Interval of reports, and so the delay of the detection of a bad version. With 74 nodes, each sends four reports of
-/// 100 bytes per second while a rollout of the service is running.
+/// Interval of reports; the detection of a bad version is delayed by up to this time. With 74 nodes, each sends four
+/// reports of 100 bytes per second while a rollout of the service is running.
 constexpr base::Duration kReportInterval = base::milliseconds(250);
 
 }  // namespace
--- a/test/node/endpoint_links_test.cc
+++ b/test/node/endpoint_links_test.cc
@@ -242,7 +242,7 @@
   const auto second = links->link(name).connection;
   CHECK(second != 0);
   CHECK(second != first);
-  // The new connection works, and the endpoint takes calls again.
+  // The new connection works, and the endpoint gets calls again.
   openAll();
   CHECK(links->link(name).open);
   CHECK(!links->link(name).silent);
--- a/test/relay/dynamic_endpoints_test.cc
+++ b/test/relay/dynamic_endpoints_test.cc
@@ -237,7 +237,7 @@
     relay->onClose(kFirst);
   }
 
-  /// Lets seconds pass while the reader sends keep-alives.
+  /// Advances the clock while the reader sends keep-alives.
   void runWithReaderAlive(int seconds) {
     for (int i = 0; i < seconds; ++i) {
       relay->onMessage(kReader, wire::KeepAlive());
