--- a/src/node/endpoint_links_known.cc
+++ b/src/node/endpoint_links_known.cc
@@ -55,10 +55,10 @@
 /// Keeps endpoints sorted by name, so that the choice does not depend on the order in which states arrive.
 void EndpointLinks::addKnown(const wire::EndpointState& state) {
   auto& known = known_[state.serviceName];
-  const auto place = std::lower_bound(known.begin(), known.end(), state.endpoint,
-                                      [](const auto& target, const auto& name) { return target.name < name; });
-  known.insert(
-      place, {state.endpoint, state.address, state.port, state.zone, routing::kFullWeight, state.slots, state.version});
+  const auto position = std::lower_bound(known.begin(), known.end(), state.endpoint,
+                                         [](const auto& target, const auto& name) { return target.name < name; });
+  known.insert(position, {state.endpoint, state.address, state.port, state.zone, routing::kFullWeight, state.slots,
+                          state.version});
 }
 
 std::string EndpointLinks::serviceOf(const std::string& endpoint) const {
--- a/src/overload/body_flow_controller.cc
+++ b/src/overload/body_flow_controller.cc
@@ -121,12 +121,12 @@
 	incoming& state = found->second;
 	state.arrived = std::min(state.bytes, state.arrived + _bytes);
 	state.lastProgressAt = _now;
-	const bool whole = state.arrived == state.bytes;
-	if (whole)
+	const bool complete = state.arrived == state.bytes;
+	if (complete)
 	{
 		removeBody(_body);
 	}
-	return whole;
+	return complete;
 }
 
 void body_flow_controller::drop(const body_id& _body)
@@ -184,8 +184,8 @@
 	std::vector<body_id> expired;
 	for (const auto& [key, state] : m_order)
 	{
-		const bool comes = 0 < state->granted && !isStalled(*state, _now);
-		if (key.deadline <= _now && !comes)
+		const bool arriving = 0 < state->granted && !isStalled(*state, _now);
+		if (key.deadline <= _now && !arriving)
 		{
 			expired.push_back(key.body);
 		}
