--- a/src/overload/caller_wait_estimator.cc
+++ b/src/overload/caller_wait_estimator.cc
@@ -30,26 +30,26 @@
 		halveCounts();
 	}
 
-	bucket& matching = m_buckets[_deadlineMs / kBucketMs];
-	matching.calls += 1;
-	matching.longestMs = std::max(matching.longestMs, _deadlineMs);
+	bucket& stated = m_buckets[_deadlineMs / kBucketMs];
+	stated.calls += 1;
+	stated.longestMs = std::max(stated.longestMs, _deadlineMs);
 	m_calls += 1;
 	return std::max(0, typicalDeadlineMs() - _deadlineMs);
 }
 
 int caller_wait_estimator::typicalDeadlineMs() const
 {
-	const bucket* mostFrequent = nullptr;
-	for (const auto& [time, candidate] : m_buckets)
+	const bucket* usual = nullptr;
+	for (const auto& [time, stated] : m_buckets)
 	{
-		if (nullptr == mostFrequent || mostFrequent->calls <= candidate.calls)
+		if (nullptr == usual || usual->calls <= stated.calls)
 		{
-			mostFrequent = &candidate;
+			usual = &stated;
 		}
 	}
 
-	const bool isFrequent = nullptr != mostFrequent && kMinBucketShare * m_calls <= mostFrequent->calls;
-	return isFrequent ? mostFrequent->longestMs : 0;
+	const bool standsOut = nullptr != usual && kMinBucketShare * m_calls <= usual->calls;
+	return standsOut ? usual->longestMs : 0;
 }
 
 void caller_wait_estimator::halveCounts()
--- a/src/overload/response_transfer_estimator.cc
+++ b/src/overload/response_transfer_estimator.cc
@@ -13,10 +13,10 @@
 void response_transfer_estimator::onResponse(const call_kind& _kind, size_t _bytes)
 {
 	const auto bytes = static_cast<double>(_bytes);
-	const auto [average, first] = m_typicalBytes.try_emplace(_kind, bytes);
+	const auto [usual, first] = m_typicalBytes.try_emplace(_kind, bytes);
 	if (!first)
 	{
-		average->second += kWeight * (bytes - average->second);
+		usual->second += kWeight * (bytes - usual->second);
 	}
 }
 
@@ -27,8 +27,8 @@
 
 int64_t response_transfer_estimator::typicalBytes(const call_kind& _kind) const
 {
-	const auto average = m_typicalBytes.find(_kind);
-	return m_typicalBytes.end() == average ? 0 : static_cast<int64_t>(average->second);
+	const auto usual = m_typicalBytes.find(_kind);
+	return m_typicalBytes.end() == usual ? 0 : static_cast<int64_t>(usual->second);
 }
 
 base::Duration response_transfer_estimator::transferTime(int64_t _bytes) const
