--- a/src/node/endpoint_calls.h
+++ b/src/node/endpoint_calls.h
@@ -40,9 +40,10 @@
   double coldOverage = 1;
   double runTimeMargin = 1.3;  ///< with waitWithinTarget: time reserved for a run, as a multiple of the average run
   double minWaitShare = 0.15;  ///< with waitWithinTarget: share of the target latency that a request may always wait
-  /// Whether calls that are detected as nested go first: refusing one wastes the work already done for its outer call.
+  /// Whether calls that are detected as nested get slots first: refusing one wastes the work already done for its outer
+  /// call.
   bool nestedFirst = true;
-  double nestedShare = 0.75;    ///< with nestedFirst: highest share of slots for nested calls while others wait
+  double nestedShare = 0.75;    ///< with nestedFirst: maximum share of slots for nested calls while others wait
   std::string requestIdHeader;  ///< header, in lower case, whose value identifies a call in logs; empty for none
   base::Duration overloadRetryAfter{0};                        ///< lower bound of the Retry-After of overload refusals
   base::Duration maxCallerBackoff = base::milliseconds(1500);  ///< upper bound of the back-off of a calling node
@@ -115,7 +116,7 @@
   void setDraining(bool draining);
 
   /// Sets whether the back end is shutting down. Connections that it closes meanwhile do not count as crashes.
-  void setLeaving(bool leaving) { leaving_ = leaving; }
+  void setBackendStopping(bool stopping) { backendStopping_ = stopping; }
 
   /// Sets the incarnation of the back end.
   /// @param endpoint its name; empty while none is known, in which case every call is refused
@@ -158,7 +159,7 @@
   size_t active() const { return calls_.size(); }
   const EndpointCounters& counters() const { return counters_; }
   const limits::SlotLimiter& limiter() const { return limiter_; }
-  const overload::body_flow_controller& bodies() const { return bodies_; }
+  const overload::body_flow_controller& bodies() const { return bodyFlowController_; }
 
  private:
   /// Time for which reporting the outcome of a request to the ledger is retried.
@@ -205,7 +206,7 @@
   void putOnProbation(const CallKey& key);
   void refuseHeld(const CallKey& key);
   bool mayRunNow(const CallKey& key);
-  void onCut(const CallKey& key);
+  void onBackendDisconnected(const CallKey& key);
   void answerCrashed(const CallKey& key, uint64_t crash);
   void recordSuccessfulRun(const CallKey& key);
   void abandonCall(const CallKey& key);
@@ -262,19 +263,19 @@
   base::Network& network_;
   BackendClient& backend_;
   ledger::LedgerClient* ledger_;  // may be null
-  limits::ColdStartLimiter pace_;
+  limits::ColdStartLimiter coldStartLimiter_;
   limits::SlotLimiter limiter_;
-  limits::SlotLimiter probation_;                         // one slot, for suspects
+  limits::SlotLimiter probationLimiter_;                  // one slot, for suspects
   quarantine::request_quarantine* quarantine_ = nullptr;  // may stay null
   quarantine::crash_detector* watch_ = nullptr;           // may stay null
-  bool leaving_ = false;
+  bool backendStopping_ = false;
   bool stale_ = false;
   std::map<CallKey, Call> calls_;
   std::map<base::ConnectionId, CallerNode> callerNodes_;
   std::map<base::ConnectionId, std::string> callerServices_;  // services of the connected nodes
-  overload::nested_call_detector origins_;
-  overload::body_flow_controller bodies_;
-  overload::response_transfer_estimator answers_;
+  overload::nested_call_detector nestedCallDetector_;
+  overload::body_flow_controller bodyFlowController_;
+  overload::response_transfer_estimator responseTransferEstimator_;
   base::ConnectionId ownConnection_ = 0;  // of this node's own callers; does not use the link
   base::Timer bodyTimer_;                 // active while bodies are awaited
   bool draining_ = false;
--- a/src/node/endpoint_calls_quarantine.cc
+++ b/src/node/endpoint_calls_quarantine.cc
@@ -25,7 +25,8 @@
   return *call.fingerprint;
 }
 
-/// Includes the sender's view, which may know of a crash that has not been reported to this node yet.
+/// @return the stricter of this node's standing and the sender's, which may know of a crash that has not been reported
+/// to this node yet.
 standing EndpointCalls::standingOfCall(const CallKey& key) {
   if (quarantine_ == nullptr) return standing::clear;
   const auto reported = calls_.at(key).request.suspect ? standing::suspect : standing::clear;
@@ -44,14 +45,15 @@
   }
 }
 
-/// Suspects wait for each other until their deadline, beyond their target: their callers have already lost a run.
+/// Queues a suspect for the probation slot until its deadline instead of its target latency, since its caller has
+/// already lost a run.
 void EndpointCalls::putOnProbation(const CallKey& key) {
   auto& call = calls_.at(key);
   call.suspect = true;
   if (options_.waitWithinTarget) {
     call.latestStart = call.deadline - base::microsecondsOf(options_.runTimeMargin * averageRunUs(call.request));
   }
-  const auto ticket = probation_.acquire(
+  const auto ticket = probationLimiter_.acquire(
       call.priority, call.latestStart,
       [this, key] {
         auto& started = calls_.at(key);
@@ -104,7 +106,7 @@
     if (found == calls_.end() || found->second.probationTicket == 0) continue;
     const auto currentStanding = standingOfCall(key);
     if (currentStanding == standing::suspect) continue;
-    probation_.cancel(found->second.probationTicket);
+    probationLimiter_.cancel(found->second.probationTicket);
     found->second.probationTicket = 0;
     found->second.suspect = false;
     if (currentStanding == standing::held) {
@@ -115,10 +117,10 @@
   }
 }
 
-/// Handles a connection that the back end closed without an answer: the back end crashed or the connection was lost.
-void EndpointCalls::onCut(const CallKey& key) {
+/// Handles a run that the back end ended without an answer: it closed the connection, crashed or restarted.
+void EndpointCalls::onBackendDisconnected(const CallKey& key) {
   ++counters_.cutRuns;
-  if (watch_ == nullptr || leaving_) return answerUnknown(key, ErrorCode::kBackendFailed);
+  if (watch_ == nullptr || backendStopping_) return answerUnknown(key, ErrorCode::kBackendFailed);
   const quarantine::crashed_run run{fingerprintOfCall(key), calls_.at(key).onProbation};
   watch_->onCut(run, [this, alive = std::weak_ptr<bool>(alive_), key](std::optional<uint64_t> crash) {
     if (alive.expired() || calls_.count(key) == 0) return;
--- a/src/node/endpoint_links.cc
+++ b/src/node/endpoint_links.cc
@@ -95,7 +95,7 @@
     }
     picker_.setAvailable(state.endpoint, state.condition == wire::EndpointCondition::LIVE);
     announced = announced || !state.address.empty();
-    // At the first state of an endpoint, a pending connect attempt is recent and is kept: this node has just started.
+    // A connect attempt pending at the first state of an endpoint is recent and is kept: this node has just started.
     if (newIncarnation && !firstState) abortConnectAttempt(state.endpoint);
     if (newIncarnation) reconnectNow(state.endpoint);
   }
@@ -251,14 +251,14 @@
   for (const auto& [service, endpoints] : chosen_) {
     for (const auto& endpoint : endpoints) wanted[endpoint.name] = {endpoint.address, endpoint.port};
   }
-  std::vector<std::string> leaving;
+  std::vector<std::string> toClose;
   for (const auto& [name, link] : links_) {
     const auto found = wanted.find(name);
     const bool moved = found == wanted.end() || !(found->second == link.address);
     const bool busy = link.open && picker_.inFlight(name) > 0 && found == wanted.end();
-    if (moved && !busy) leaving.push_back(name);
+    if (moved && !busy) toClose.push_back(name);
   }
-  for (const auto& name : leaving) closeLink(name);
+  for (const auto& name : toClose) closeLink(name);
   addLinks(wanted);
 }
 
@@ -293,7 +293,7 @@
   network_.close(connection);
 }
 
-void EndpointLinks::forget(const std::string& endpoint) {
+void EndpointLinks::removeAnnounced(const std::string& endpoint) {
   const auto state = states_.find(endpoint);
   if (state == states_.end() || state->second.address.empty()) return;
   markChanged(state->second);
@@ -310,12 +310,12 @@
 }
 
 /// Reconnects without waiting for the back-off, which grew while the endpoint's node was down. Waiting for back-offs
-/// and for hanging connect attempts left all endpoints of a service without a link for up to 2.0 s after they were
-/// announced as live (seen in the logs of four nodes).
+/// and for hanging connect attempts left four nodes without a link to any endpoint of a service for up to 2.0 s after
+/// the endpoints were announced as live.
 void EndpointLinks::reconnectNow(const std::string& endpoint) {
   const auto found = links_.find(endpoint);
   if (found == links_.end() || found->second.open) return;
-  found->second.failures = std::min(found->second.failures, 1);  // counts as unreachable until it is up
+  found->second.failures = std::min(found->second.failures, 1);  // still unreachable until it is open
   connect(endpoint);
 }
 
@@ -336,7 +336,7 @@
   link.takesBodyPieces = peer.takesBodyPieces && peer.id != options_.nodeId;
   link.supportsWithdrawals = peer.acknowledgesCalls;  // introduced together with acknowledgements
   link.acknowledges = peer.acknowledgesCalls && peer.id != options_.nodeId;
-  if (link.failures > 0) pendingServices_.insert(serviceOf(endpoint->second));  // its replacements may be unlinked
+  if (link.failures > 0) pendingServices_.insert(serviceOf(endpoint->second));  // its replacements may be dropped
   link.failures = 0;
   link.lastReceivedAt = scheduler_.now();
   link.unacknowledgedSince.reset();
@@ -356,16 +356,16 @@
   picker_.setConnected(endpoint, false);
   const int calls = picker_.inFlight(endpoint);
   onLost_(connection, endpoint);
-  const auto place = links_.find(endpoint);
-  if (place == links_.end()) return;
-  auto& link = place->second;
+  const auto entry = links_.find(endpoint);
+  if (entry == links_.end()) return;
+  auto& link = entry->second;
   link.connection = 0;
   if (link.open) {
     link.lostAt = scheduler_.now();
     log_.warn("link endpoint={} lost, {} calls in flight", endpoint, calls);
   }
   link.open = false;
-  if (scheduler_.now() - link.lostAt > options_.unreachableFor) return forget(endpoint);
+  if (scheduler_.now() - link.lostAt > options_.unreachableFor) return removeAnnounced(endpoint);
   const auto limit = options_.reconnectDelay * (1 << std::min(link.failures, kMaxBackoffDoublings));
   ++link.failures;
   scheduler_.schedule(random_.duration(limit) + base::milliseconds(1),
--- a/src/overload/body_flow_controller.cc
+++ b/src/overload/body_flow_controller.cc
@@ -86,7 +86,7 @@
 	for (const auto& [key, state] : m_order)
 	{
 		const bool goesFirst = key.rank < _rank || (key.rank == _rank && key.deadline <= _deadline);
-		// Granted bytes arrive first, whatever the urgency of their body.
+		// Bytes that are already granted arrive first, regardless of the urgency of their body.
 		ahead += goesFirst ? state->bytes - state->arrived : state->granted - state->arrived;
 	}
 	return durationOf(static_cast<double>(ahead) / m_bytesPerSecond);
@@ -121,20 +121,20 @@
 	incoming& state = found->second;
 	state.arrived = std::min(state.bytes, state.arrived + _bytes);
 	state.lastProgressAt = _now;
-	const bool whole = state.arrived == state.bytes;
-	if (whole)
+	const bool complete = state.arrived == state.bytes;
+	if (complete)
 	{
-		forget(_body);
+		removeBody(_body);
 	}
-	return whole;
+	return complete;
 }
 
 void body_flow_controller::drop(const body_id& _body)
 {
-	forget(_body);
+	removeBody(_body);
 }
 
-void body_flow_controller::forget(const body_id& _body)
+void body_flow_controller::removeBody(const body_id& _body)
 {
 	const auto found = m_bodies.find(_body);
 	if (m_bodies.end() == found)
@@ -184,15 +184,15 @@
 	std::vector<body_id> expired;
 	for (const auto& [key, state] : m_order)
 	{
-		const bool comes = 0 < state->granted && !isStalled(*state, _now);
-		if (key.deadline <= _now && !comes)
+		const bool arriving = 0 < state->granted && !isStalled(*state, _now);
+		if (key.deadline <= _now && !arriving)
 		{
 			expired.push_back(key.body);
 		}
 	}
 	for (const auto& body : expired)
 	{
-		forget(body);
+		removeBody(body);
 	}
 	return expired;
 }
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -38,18 +38,18 @@
   bool everyZone = false;                   ///< serve the nodes of every zone without a release group
   base::Address listening;                  ///< address for nodes and other relays; port 0 when not known
   base::Duration nodeHeartbeat = base::milliseconds(600);
-  base::Duration nodeTimeout = base::seconds(4);          ///< a node that is silent for longer is dropped
-  base::Duration reportInterval = base::seconds(5);       ///< of periodic reports; changes are reported immediately
-  base::Duration nodeLease = base::seconds(8);            ///< a full report lists nodes lost within this time
-  base::Duration endpointLease = base::seconds(2);        ///< of a node's endpoints after its connection is lost
-  base::Duration peerLease = base::seconds(5);            ///< of a relay's endpoints after its connection is lost
+  base::Duration nodeTimeout = base::seconds(4);     ///< a node that is silent for longer is dropped
+  base::Duration reportInterval = base::seconds(5);  ///< interval of periodic reports; changes are reported at once
+  base::Duration nodeLease = base::seconds(8);       ///< a full report lists nodes lost within this time
+  base::Duration endpointLease = base::seconds(2);   ///< lease of a node's endpoints after it is disconnected
+  base::Duration peerLease = base::seconds(5);       ///< lease of a relay's endpoints after it is disconnected
   base::Duration stallTimeout = base::milliseconds(800);  ///< nodes are redirected when releases stall for longer
   int admissionsPerSecond = 2000;
   int admissionBurst = 400;
   bool fullPush = false;              ///< baseline for experiments
   bool releaseQuorum = true;          ///< off only in the simulator
   bool confirmRestartedNodes = true;  ///< off only in the simulator
-  bool refuseOlder = true;            ///< off only in the simulator
+  bool refuseOlderVersions = true;    ///< off only in the simulator
   bool reportLag = true;              ///< off only in the simulator
 };
 
@@ -82,11 +82,13 @@
   /// Replaces the configured controllers and relays; those learned from the member list stay in use.
   void applySettings(const std::vector<base::Address>& controllers, const std::vector<base::Address>& peers);
 
-  /// Handles a wake-up after this process was stopped, or its machine suspended, for more than a second.
-  void onAway();
+  /// Reconnects to the controllers after this process was stopped, or its machine suspended, for more than a second.
+  void onResumed();
 
   /// @return whether freshness has advanced within the given time.
-  bool fresh(base::Duration within) const { return scheduler_.now() - controllerLinks_.freshSince() <= within; }
+  bool fresh(base::Duration within) const {
+    return scheduler_.now() - controllerLinks_.freshnessAdvancedAt() <= within;
+  }
 
   void onOpen(base::ConnectionId connection, const wire::Hello& peer) override;
   void onMessage(base::ConnectionId connection, wire::Message message) override;
@@ -132,7 +134,7 @@
   void onLedgerReply(const wire::LedgerReply& reply);
 
   // Quotas
-  void onQuotaAsk(base::ConnectionId connection, const wire::QuotaAsk& question);
+  void onQuotaAsk(base::ConnectionId connection, const wire::QuotaAsk& quotaRequest);
 
   // Reports
   void scheduleReport();
--- a/src/simulation/process.cc
+++ b/src/simulation/process.cc
@@ -42,7 +42,7 @@
   dueWhileBusy_.clear();
   pendingActions_.clear();
   rescheduledEvents_.clear();
-  onAway_ = nullptr;
+  onResumedHandler_ = nullptr;
 }
 
 void Process::setFrozen(bool frozen) {
@@ -63,7 +63,7 @@
     dueWhileFrozen_.pop_front();
     runTimer(timer);
   }
-  if (onAway_ && !clockStopsWhileFrozen_ && away >= base::kStallThreshold) runNow(onAway_);
+  if (onResumedHandler_ && !clockStopsWhileFrozen_ && away >= base::kStallThreshold) runNow(onResumedHandler_);
   readUntil_.reset();
   while (!pendingActions_.empty()) {
     const auto action = std::move(pendingActions_.front());
--- a/src/simulation/process.h
+++ b/src/simulation/process.h
@@ -24,7 +24,7 @@
 /// One process across its restarts. Each start begins a new incarnation; callbacks of earlier incarnations never run.
 ///
 /// Invariants: a frozen process runs nothing until it is thawed. Then, as in transport::EventLoop, it runs the timers
-/// that came due, the onAway() handler and the events that its sockets hold, each in order. A dead process runs
+/// that came due, the onResumed() handler and the events that its sockets hold, each in order. A dead process runs
 /// nothing.
 class Process : public base::Scheduler {
  public:
@@ -60,7 +60,7 @@
 
   /// Sets a handler that is called when the process thaws after a freeze that exceeds the limit of
   /// transport::EventLoop. Reset at the end of the incarnation.
-  void onAway(std::function<void()> handler) { onAway_ = std::move(handler); }
+  void onResumed(std::function<void()> handler) { onResumedHandler_ = std::move(handler); }
 
   /// Runs an action of an incarnation, now or when the process thaws; drops it if the incarnation has ended.
   void run(uint64_t incarnation, std::function<void()> action);
@@ -104,7 +104,7 @@
   std::deque<std::shared_ptr<Timer>> dueWhileBusy_;    // came due while the processor was busy; the same
   std::deque<std::function<void()>> pendingActions_;   // arrived while frozen
   std::unordered_map<base::TimerId, EventId> rescheduledEvents_;  // current events of timers that were rescheduled
-  std::function<void()> onAway_;                                  // may be empty
+  std::function<void()> onResumedHandler_;                        // may be empty
   std::function<void()> eventHook_;                               // may be empty
 };
 
--- a/test/node/endpoint_links_test.cc
+++ b/test/node/endpoint_links_test.cc
@@ -150,7 +150,7 @@
   CHECK(network.connected.size() >= 16);
 }
 
-TEST_CASE_METHOD(LinksFixture, "more endpoints are linked while the chosen ones are full, and let go later") {
+TEST_CASE_METHOD(LinksFixture, "more endpoints are linked while the chosen ones are full, and unlinked later") {
   links->onFull("records");
   runFor(base::milliseconds(30));
   CHECK(links->chosenEndpoints("records").size() == 20);
@@ -242,7 +242,7 @@
   const auto second = links->link(name).connection;
   CHECK(second != 0);
   CHECK(second != first);
-  // The new connection works, and the endpoint takes calls again.
+  // The new connection works, and the endpoint gets calls again.
   openAll();
   CHECK(links->link(name).open);
   CHECK(!links->link(name).silent);
