--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -355,7 +355,7 @@
   announcedTerm_ = false;
   lastActive_.clear();
   rollouts_.onLeadership();
-  quotas_.begin();
+  quotas_.reset();
   if (role == RaftRole::kLeader) return;
   // Pending additions must not be resumed when this controller becomes leader again.
   pendingAdditions_.clear();
