--- a/tools/soak/back_end_supervisor.h
+++ b/tools/soak/back_end_supervisor.h
@@ -1,6 +1,6 @@
 /// Restarts back ends that a request crashes during a soak, and counts the crashes.
-#ifndef DRIFTLUG_SOAK_CRASH_KEEPER_H_HEADER_GUARD
-#define DRIFTLUG_SOAK_CRASH_KEEPER_H_HEADER_GUARD
+#ifndef DRIFTLUG_SOAK_BACK_END_SUPERVISOR_H_HEADER_GUARD
+#define DRIFTLUG_SOAK_BACK_END_SUPERVISOR_H_HEADER_GUARD
 
 #include <map>
 #include <string>
@@ -48,4 +48,4 @@
 
 }  // namespace driftlug::soak
 
-#endif  // DRIFTLUG_SOAK_CRASH_KEEPER_H_HEADER_GUARD
+#endif  // DRIFTLUG_SOAK_BACK_END_SUPERVISOR_H_HEADER_GUARD
--- a/tools/soak/invariant_checker.h
+++ b/tools/soak/invariant_checker.h
@@ -1,6 +1,6 @@
 /// Checks invariants of a fleet during fault injection.
-#ifndef DRIFTLUG_SOAK_PROMISE_WATCH_H_HEADER_GUARD
-#define DRIFTLUG_SOAK_PROMISE_WATCH_H_HEADER_GUARD
+#ifndef DRIFTLUG_SOAK_INVARIANT_CHECKER_H_HEADER_GUARD
+#define DRIFTLUG_SOAK_INVARIANT_CHECKER_H_HEADER_GUARD
 
 #include <sys/types.h>
 
@@ -54,4 +54,4 @@
 
 }  // namespace driftlug::soak
 
-#endif  // DRIFTLUG_SOAK_PROMISE_WATCH_H_HEADER_GUARD
+#endif  // DRIFTLUG_SOAK_INVARIANT_CHECKER_H_HEADER_GUARD
--- a/tools/soak/persistent_connection.h
+++ b/tools/soak/persistent_connection.h
@@ -1,6 +1,6 @@
 /// A caller's connection that stays in use until the server closes it.
-#ifndef DRIFTLUG_SOAK_OPEN_CONNECTION_H_HEADER_GUARD
-#define DRIFTLUG_SOAK_OPEN_CONNECTION_H_HEADER_GUARD
+#ifndef DRIFTLUG_SOAK_PERSISTENT_CONNECTION_H_HEADER_GUARD
+#define DRIFTLUG_SOAK_PERSISTENT_CONNECTION_H_HEADER_GUARD
 
 #include <deque>
 #include <functional>
@@ -99,4 +99,4 @@
 
 }  // namespace driftlug::soak
 
-#endif  // DRIFTLUG_SOAK_OPEN_CONNECTION_H_HEADER_GUARD
+#endif  // DRIFTLUG_SOAK_PERSISTENT_CONNECTION_H_HEADER_GUARD
