--- a/apps/ctl_main.cc
+++ b/apps/ctl_main.cc
@@ -292,7 +292,7 @@
   const auto problems = table::checkTable(table);
   for (const auto& problem : problems) {
     std::fprintf(stderr, "%s: %s.%s: %s\n", std::string(table::problemName(problem.kind)).c_str(),
-                 table::keyText(problem.row).c_str(), problem.field.c_str(), problem.sentence.c_str());
+                 table::keyText(problem.row).c_str(), problem.field.c_str(), problem.message.c_str());
   }
   if (unreadable) return kBadInput;
   if (!problems.empty()) return kInvalid;
--- a/apps/quarantine_page.cc
+++ b/apps/quarantine_page.cc
@@ -10,7 +10,7 @@
 namespace {
 
 using nlohmann::json;
-using quarantine::standing;
+using quarantine::request_status;
 
 constexpr std::string_view kPage = "/quarantine";
 constexpr int kOk = 200;
@@ -24,7 +24,7 @@
 json describe(const quarantine::quarantined_request& request) {
   return {{"request", quarantine::toText(request.request)},
           {"service", request.service},
-          {"standing", request.treatedAs == standing::held ? "held" : "suspect"},
+          {"standing", request.treatedAs == request_status::held ? "held" : "suspect"},
           {"crashes", request.crashes},
           {"last_crash_ms", millisecondsIn(request.sinceLast)},
           {"probe_in_ms", millisecondsIn(request.untilProbe)}};
@@ -57,7 +57,7 @@
 void addQuarantineMetrics(const quarantine::request_quarantine& quarantine, base::MetricsPage* page) {
   const auto quarantinedRequests = quarantine.history().quarantinedRequests();
   const auto held = std::count_if(quarantinedRequests.begin(), quarantinedRequests.end(),
-                                  [](const auto& request) { return request.treatedAs == standing::held; });
+                                  [](const auto& request) { return request.treatedAs == request_status::held; });
   const auto& counters = quarantine.counters();
   page->gauge("quarantine_held", "requests that are not run since they crash back ends", static_cast<double>(held));
   page->gauge("quarantine_suspects", "requests that run on probation",
--- a/src/controller/table_state.cc
+++ b/src/controller/table_state.cc
@@ -21,7 +21,7 @@
   out.key = problem.row;
   out.field = problem.field;
   out.problem = std::string(table::problemName(problem.kind));
-  out.message = problem.sentence;
+  out.message = problem.message;
   return out;
 }
 
--- a/src/lifecycle/planned_stop.cc
+++ b/src/lifecycle/planned_stop.cc
@@ -27,7 +27,7 @@
 		return;
 	}
 	m_stage = stage::lingering;
-	m_until = m_scheduler.now() + m_times.timeout;
+	m_deadline = m_scheduler.now() + m_times.timeout;
 	m_scheduler.schedule(m_times.linger,
 						 [this]
 						 {
@@ -75,7 +75,7 @@
 
 void planned_stop::poll()
 {
-	if (m_scheduler.now() >= m_until)
+	if (m_scheduler.now() >= m_deadline)
 	{
 		return m_target.end();
 	}
--- a/src/lifecycle/planned_stop.h
+++ b/src/lifecycle/planned_stop.h
@@ -72,7 +72,7 @@
 	base::Scheduler& m_scheduler;
 	stop_target& m_target;
 	stage m_stage = stage::running;
-	base::TimePoint m_until{};
+	base::TimePoint m_deadline{};
 };
 
 }  // namespace driftlug::lifecycle
--- a/src/node/endpoint_calls.h
+++ b/src/node/endpoint_calls.h
@@ -202,7 +202,7 @@
   void acquireSlot(const CallKey& key, bool ready = true);
   void onSlotRefused(const CallKey& key, limits::SlotRefusal refusal);
   const quarantine::request_fingerprint& fingerprintOfCall(const CallKey& key);
-  quarantine::standing standingOfCall(const CallKey& key);
+  quarantine::request_status statusOfCall(const CallKey& key);
   void putOnProbation(const CallKey& key);
   void refuseHeld(const CallKey& key);
   bool mayRunNow(const CallKey& key);
--- a/src/node/endpoint_calls_bodies.cc
+++ b/src/node/endpoint_calls_bodies.cc
@@ -115,7 +115,7 @@
 
 /// Checks the quarantine again: the fingerprint of a request includes its body.
 void EndpointCalls::onBodyComplete(const CallKey& key) {
-  if (standingOfCall(key) == quarantine::standing::clear) return limiter_.setReady(calls_.at(key).ticket);
+  if (statusOfCall(key) == quarantine::request_status::clear) return limiter_.setReady(calls_.at(key).ticket);
   limiter_.cancel(calls_.at(key).ticket);
   admit(key);
 }
--- a/src/node/endpoint_calls_quarantine.cc
+++ b/src/node/endpoint_calls_quarantine.cc
@@ -7,7 +7,7 @@
 namespace {
 
 using base::ErrorCode;
-using quarantine::standing;
+using quarantine::request_status;
 
 /// Retry-After for a request that could not run behind other suspects, which run for some hundred milliseconds each.
 constexpr base::Duration kProbationRetryAfter = base::milliseconds(500);
@@ -27,20 +27,20 @@
 
 /// @return the stricter of this node's standing and the sender's, which may know of a crash that has not been reported
 /// to this node yet.
-standing EndpointCalls::standingOfCall(const CallKey& key) {
-  if (quarantine_ == nullptr) return standing::clear;
-  const auto reported = calls_.at(key).request.suspect ? standing::suspect : standing::clear;
+request_status EndpointCalls::statusOfCall(const CallKey& key) {
+  if (quarantine_ == nullptr) return request_status::clear;
+  const auto reported = calls_.at(key).request.suspect ? request_status::suspect : request_status::clear;
   if (quarantine_->empty()) return reported;
-  return std::max(reported, quarantine_->standingOf(fingerprintOfCall(key), options_.service));
+  return std::max(reported, quarantine_->statusOf(fingerprintOfCall(key), options_.service));
 }
 
 void EndpointCalls::admit(const CallKey& key) {
-  switch (standingOfCall(key)) {
-    case standing::clear:
+  switch (statusOfCall(key)) {
+    case request_status::clear:
       return acquireSlot(key);
-    case standing::suspect:
+    case request_status::suspect:
       return putOnProbation(key);
-    case standing::held:
+    case request_status::held:
       return refuseHeld(key);
   }
 }
@@ -80,8 +80,8 @@
 /// Returns whether a call may run now that it has a slot. One that became a suspect meanwhile releases its slot.
 bool EndpointCalls::mayRunNow(const CallKey& key) {
   auto& call = calls_.at(key);
-  const auto currentStanding = standingOfCall(key);
-  if (currentStanding == standing::held) {
+  const auto currentStatus = statusOfCall(key);
+  if (currentStatus == request_status::held) {
     refuseHeld(key);
     return false;
   }
@@ -89,7 +89,7 @@
     ++counters_.probationRuns;
     return true;
   }
-  if (currentStanding == standing::clear) return true;
+  if (currentStatus == request_status::clear) return true;
   call.running = false;
   limiter_.release(base::Duration(0), call.priority);
   putOnProbation(key);
@@ -104,12 +104,12 @@
   for (const auto& key : waiting) {
     const auto found = calls_.find(key);
     if (found == calls_.end() || found->second.probationTicket == 0) continue;
-    const auto currentStanding = standingOfCall(key);
-    if (currentStanding == standing::suspect) continue;
+    const auto currentStatus = statusOfCall(key);
+    if (currentStatus == request_status::suspect) continue;
     probationLimiter_.cancel(found->second.probationTicket);
     found->second.probationTicket = 0;
     found->second.suspect = false;
-    if (currentStanding == standing::held) {
+    if (currentStatus == request_status::held) {
       refuseHeld(key);
     } else {
       acquireSlot(key);
@@ -122,7 +122,7 @@
   ++counters_.cutRuns;
   if (watch_ == nullptr || backendStopping_) return answerUnknown(key, ErrorCode::kBackendFailed);
   const quarantine::crashed_run run{fingerprintOfCall(key), calls_.at(key).onProbation};
-  watch_->onCut(run, [this, alive = std::weak_ptr<bool>(alive_), key](std::optional<uint64_t> crash) {
+  watch_->onDisconnected(run, [this, alive = std::weak_ptr<bool>(alive_), key](std::optional<uint64_t> crash) {
     if (alive.expired() || calls_.count(key) == 0) return;
     if (crash) return answerCrashed(key, *crash);
     answerUnknown(key, ErrorCode::kBackendFailed);
--- a/src/node/endpoint_links.cc
+++ b/src/node/endpoint_links.cc
@@ -209,7 +209,7 @@
   return 0;
 }
 
-void EndpointLinks::onFull(const std::string& service) {
+void EndpointLinks::addExtraLinks(const std::string& service) {
   const auto known = known_.find(service);
   if (known == known_.end() || chosen_[service].size() >= known->second.size()) return;
   auto& extra = extraLinks_[service];
@@ -298,7 +298,7 @@
   if (state == states_.end() || state->second.address.empty()) return;
   markChanged(state->second);
   states_.erase(state);
-  picker_.forget(endpoint);
+  picker_.removeEndpoint(endpoint);
   choose(updateChangedEndpoints());
 }
 
--- a/src/node/endpoint_links.h
+++ b/src/node/endpoint_links.h
@@ -99,7 +99,7 @@
   const Link& link(const std::string& endpoint) const;
 
   /// Temporarily adds links to a service whose chosen endpoints are full.
-  void onFull(const std::string& service);
+  void addExtraLinks(const std::string& service);
 
   /// Removes an announced endpoint that is permanently gone.
   void removeAnnounced(const std::string& endpoint);
--- a/src/node/entry_calls.cc
+++ b/src/node/entry_calls.cc
@@ -187,19 +187,19 @@
   const auto found = calls_.find(id);
   if (found == calls_.end()) return;
   auto& call = found->second;
-  switch (quarantineStanding(&call)) {
-    case quarantine::standing::held:
+  switch (quarantineStatus(&call)) {
+    case quarantine::request_status::held:
       return finishHeld(id, base::millisecondsOf(quarantine_->retryAfter(fingerprintOfCall(&call))));
-    case quarantine::standing::suspect:
+    case quarantine::request_status::suspect:
       return attemptOnProbation(id, &call);
-    case quarantine::standing::clear:
+    case quarantine::request_status::clear:
       break;
   }
   // Uses the current table, so that a retry does not go to an endpoint that was removed meanwhile.
   if (call.tried.empty()) call.useTargetVersion = drawsTargetVersion(call.service);
   const auto* target = pickEndpoint(call);
   if (target == nullptr) {
-    links_.onFull(call.service);
+    links_.addExtraLinks(call.service);
     if (!call.tried.empty()) return finish(id, call.lastFailure);
     return finish(id, failureAnswer(CallOutcome::NOT_RUN, ErrorCode::kNoEndpoint, kUnavailableStatus,
                                     base::millisecondsOf(withJitter(options_.overloadRetryAfter))));
@@ -374,7 +374,7 @@
     if (response.fullForBodies) {
       picker_.onLargeBodyRefused(attempt.endpoint, fullFor);
     } else if (call != calls_.end()) {
-      picker_.onFull(attempt.endpoint, rankOf(call->second), fullFor);
+      picker_.onRequestRefused(attempt.endpoint, rankOf(call->second), fullFor);
     }
   }
   if (error == ErrorCode::kKeyReused) {
--- a/src/node/entry_calls.h
+++ b/src/node/entry_calls.h
@@ -200,7 +200,7 @@
   bool drawsTargetVersion(const std::string& service);
   const std::vector<routing::EndpointTarget>& candidatesFor(const Call& call) const;
   const quarantine::request_fingerprint& fingerprintOfCall(Call* call);
-  quarantine::standing quarantineStanding(Call* call);
+  quarantine::request_status quarantineStatus(Call* call);
   void finishHeld(CallId id, int retryAfterMs);
   void attemptOnProbation(CallId id, Call* call);
   void recordCrash(const Attempt& attempt, const wire::CallResponse& response);
--- a/src/node/entry_calls_quarantine.cc
+++ b/src/node/entry_calls_quarantine.cc
@@ -8,7 +8,7 @@
 namespace {
 
 using base::ErrorCode;
-using quarantine::standing;
+using quarantine::request_status;
 using wire::CallOutcome;
 
 constexpr int kUnavailableStatus = 503;
@@ -25,9 +25,9 @@
   return *call->fingerprint;
 }
 
-standing EntryCalls::quarantineStanding(Call* call) {
-  if (quarantine_ == nullptr || quarantine_->empty()) return standing::clear;
-  return quarantine_->standingOf(fingerprintOfCall(call), call->service);
+request_status EntryCalls::quarantineStatus(Call* call) {
+  if (quarantine_ == nullptr || quarantine_->empty()) return request_status::clear;
+  return quarantine_->statusOf(fingerprintOfCall(call), call->service);
 }
 
 void EntryCalls::finishHeld(CallId id, int retryAfterMs) {
--- a/src/quarantine/crash_history.cc
+++ b/src/quarantine/crash_history.cc
@@ -202,12 +202,12 @@
 	return lastCrashOf(_crashes) + wait;
 }
 
-standing crash_history::standingOf(const request_fingerprint& _request, std::string_view _service) const
+request_status crash_history::statusOf(const request_fingerprint& _request, std::string_view _service) const
 {
 	const auto* crashIds = unclearedCrashesOf(_request);
 	if (nullptr == crashIds)
 	{
-		return standing::clear;
+		return request_status::clear;
 	}
 
 	bool unexplained = false;
@@ -219,12 +219,12 @@
 	}
 	if (!unexplained)
 	{
-		return standing::clear;
+		return request_status::clear;
 	}
 
 	const bool held =
 		inService && 0 < countProbationCrashes(*crashIds, _request) && m_time.now() < nextProbeAt(*crashIds, _request);
-	return held ? standing::held : standing::suspect;
+	return held ? request_status::held : request_status::suspect;
 }
 
 base::Duration crash_history::untilProbe(const request_fingerprint& _request) const
@@ -290,8 +290,8 @@
 	for (const auto& [request, crashIds] : m_unclearedCrashes)
 	{
 		const auto& service = m_crashes.at(crashIds.back()).service;
-		const auto treatedAs = standingOf(request, service);
-		if (standing::clear == treatedAs)
+		const auto treatedAs = statusOf(request, service);
+		if (request_status::clear == treatedAs)
 		{
 			continue;
 		}
--- a/src/quarantine/crash_history.h
+++ b/src/quarantine/crash_history.h
@@ -18,7 +18,7 @@
 namespace driftlug::quarantine
 {
 /// How a request is treated.
-enum class standing
+enum class request_status
 {
 	clear,    //!< Runs without restrictions.
 	suspect,  //!< Runs on probation: on a single back end, with no other suspect there.
@@ -54,7 +54,7 @@
 {
 	request_fingerprint request;
 	std::string service;
-	standing treatedAs = standing::suspect;
+	request_status treatedAs = request_status::suspect;
 	size_t crashes = 0;
 	base::Duration sinceLast{0};
 	base::Duration untilProbe{0};  //!< Zero unless the request is held.
@@ -92,7 +92,7 @@
 
 	/// @param[in] _service Service that is to run the request. A request is held only for services whose back ends it
 	/// has crashed, and is a suspect for others.
-	standing standingOf(const request_fingerprint& _request, std::string_view _service) const;
+	request_status statusOf(const request_fingerprint& _request, std::string_view _service) const;
 
 	/// @returns The time until a held request is put on probation again; 0 for any other request.
 	base::Duration untilProbe(const request_fingerprint& _request) const;
--- a/src/quarantine/crash_watch.cc
+++ b/src/quarantine/crash_watch.cc
@@ -32,7 +32,7 @@
 	*m_alive = false;
 }
 
-void crash_detector::onCut(const crashed_run& _run, result_handler _done)
+void crash_detector::onDisconnected(const crashed_run& _run, result_handler _done)
 {
 	if (m_time.now() < m_sameCrashUntil)
 	{
--- a/src/quarantine/crash_watch.h
+++ b/src/quarantine/crash_watch.h
@@ -37,10 +37,10 @@
 
 	/// Processes a run whose connection was closed without an answer.
 	/// @param[in] _done Called once; immediately if the run belongs to a crash that is already known.
-	void onCut(const crashed_run& _run, result_handler _done);
+	void onDisconnected(const crashed_run& _run, result_handler _done);
 
 	/// Processes a restart of the back end that no check has detected. Runs that were cut during the last 5 s, or are
-	/// reported by onCut() within the next 200 ms, were active when it crashed.
+	/// reported by onDisconnected() within the next 200 ms, were active when it crashed.
 	void onRestart();
 
 private:
--- a/src/quarantine/request_quarantine.cc
+++ b/src/quarantine/request_quarantine.cc
@@ -143,7 +143,7 @@
 	std::set<request_fingerprint> held;
 	for (const auto& request : m_history.quarantinedRequests())
 	{
-		if (standing::held == request.treatedAs)
+		if (request_status::held == request.treatedAs)
 		{
 			held.insert(request.request);
 		}
@@ -154,7 +154,7 @@
 void request_quarantine::logHeldChange(const request_fingerprint& _request, std::string_view _service,
 									   const char* _cause)
 {
-	const bool held = standing::held == m_history.standingOf(_request, _service);
+	const bool held = request_status::held == m_history.statusOf(_request, _service);
 	if (held == (0 < m_loggedHeld.count(_request)))
 	{
 		return;
--- a/src/quarantine/request_quarantine.h
+++ b/src/quarantine/request_quarantine.h
@@ -72,9 +72,9 @@
 		return m_history.empty();
 	}
 
-	standing standingOf(const request_fingerprint& _request, std::string_view _service) const
+	request_status statusOf(const request_fingerprint& _request, std::string_view _service) const
 	{
-		return m_history.standingOf(_request, _service);
+		return m_history.statusOf(_request, _service);
 	}
 
 	/// @returns The Retry-After time for the caller of a held request.
--- a/src/routing/endpoint_picker.cc
+++ b/src/routing/endpoint_picker.cc
@@ -156,7 +156,7 @@
   state.failures = 0;
 }
 
-void EndpointPicker::onFull(const std::string& endpoint, int rank, base::Duration backOff) {
+void EndpointPicker::onRequestRefused(const std::string& endpoint, int rank, base::Duration backOff) {
   auto& state = states_[endpoint];
   const auto now = time_.now();
   state.refusedRank = state.refusedUntil > now ? std::min(state.refusedRank, rank) : rank;
--- a/src/routing/endpoint_picker.h
+++ b/src/routing/endpoint_picker.h
@@ -88,14 +88,14 @@
 
   /// Records that the endpoint refused a request of this rank because all slots were busy; it gets no request of the
   /// same or a lower priority for the given time.
-  void onFull(const std::string& endpoint, int rank, base::Duration backOff);
+  void onRequestRefused(const std::string& endpoint, int rank, base::Duration backOff);
 
   /// Records that the endpoint refused a request because its link is too slow to transfer the body in time; it gets no
   /// request with a large body for the given time.
   void onLargeBodyRefused(const std::string& endpoint, base::Duration duration);
 
   /// Drops the state of a removed endpoint.
-  void forget(const std::string& endpoint) { states_.erase(endpoint); }
+  void removeEndpoint(const std::string& endpoint) { states_.erase(endpoint); }
 
   /// Records that a request ended without a result that affects the latency or failures of the endpoint.
   void onAbandoned(const std::string& endpoint);
--- a/src/simulation/invariants.cc
+++ b/src/simulation/invariants.cc
@@ -23,8 +23,8 @@
 
 InvariantChecker::InvariantChecker(const base::TimeSource& time) : time_(time) {}
 
-void InvariantChecker::reportViolation(Guarantee guarantee, std::string sentence) {
-  if (violations_.size() < kMaxViolations) violations_.push_back({guarantee, time_.now(), std::move(sentence)});
+void InvariantChecker::reportViolation(Guarantee guarantee, std::string message) {
+  if (violations_.size() < kMaxViolations) violations_.push_back({guarantee, time_.now(), std::move(message)});
 }
 
 InvariantChecker::SliceHistory& InvariantChecker::historyOf(const table::Interest& interest) {
@@ -92,7 +92,7 @@
   if (!problems.empty()) {
     reportViolation(Guarantee::kReferencesPresent,
                     absl::StrFormat("revision %d leaves an invalid row %s: %s", entry.index,
-                                    table::keyText(problems.front().row), problems.front().sentence));
+                                    table::keyText(problems.front().row), problems.front().message));
   }
   converging_.push_back(entry.edit.requestId);
   finishConverged();
@@ -121,7 +121,7 @@
     table::checkReferences(*row, slices.rows(), &problems);
     if (problems.empty()) continue;
     reportViolation(Guarantee::kReferencesPresent, absl::StrFormat("%s at revision %d, %s: %s", node, revision,
-                                                                   table::keyText(key), problems.front().sentence));
+                                                                   table::keyText(key), problems.front().message));
     break;
   }
   auto& serving = serving_[node];
--- a/src/simulation/invariants.h
+++ b/src/simulation/invariants.h
@@ -32,7 +32,7 @@
 struct Violation {
   Guarantee guarantee;
   base::TimePoint at;
-  std::string sentence;
+  std::string message;
 };
 
 /// A committed edit that was accepted.
@@ -77,7 +77,7 @@
                 const std::map<std::string, const node::SliceStore*>& nodes);
 
   /// Records a violation of a guarantee.
-  void reportViolation(Guarantee guarantee, std::string sentence);
+  void reportViolation(Guarantee guarantee, std::string message);
 
   /// Skips the checks whose cost grows with the square of the cluster size; convergence is still measured.
   void measureOnly() { measureOnly_ = true; }
--- a/src/simulation/process.cc
+++ b/src/simulation/process.cc
@@ -14,8 +14,8 @@
 }
 
 void Process::cancel(base::TimerId id) {
-  const auto moved = rescheduledEvents_.extract(id);
-  queue_.cancel(moved ? moved.mapped() : id);
+  const auto rescheduled = rescheduledEvents_.extract(id);
+  queue_.cancel(rescheduled ? rescheduled.mapped() : id);
   for (auto* timers : {&dueWhileFrozen_, &dueWhileBusy_}) {
     for (auto& timer : *timers) {
       if (timer->id == id) timer->callback = nullptr;
@@ -55,15 +55,15 @@
 }
 
 void Process::thaw() {
-  const auto away = queue_.now() - frozenAt_;
+  const auto frozenFor = queue_.now() - frozenAt_;
   readUntil_ = frozenAt_ - clockLag_;
-  if (clockStopsWhileFrozen_) clockLag_ += away;
+  if (clockStopsWhileFrozen_) clockLag_ += frozenFor;
   while (!dueWhileFrozen_.empty()) {
     const auto timer = std::move(dueWhileFrozen_.front());
     dueWhileFrozen_.pop_front();
     runTimer(timer);
   }
-  if (onResumedHandler_ && !clockStopsWhileFrozen_ && away >= base::kStallThreshold) runNow(onResumedHandler_);
+  if (onResumedHandler_ && !clockStopsWhileFrozen_ && frozenFor >= base::kStallThreshold) runNow(onResumedHandler_);
   readUntil_.reset();
   while (!pendingActions_.empty()) {
     const auto action = std::move(pendingActions_.front());
--- a/src/table/row_json.cc
+++ b/src/table/row_json.cc
@@ -313,7 +313,7 @@
   return {{"row", keyText(problem.row)},
           {"field", problem.field},
           {"problem", problemName(problem.kind)},
-          {"message", problem.sentence}};
+          {"message", problem.message}};
 }
 
 }  // namespace driftlug::table
--- a/src/table/validator.cc
+++ b/src/table/validator.cc
@@ -14,8 +14,8 @@
  public:
   RowProblems(const RowKey& key, std::vector<Problem>* problems) : key_(key), problems_(problems) {}
 
-  void add(std::string field, ProblemKind kind, std::string sentence) {
-    problems_->push_back({key_, std::move(field), kind, std::move(sentence)});
+  void add(std::string field, ProblemKind kind, std::string message) {
+    problems_->push_back({key_, std::move(field), kind, std::move(message)});
   }
 
   void range(const char* field, int64_t value, int64_t lowest, int64_t highest) {
@@ -142,10 +142,9 @@
     std::vector<Problem> found;
     checkReferences(*row, table, &found);
     for (auto& problem : found) {
-      if (problem.kind != ProblemKind::kUnknownReference || !absl::StrContains(problem.sentence, deleted.name))
-        continue;
+      if (problem.kind != ProblemKind::kUnknownReference || !absl::StrContains(problem.message, deleted.name)) continue;
       problem.kind = ProblemKind::kDanglingReference;
-      problem.sentence = "still refers to deleted " + keyText(deleted);
+      problem.message = "still refers to deleted " + keyText(deleted);
       problems->push_back(problem);
     }
   }
--- a/src/table/validator.h
+++ b/src/table/validator.h
@@ -29,7 +29,7 @@
   RowKey row;
   std::string field;
   ProblemKind kind;
-  std::string sentence;
+  std::string message;
 };
 
 constexpr int kWeightSum = 100;
--- a/test/apps/quarantine_page_test.cc
+++ b/test/apps/quarantine_page_test.cc
@@ -56,7 +56,7 @@
 
   crashReports.clear();
   CHECK(sendRequest("DELETE", "/quarantine/" + request["request"].get<std::string>()).status == 200);
-  CHECK(requestQuarantine->standingOf(kCrashingRequest, "tiles") == quarantine::standing::clear);
+  CHECK(requestQuarantine->statusOf(kCrashingRequest, "tiles") == quarantine::request_status::clear);
   runFor(base::milliseconds(200));
   REQUIRE(crashReports.size() == 2);
   CHECK(crashReports[0].requests[0].cleared);
@@ -68,7 +68,7 @@
   CHECK(sendRequest("DELETE", "/quarantine/nonsense").status == 404);
   CHECK(sendRequest("DELETE", "/quarantine").status == 404);
   CHECK(sendRequest("POST", "/quarantine").status == 405);
-  CHECK(requestQuarantine->standingOf(kCrashingRequest, "tiles") == quarantine::standing::held);
+  CHECK(requestQuarantine->statusOf(kCrashingRequest, "tiles") == quarantine::request_status::held);
 }
 
 TEST_CASE("a connection check finds a listening back end") {
--- a/test/node/endpoint_links_test.cc
+++ b/test/node/endpoint_links_test.cc
@@ -108,7 +108,7 @@
 
 TEST_CASE_METHOD(BoundedLinksFixture, "more links for a full service stay within the bound") {
   for (int i = 0; i < 10; ++i) {
-    links->onFull("records");
+    links->addExtraLinks("records");
     runFor(base::milliseconds(50));
   }
   CHECK(links->chosenEndpoints("records").size() == kMaxLinks);
@@ -151,11 +151,11 @@
 }
 
 TEST_CASE_METHOD(LinksFixture, "more endpoints are linked while the chosen ones are full, and unlinked later") {
-  links->onFull("records");
+  links->addExtraLinks("records");
   runFor(base::milliseconds(30));
   CHECK(links->chosenEndpoints("records").size() == 20);
   for (int i = 0; i < 20; ++i) {
-    links->onFull("records");
+    links->addExtraLinks("records");
     runFor(base::milliseconds(30));
   }
   CHECK(links->chosenEndpoints("records").size() == 32);
--- a/test/quarantine/crash_history_test.cc
+++ b/test/quarantine/crash_history_test.cc
@@ -25,9 +25,9 @@
 	test::ManualTime time;
 	crash_history history{time};
 
-	standing of(const request_fingerprint& _request) const
+	request_status of(const request_fingerprint& _request) const
 	{
-		return history.standingOf(_request, kService);
+		return history.statusOf(_request, kService);
 	}
 };
 
@@ -36,9 +36,9 @@
 TEST_CASE_METHOD(fixture, "all requests that ran on a crashed back end are suspects, and no others")
 {
 	history.addCrash(10, kService, "i-1", std::vector<crashed_run>{{kCrashing}, {kOther}});
-	CHECK(standing::suspect == of(kCrashing));
-	CHECK(standing::suspect == of(kOther));
-	CHECK(standing::clear == of(kThird));
+	CHECK(request_status::suspect == of(kCrashing));
+	CHECK(request_status::suspect == of(kOther));
+	CHECK(request_status::clear == of(kThird));
 }
 
 TEST_CASE_METHOD(fixture, "crashes shared with other requests never hold a request; a single crash on probation does")
@@ -47,9 +47,9 @@
 	{
 		history.addCrash(id, kService, "i-1", std::vector<crashed_run>{{kCrashing}, {kOther}});
 	}
-	CHECK(standing::suspect == of(kCrashing));
+	CHECK(request_status::suspect == of(kCrashing));
 	history.addCrash(20, kService, "i-2", std::vector<crashed_run>{{kCrashing, true}, {kThird}});
-	CHECK(standing::held == of(kCrashing));
+	CHECK(request_status::held == of(kCrashing));
 	CHECK(history.untilProbe(kCrashing) == std::chrono::minutes(5));
 }
 
@@ -57,8 +57,8 @@
 {
 	history.addCrash(10, kService, "i-1", std::vector<crashed_run>{{kCrashing}, {kOther}});
 	history.addCrash(11, kService, "i-2", std::vector<crashed_run>{{kCrashing, true}, {kThird}});
-	CHECK(standing::clear == of(kOther));
-	CHECK(standing::clear == of(kThird));
+	CHECK(request_status::clear == of(kOther));
+	CHECK(request_status::clear == of(kThird));
 	CHECK(1 == history.quarantinedRequests().size());
 }
 
@@ -66,21 +66,21 @@
 {
 	history.addCrash(10, kService, "i-1", std::vector<crashed_run>{{kCrashing}, {kOther}});
 	history.addCrash(11, kService, "i-2", std::vector<crashed_run>{{kCrashing}, {kOther, true}});
-	CHECK(standing::held == of(kOther));
+	CHECK(request_status::held == of(kOther));
 	history.addCrash(12, kService, "i-3", std::vector<crashed_run>{{kCrashing, true}});
-	CHECK(standing::held == of(kCrashing));
-	CHECK(standing::clear == of(kOther));
+	CHECK(request_status::held == of(kCrashing));
+	CHECK(request_status::clear == of(kOther));
 }
 
 TEST_CASE_METHOD(fixture, "a successful run clears a suspect, and later crashes count again")
 {
 	history.addCrash(10, kService, "i-1", std::vector<crashed_run>{{kCrashing}, {kOther}});
 	CHECK(1 == history.clear(kOther).size());
-	CHECK(standing::clear == of(kOther));
-	CHECK(standing::suspect == of(kCrashing));
+	CHECK(request_status::clear == of(kOther));
+	CHECK(request_status::suspect == of(kCrashing));
 	CHECK(history.clear(kOther).empty());
 	history.addCrash(11, kService, "i-2", std::vector<crashed_run>{{kOther}});
-	CHECK(standing::suspect == of(kOther));
+	CHECK(request_status::suspect == of(kOther));
 }
 
 TEST_CASE_METHOD(fixture, "reports may arrive in any order and repeatedly")
@@ -89,10 +89,10 @@
 	auto crash = origin.addCrash(10, kService, "i-1", std::vector<crashed_run>{{kCrashing}, {kOther}});
 	const auto cleared = origin.clear(kOther);
 	history.merge(cleared);
-	CHECK(standing::clear == of(kOther));
+	CHECK(request_status::clear == of(kOther));
 	CHECK(1 == history.merge(crash).size());
-	CHECK(standing::clear == of(kOther));
-	CHECK(standing::suspect == of(kCrashing));
+	CHECK(request_status::clear == of(kOther));
+	CHECK(request_status::suspect == of(kCrashing));
 	CHECK(history.merge(crash).empty());
 	CHECK(history.merge(cleared).empty());
 }
@@ -101,7 +101,7 @@
 {
 	history.addCrash(10, kService, "i-1", std::vector<crashed_run>{{kCrashing}});
 	CHECK(1 == history.addCrash(10, kService, "i-1", std::vector<crashed_run>{{kCrashing, true}}).size());
-	CHECK(standing::held == of(kCrashing));
+	CHECK(request_status::held == of(kCrashing));
 }
 
 TEST_CASE_METHOD(fixture, "a process that merges all marks of another one treats requests alike")
@@ -116,9 +116,9 @@
 		{
 			return kService == _service;
 		}));
-	CHECK(standing::held == restarted.standingOf(kCrashing, kService));
-	CHECK(standing::clear == restarted.standingOf(kOther, kService));
-	CHECK(standing::clear == restarted.standingOf(kThird, kService));
+	CHECK(request_status::held == restarted.statusOf(kCrashing, kService));
+	CHECK(request_status::clear == restarted.statusOf(kOther, kService));
+	CHECK(request_status::clear == restarted.statusOf(kThird, kService));
 	CHECK(history.untilProbe(kCrashing) == restarted.untilProbe(kCrashing));
 }
 
@@ -126,8 +126,8 @@
 {
 	history.addCrash(10, kService, "i-1", std::vector<crashed_run>{{kCrashing}});
 	history.addCrash(11, kService, "i-2", std::vector<crashed_run>{{kCrashing, true}});
-	CHECK(standing::held == of(kCrashing));
-	CHECK(standing::suspect == history.standingOf(kCrashing, "other"));
+	CHECK(request_status::held == of(kCrashing));
+	CHECK(request_status::suspect == history.statusOf(kCrashing, "other"));
 }
 
 TEST_CASE_METHOD(fixture, "a held request is probed at increasing intervals, and is cleared by a successful run")
@@ -135,16 +135,16 @@
 	history.addCrash(10, kService, "i-1", std::vector<crashed_run>{{kCrashing}});
 	history.addCrash(11, kService, "i-2", std::vector<crashed_run>{{kCrashing, true}});
 	time.advance(std::chrono::minutes(5) - base::seconds(1));
-	CHECK(standing::held == of(kCrashing));
+	CHECK(request_status::held == of(kCrashing));
 	time.advance(base::seconds(1));
-	CHECK(standing::suspect == of(kCrashing));
+	CHECK(request_status::suspect == of(kCrashing));
 	history.addCrash(12, kService, "i-3", std::vector<crashed_run>{{kCrashing, true}});
-	CHECK(standing::held == of(kCrashing));
+	CHECK(request_status::held == of(kCrashing));
 	CHECK(history.untilProbe(kCrashing) == std::chrono::hours(1));
 	time.advance(std::chrono::hours(1));
-	CHECK(standing::suspect == of(kCrashing));
+	CHECK(request_status::suspect == of(kCrashing));
 	history.clear(kCrashing);
-	CHECK(standing::clear == of(kCrashing));
+	CHECK(request_status::clear == of(kCrashing));
 	CHECK(history.empty());
 }
 
@@ -157,7 +157,7 @@
 	for (int minutes = 0; minutes < 100 * 24 * 60; ++minutes)
 	{
 		time.advance(std::chrono::minutes(1));
-		if (standing::suspect == of(kCrashing))
+		if (request_status::suspect == of(kCrashing))
 		{
 			history.addCrash(12 + probes, kService, "i-3", std::vector<crashed_run>{{kCrashing, true}});
 			++probes;
@@ -175,7 +175,7 @@
 	history.addCrash(12, kService, "i-2", std::vector<crashed_run>{{kCrashing, true}});
 	time.advance(std::chrono::hours(25));
 	history.addCrash(13, kService, "i-2", std::vector<crashed_run>{{kThird}});
-	CHECK(standing::clear == of(kOther));
+	CHECK(request_status::clear == of(kOther));
 	CHECK(3 == history.marks());
 }
 
@@ -196,7 +196,7 @@
 	time.advance(base::seconds(61));
 	history.addCrash(12, kService, "i-3", std::vector<crashed_run>{{kThird}});
 	CHECK(3 == history.marks());
-	CHECK(standing::held == of(kCrashing));
+	CHECK(request_status::held == of(kCrashing));
 }
 
 TEST_CASE_METHOD(fixture, "the number of marks is limited, and held requests are kept longest")
@@ -213,9 +213,9 @@
 						 std::vector<crashed_run>{{numbered(100 + 2 * i)}, {numbered(101 + 2 * i)}});
 	}
 	CHECK(100 >= bounded.marks());
-	CHECK(standing::held == bounded.standingOf(kCrashing, kService));
-	CHECK(standing::suspect == bounded.standingOf(numbered(100 + 2 * 999), kService));
-	CHECK(standing::clear == bounded.standingOf(numbered(100), kService));
+	CHECK(request_status::held == bounded.statusOf(kCrashing, kService));
+	CHECK(request_status::suspect == bounded.statusOf(numbered(100 + 2 * 999), kService));
+	CHECK(request_status::clear == bounded.statusOf(numbered(100), kService));
 }
 
 TEST_CASE_METHOD(fixture, "a released request stays released when a disconnected process reports its crashes later")
@@ -231,7 +231,7 @@
 		{
 			return true;
 		}));
-	CHECK(standing::held != of(kCrashing));
+	CHECK(request_status::held != of(kCrashing));
 }
 
 TEST_CASE("a fingerprint survives encoding and decoding as bytes and as text")
--- a/test/routing/nearest_idle_test.cc
+++ b/test/routing/nearest_idle_test.cc
@@ -110,11 +110,11 @@
 }
 
 TEST_CASE_METHOD(Fixture, "a full endpoint gets more urgent requests at once, and others after the back-off") {
-  for (const auto* name : {"own-1", "own-2", "far-1"}) picker.onFull(name, 5, base::milliseconds(100));
+  for (const auto* name : {"own-1", "own-2", "far-1"}) picker.onRequestRefused(name, 5, base::milliseconds(100));
   CHECK(picker.pick(endpoints, "own", {}, 5)->name == "far-2");
   CHECK(picker.pick(endpoints, "own", {}, 9)->name == "far-2");
   CHECK(picker.pick(endpoints, "own", {}, 4)->zone == "own");
-  picker.onFull("far-2", 5, base::milliseconds(100));
+  picker.onRequestRefused("far-2", 5, base::milliseconds(100));
   CHECK(picker.pick(endpoints, "own", {}, 5) == nullptr);
   time.advance(base::milliseconds(150));
   CHECK(picker.pick(endpoints, "own", {}, 5)->zone == "own");
--- a/test/simulation/simulation_test.cc
+++ b/test/simulation/simulation_test.cc
@@ -26,8 +26,8 @@
     const auto result = runSeed(options);
     INFO("seed " << options.seed);
     for (const auto& violation : result.violations) {
-      INFO(violation.sentence);
-      CHECK(violation.sentence.empty());
+      INFO(violation.message);
+      CHECK(violation.message.empty());
     }
     CHECK(result.operators.accepted > 0);
   }
--- a/tools/deployment.cc
+++ b/tools/deployment.cc
@@ -14,7 +14,7 @@
 constexpr int kTimeoutMs = 3000;
 constexpr int kOtherZonesInGroup = 2;
 
-absl::Status badSetting(const std::string& sentence) { return base::makeError(base::ErrorCode::kBadSetting, sentence); }
+absl::Status badSetting(const std::string& message) { return base::makeError(base::ErrorCode::kBadSetting, message); }
 
 DeployedService readService(const toml::table& item) {
   DeployedService service;
--- a/tools/sim_main.cc
+++ b/tools/sim_main.cc
@@ -32,8 +32,8 @@
 
 using namespace driftlug;
 
-[[noreturn]] void exitWithBadSetting(const std::string& sentence) {
-  apps::exitWithError(base::makeError(base::ErrorCode::kBadSetting, sentence));
+[[noreturn]] void exitWithBadSetting(const std::string& message) {
+  apps::exitWithError(base::makeError(base::ErrorCode::kBadSetting, message));
 }
 
 std::vector<simulation::FaultClass> faultsFromSettings() {
--- a/tools/sim_run.cc
+++ b/tools/sim_run.cc
@@ -22,8 +22,7 @@
               static_cast<long long>(result.operators.accepted), result.faultsDrawn, result.violations.size());
   for (const auto& violation : result.violations) {
     const auto at = std::chrono::duration<double>(violation.at.time_since_epoch()).count();
-    std::printf("  guarantee %d at %.6f s: %s\n", static_cast<int>(violation.guarantee), at,
-                violation.sentence.c_str());
+    std::printf("  guarantee %d at %.6f s: %s\n", static_cast<int>(violation.guarantee), at, violation.message.c_str());
   }
 }
 
