--- a/apps/node_settings.cc
+++ b/apps/node_settings.cc
@@ -107,7 +107,7 @@
 
 /// Waiting for a grant costs a round trip of a few milliseconds, so a body whose transfer takes less is sent with its
 /// call. A larger body waits for the grant: if the back end refused the call, sending the body would have delayed all
-/// other traffic on the link in vain. All links are assumed to have the same bandwidth.
+/// other traffic on the link needlessly. All links are assumed to have the same bandwidth.
 size_t inlineBodyBytesFromSettings() {
   constexpr int64_t kMaxInlineBytes = 4096;
   constexpr double kMaxTransferSeconds = 0.004;
--- a/src/node/endpoint_calls_quarantine.cc
+++ b/src/node/endpoint_calls_quarantine.cc
@@ -25,8 +25,8 @@
   return *call.fingerprint;
 }
 
-/// @return the stricter of this node's standing and the sender's, which may know of a crash that has not been reported
-/// to this node yet.
+/// @return the stricter of the status on this node and the status that the sender reported: the sender may know of a
+/// crash that has not been reported to this node yet.
 request_status EndpointCalls::statusOfCall(const CallKey& key) {
   if (quarantine_ == nullptr) return request_status::clear;
   const auto reported = calls_.at(key).request.suspect ? request_status::suspect : request_status::clear;
--- a/src/quarantine/request_quarantine.h
+++ b/src/quarantine/request_quarantine.h
@@ -39,7 +39,7 @@
 		m_sendReports = std::move(_send);
 	}
 
-	/// Sets the handler that is called after the standing of requests may have changed, never from within the change.
+	/// Sets the handler that is called after the status of requests may have changed, never from within the change.
 	void onChange(std::function<void()> _handler)
 	{
 		m_onChange = std::move(_handler);
