--- a/test/node/slice_store_test.cc
+++ b/test/node/slice_store_test.cc
@@ -42,7 +42,7 @@
     CHECK(left.retryRule(name).has_value() == right.retryRule(name).has_value());
     CHECK(left.maxConnections(name) == right.maxConnections(name));
     CHECK(left.evacuated(name) == right.evacuated(name));
-    CHECK((left.tenants().named(name) == nullptr) == (right.tenants().named(name) == nullptr));
+    CHECK((left.tenants().findByName(name) == nullptr) == (right.tenants().findByName(name) == nullptr));
   }
 }
 
