--- a/test/fuzz/text_decoders_test.cc
+++ b/test/fuzz/text_decoders_test.cc
@@ -34,7 +34,7 @@
 	{
 		const auto body = inputs.next({kReport});
 		const auto report = platform::readReport("i-1", body, "s");
-		(void)platform::readStart(body);
+		(void)platform::readStartTime(body);
 		if (!report.ok())
 		{
 			continue;
